--- a/crates/core/examples/decision.rs
+++ b/crates/core/examples/decision.rs
@@ -6,7 +6,7 @@
 use {
     mangowalk_core::{
         engine::{CacheChange, CacheEvents, EngineState, LoadReport},
-        placement::{Ask, EngineSpec, Placement, PlacementSettings},
+        placement::{EngineSpec, Placement, PlacementRequest, PlacementSettings},
     },
     std::{collections::HashSet, env, hint::black_box},
 };
@@ -44,14 +44,14 @@
         .map(|i| EngineSpec {
             name: format!("engine-{i:03}"),
             model: "drafting".to_owned(),
-            near: i % 4 == 0,
+            in_same_domain: i % 4 == 0,
             departing: false,
         })
         .collect();
     placement.set_engines(&specs);
     for (i, spec) in specs.iter().enumerate() {
         placement.report(&spec.name, Some(&state(i)));
-        if events && placement.events_from(&spec.name).is_some() {
+        if events && placement.next_event_sequence(&spec.name).is_some() {
             placement.cache_events(&spec.name, &stored(i as u64));
         }
     }
@@ -95,25 +95,25 @@
     (seed * 1_000_003 + number).wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
 
-fn decide(placement: &mut Placement, request: u64) {
-    let chain = chain(request * 7 % PREFIXES, request);
+fn decide(placement: &mut Placement, number: u64) {
+    let chain = chain(number * 7 % PREFIXES, number);
     let none = HashSet::new();
-    let ask = Ask {
+    let request = PlacementRequest {
         model: "drafting",
         version: "v1",
         chain: &chain,
-        kept_blocks: 0,
+        kv_store_blocks: 0,
         avoid: &none,
-        fit: &|_| true,
+        is_usable: &|_| true,
         waited_ms: 0,
         queued: 0,
         force: true,
     };
-    let now_ms = request * 10;
-    if let Some(mut choice) = placement.choose(&ask, now_ms) {
+    let now_ms = number * 10;
+    if let Some(mut choice) = placement.choose(&request, now_ms) {
         placement.sent(&mut choice, &chain, now_ms);
         placement.first_token(&mut choice, now_ms + 5);
-        placement.ended(&choice, Some(choice.believed_blocks), now_ms + 9);
+        placement.ended(&choice, Some(choice.held_blocks), now_ms + 9);
         black_box(&choice);
     }
 }
--- a/crates/core/src/admission/dispatcher.rs
+++ b/crates/core/src/admission/dispatcher.rs
@@ -1,6 +1,6 @@
 use {
     super::{AdmissionSettings, FairQueue, Full, Job},
-    crate::placement::{Ask, Choice, Placement},
+    crate::placement::{Choice, Placement, PlacementRequest},
 };
 
 /// Teams asked for a request that has room, each time room appears.
@@ -122,13 +122,13 @@
         queued: usize,
         now_ms: u64,
     ) -> Option<Choice> {
-        let ask = Ask {
+        let ask = PlacementRequest {
             model: &job.model,
             version: &job.version,
             chain: &job.chain,
-            kept_blocks: job.kept_blocks,
+            kv_store_blocks: job.kept_blocks,
             avoid: &job.avoid,
-            fit,
+            is_usable: fit,
             waited_ms: now_ms.saturating_sub(job.arrived_ms),
             queued,
             force: false,
--- a/crates/core/src/placement/block_index.rs
+++ b/crates/core/src/placement/block_index.rs
@@ -4,7 +4,7 @@
 };
 
 /// Most engines that one word of bits can name.
-pub(super) const MOST_INDEXED: usize = 64;
+pub(super) const MAX_INDEXED_ENGINES: usize = 64;
 
 /// What is read of one engine's events.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -47,22 +47,22 @@
     }
 
     /// Takes events of the engine's present start.
-    pub(super) fn take(&mut self, slot: usize, incarnation: u64, events: &CacheEvents) {
-        if slot >= MOST_INDEXED || events.incarnation != incarnation {
+    pub(super) fn apply_events(&mut self, slot: usize, incarnation: u64, events: &CacheEvents) {
+        if slot >= MAX_INDEXED_ENGINES || events.incarnation != incarnation {
             return;
         }
         let cursor = self.cursors.get(&slot).copied().unwrap_or_default();
         let same_start = cursor.incarnation == incarnation;
         let follows = same_start && events.first_sequence <= cursor.next_sequence;
         if !follows {
-            self.forget(slot);
+            self.remove_engine(slot);
         }
         let skip = match follows {
             true => (cursor.next_sequence - events.first_sequence) as usize,
             false => 0,
         };
         for change in events.changes.iter().skip(skip) {
-            self.apply(slot, change);
+            self.apply_change(slot, change);
         }
         let end = events.first_sequence + events.changes.len() as u64;
         let next_sequence = if follows {
@@ -79,7 +79,7 @@
     }
 
     /// Drops what is known of an engine.
-    pub(super) fn forget(&mut self, slot: usize) {
+    pub(super) fn remove_engine(&mut self, slot: usize) {
         if self.cursors.remove(&slot).is_none() {
             return;
         }
@@ -90,7 +90,7 @@
         });
     }
 
-    fn apply(&mut self, slot: usize, change: &CacheChange) {
+    fn apply_change(&mut self, slot: usize, change: &CacheChange) {
         let bit = 1 << slot;
         match change {
             CacheChange::Stored(digest) => *self.blocks.entry(*digest).or_default() |= bit,
--- a/crates/core/src/placement/blocks.rs
+++ b/crates/core/src/placement/blocks.rs
@@ -28,6 +28,6 @@
 }
 
 /// Returns the tokens that a text is taken to have, at least 1.
-pub fn tokens_of(text: &str) -> u64 {
+pub fn estimate_tokens(text: &str) -> u64 {
     (text.len().div_ceil(TOKEN_BYTES) as u64).max(1)
 }
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -1,13 +1,13 @@
 use {
-    super::{Ask, Mark, Placement, fleet::ModelEngines, ring::mix},
+    super::{Placement, PlacementRequest, PrefixCheckpoint, fleet::ModelEngines, ring::mix},
     rand::Rng,
 };
 
 /// Engines known to hold part of the prompt that are weighed.
-const MOST_HELD: usize = 6;
+const MAX_HOLDER_CANDIDATES: usize = 6;
 
 /// Levels of the prompt whose homes are weighed.
-const MOST_LEVELS: usize = 3;
+const MAX_HOME_LEVELS: usize = 3;
 
 /// Engines drawn at random. Two are enough to keep the longest queue short
 /// (power of two choices); more would follow lagging reports into herds.
@@ -17,15 +17,15 @@
 const DRAWS_WITHOUT_HOMES: usize = 4;
 
 /// Looks for an eligible engine behind a random one.
-const RANDOM_STEPS: usize = 8;
+const MAX_RANDOM_STEPS: usize = 8;
 
 /// Share of a prefix that a home is expected to hold if other instances send
 /// their requests there too and nothing better is known.
-const HOME_BELIEF: f64 = 0.9;
+const HOME_HIT_SHARE: f64 = 0.9;
 
 /// Share of a prompt that its home is expected to hold if this instance never
 /// saw any of it: enough to prefer the home among engines as good as equal.
-const COLD_BELIEF: f64 = 0.1;
+const UNSEEN_HOME_HIT_SHARE: f64 = 0.1;
 
 /// Age from which a small fleet's event index is trusted over what this
 /// instance sent itself; events come late.
@@ -47,34 +47,34 @@
 pub(super) struct Candidates<'a> {
     placement: &'a Placement,
     model: &'a ModelEngines,
-    ask: &'a Ask<'a>,
+    request: &'a PlacementRequest<'a>,
     found: Vec<Candidate>,
 }
 
 impl Candidates<'_> {
-    pub(super) fn gather(
+    pub(super) fn collect(
         placement: &mut Placement,
-        ask: &Ask<'_>,
-        marks: &[Mark],
+        request: &PlacementRequest<'_>,
+        checkpoints: &[PrefixCheckpoint],
         now_ms: u64,
     ) -> Vec<Candidate> {
-        let random = if marks.is_empty() {
+        let random = if checkpoints.is_empty() {
             DRAWS_WITHOUT_HOMES
         } else {
             RANDOM_DRAWS
         };
         let draws: Vec<u64> = (0..random + 1).map(|_| placement.rng.random()).collect();
-        let Some(model) = placement.fleet.model(ask.model) else {
+        let Some(model) = placement.fleet.model(request.model) else {
             return Vec::new();
         };
         let mut candidates = Candidates {
             placement,
             model,
-            ask,
-            found: Vec::with_capacity(MOST_HELD + 2 * MOST_LEVELS + RANDOM_DRAWS),
+            request,
+            found: Vec::with_capacity(MAX_HOLDER_CANDIDATES + 2 * MAX_HOME_LEVELS + RANDOM_DRAWS),
         };
-        candidates.add_holders(marks, draws[0], now_ms);
-        candidates.add_homes(marks, draws[0], now_ms);
+        candidates.add_holders(checkpoints, draws[0], now_ms);
+        candidates.add_homes(checkpoints, draws[0], now_ms);
         for draw in &draws[1..] {
             candidates.add_random(*draw);
         }
@@ -83,9 +83,9 @@
 
     fn eligible(&self, slot: usize) -> bool {
         let engine = self.placement.fleet.get(slot);
-        engine.serves(self.ask.model, self.ask.version)
-            && (self.ask.avoid.is_empty() || !self.ask.avoid.contains(&engine.spec.name))
-            && (self.ask.fit)(&engine.spec.name)
+        engine.serves(self.request.model, self.request.version)
+            && (self.request.avoid.is_empty() || !self.request.avoid.contains(&engine.spec.name))
+            && (self.request.is_usable)(&engine.spec.name)
     }
 
     fn is_found(&self, slot: usize) -> bool {
@@ -104,19 +104,19 @@
     }
 
     /// Adds engines known to hold the deepest part of the prompt.
-    fn add_holders(&mut self, marks: &[Mark], turn: u64, now_ms: u64) {
-        for mark in marks.iter().rev() {
-            if self.found.len() >= MOST_HELD {
+    fn add_holders(&mut self, checkpoints: &[PrefixCheckpoint], turn: u64, now_ms: u64) {
+        for checkpoint in checkpoints.iter().rev() {
+            if self.found.len() >= MAX_HOLDER_CANDIDATES {
                 return;
             }
-            self.add_noted(mark, now_ms);
-            self.add_indexed(mark, turn);
+            self.add_recorded_holders(checkpoint, now_ms);
+            self.add_indexed_holders(checkpoint, turn);
         }
     }
 
     /// Adds holders that this instance sent the prefix to.
-    fn add_noted(&mut self, mark: &Mark, now_ms: u64) {
-        let Some(prefix) = self.placement.table.get(mark.digest) else {
+    fn add_recorded_holders(&mut self, checkpoint: &PrefixCheckpoint, now_ms: u64) {
+        let Some(prefix) = self.placement.table.get(checkpoint.digest) else {
             return;
         };
         for holder in prefix.holders.iter().rev() {
@@ -124,31 +124,35 @@
             let age_ms = now_ms.saturating_sub(holder.used_ms);
             let indexed = self.placement.index.is_synced(holder.slot);
             let held = if indexed && age_ms > EVENT_LAG_MS {
-                self.placement.index.holds(holder.slot, mark.digest)
+                self.placement.index.holds(holder.slot, checkpoint.digest)
             } else {
-                engine.keeps(age_ms)
+                engine.retains(age_ms)
             };
             if held && engine.generation == holder.generation && self.eligible(holder.slot) {
-                self.add_held(holder.slot, mark.depth_blocks, age_ms);
+                self.add_holder(holder.slot, checkpoint.depth_blocks, age_ms);
             }
         }
     }
 
     /// Adds holders that cache events told of, from a random one on, so that
     /// a prefix held everywhere is not sent to the same few engines.
-    fn add_indexed(&mut self, mark: &Mark, turn: u64) {
+    fn add_indexed_holders(&mut self, checkpoint: &PrefixCheckpoint, turn: u64) {
         let turn = (turn % 64) as u32;
-        let mut bits = self.placement.index.holders(mark.digest).rotate_right(turn);
-        while bits != 0 && self.found.len() < MOST_HELD {
+        let mut bits = self
+            .placement
+            .index
+            .holders(checkpoint.digest)
+            .rotate_right(turn);
+        while bits != 0 && self.found.len() < MAX_HOLDER_CANDIDATES {
             let slot = ((bits.trailing_zeros() + turn) % 64) as usize;
             bits &= bits - 1;
             if self.eligible(slot) {
-                self.add_held(slot, mark.depth_blocks, 0);
+                self.add_holder(slot, checkpoint.depth_blocks, 0);
             }
         }
     }
 
-    fn add_held(&mut self, slot: usize, depth_blocks: usize, age_ms: u64) {
+    fn add_holder(&mut self, slot: usize, depth_blocks: usize, age_ms: u64) {
         self.add(Candidate {
             slot,
             held_blocks: depth_blocks,
@@ -159,27 +163,27 @@
 
     /// Adds homes of the prompt's levels. A level is a mark from which on the
     /// prefix is shared by more load, so that it has more homes.
-    fn add_homes(&mut self, marks: &[Mark], draw: u64, now_ms: u64) {
+    fn add_homes(&mut self, checkpoints: &[PrefixCheckpoint], draw: u64, now_ms: u64) {
         let mut levels = 0;
-        let mut homes_below = 0;
-        let mut deeper = marks.last().map_or(draw, |m| m.digest);
-        for (at, mark) in marks.iter().enumerate().rev() {
-            let prefix = self.placement.table.get(mark.digest);
+        let mut deeper_homes = 0;
+        let mut deeper_digest = checkpoints.last().map_or(draw, |c| c.digest);
+        for (at, checkpoint) in checkpoints.iter().enumerate().rev() {
+            let prefix = self.placement.table.get(checkpoint.digest);
             if prefix.is_none() && at > 0 {
                 continue;
             }
             if prefix.is_none() {
-                self.add_cold_home(mark);
+                self.add_unseen_home(checkpoint);
                 return;
             }
             let load = prefix.map_or(0.0, |p| p.load(now_ms));
             let homes = self.homes(load);
-            if homes > homes_below && levels < MOST_LEVELS {
-                self.add_home(mark, deeper % homes);
-                self.add_home(mark, draw % homes);
-                homes_below = homes;
+            if homes > deeper_homes && levels < MAX_HOME_LEVELS {
+                self.add_home(checkpoint, deeper_digest % homes);
+                self.add_home(checkpoint, draw % homes);
+                deeper_homes = homes;
                 levels += 1;
-                deeper = mark.digest;
+                deeper_digest = checkpoint.digest;
             }
         }
     }
@@ -188,27 +192,27 @@
     /// instance sees stands for that of the others.
     fn homes(&self, load: f64) -> u64 {
         let settings = &self.placement.settings;
-        let whole = load * f64::from(settings.instances) / settings.home_load;
-        (1 + whole as u64).min(u64::from(settings.most_homes))
+        let extra_homes = load * f64::from(settings.instances) / settings.home_load;
+        (1 + extra_homes as u64).min(u64::from(settings.max_homes))
     }
 
     /// Adds the home of a prompt that this instance never saw. Other instances
     /// may have, and have sent it there; where they have not, the next one
     /// shall find it there.
-    fn add_cold_home(&mut self, mark: &Mark) {
-        let key = mix(mark.digest, 0);
+    fn add_unseen_home(&mut self, checkpoint: &PrefixCheckpoint) {
+        let key = mix(checkpoint.digest, 0);
         if let Some(slot) = self.model.ring.find(key, |slot| self.eligible(slot)) {
             self.add(Candidate {
                 slot,
                 held_blocks: 0,
-                expected_blocks: self.ask.chain.len() as f64 * COLD_BELIEF,
+                expected_blocks: self.request.chain.len() as f64 * UNSEEN_HOME_HIT_SHARE,
                 age_ms: 0,
             });
         }
     }
 
-    fn add_home(&mut self, mark: &Mark, home: u64) {
-        let key = mix(mark.digest, home);
+    fn add_home(&mut self, checkpoint: &PrefixCheckpoint, home: u64) {
+        let key = mix(checkpoint.digest, home);
         let Some(slot) = self.model.ring.find(key, |slot| self.eligible(slot)) else {
             return;
         };
@@ -216,7 +220,7 @@
         let expected_blocks = if synced {
             0.0
         } else {
-            mark.depth_blocks as f64 * HOME_BELIEF
+            checkpoint.depth_blocks as f64 * HOME_HIT_SHARE
         };
         self.add(Candidate {
             slot,
@@ -228,7 +232,7 @@
 
     fn add_random(&mut self, draw: u64) {
         let slots = &self.model.slots;
-        let slot = (0..slots.len().min(RANDOM_STEPS))
+        let slot = (0..slots.len().min(MAX_RANDOM_STEPS))
             .map(|step| slots[(draw as usize).wrapping_add(step) % slots.len()])
             .find(|slot| !self.is_found(*slot) && self.eligible(*slot));
         if let Some(slot) = slot {
--- a/crates/core/src/placement/marks.rs
+++ b/crates/core/src/placement/checkpoints.rs
@@ -1,11 +1,11 @@
 /// Marks in each doubling of depth. With 4, a shared prefix is recognised up
 /// to at least four fifths of its length, and a prompt of 500 blocks has 31
 /// marks.
-const MARKS_AN_OCTAVE: usize = 4;
+const CHECKPOINTS_PER_OCTAVE: usize = 4;
 
 /// A depth of a prompt at which prefixes are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Mark {
+pub struct PrefixCheckpoint {
     /// Blocks from the head of the prompt.
     pub depth_blocks: usize,
     /// Chained digest of the block at that depth.
@@ -17,11 +17,11 @@
 /// Nobody tells the router where a handbook ends and a course begins. Depths
 /// that grow by a constant factor meet every level without being told, and
 /// keep the work of a decision logarithmic in the prompt.
-pub fn marks(chain: &[u64]) -> Vec<Mark> {
+pub fn prefix_checkpoints(chain: &[u64]) -> Vec<PrefixCheckpoint> {
     let mut found = Vec::new();
     let mut depth_blocks = 1;
     while depth_blocks <= chain.len() {
-        found.push(Mark {
+        found.push(PrefixCheckpoint {
             depth_blocks,
             digest: chain[depth_blocks - 1],
         });
@@ -32,5 +32,5 @@
 
 fn next_depth(depth_blocks: usize) -> usize {
     let octave = 1 << depth_blocks.ilog2();
-    depth_blocks + (octave / MARKS_AN_OCTAVE).max(1)
+    depth_blocks + (octave / CHECKPOINTS_PER_OCTAVE).max(1)
 }
--- a/crates/core/src/placement/ask.rs
+++ b/crates/core/src/placement/choice.rs
@@ -2,7 +2,7 @@
 
 /// What a request asks of placement.
 #[derive(Clone, Copy)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// Model.
     pub model: &'a str,
     /// Weights version that the chain was made for.
@@ -12,13 +12,13 @@
     pub chain: &'a [u64],
     /// Blocks at the head of the prompt that the store of kept pieces is
     /// known to hold.
-    pub kept_blocks: usize,
+    pub kv_store_blocks: usize,
     /// Engines that must not be used: those that an earlier attempt tried,
     /// or that run another suspect of a crash.
     pub avoid: &'a HashSet<String>,
     /// Tells whether an engine may get one more request, by its breaker and
     /// its limit. It is asked for the candidates alone.
-    pub fit: &'a dyn Fn(&str) -> bool,
+    pub is_usable: &'a dyn Fn(&str) -> bool,
     /// Time that the request has waited for its turn.
     pub waited_ms: u64,
     /// Requests that wait in this instance.
@@ -35,13 +35,13 @@
     /// Start of the engine that the decision counts on.
     pub incarnation: u64,
     /// Blocks that it is believed to hold.
-    pub believed_blocks: usize,
+    pub held_blocks: usize,
     /// Blocks to import from the store of kept pieces, behind those held.
     pub import_blocks: usize,
     /// Expected time to first token.
     pub expected_ms: f64,
     /// Engines that were weighed.
-    pub weighed: usize,
+    pub candidate_count: usize,
     pub(super) slot: usize,
     pub(super) generation: u32,
     pub(super) prefill_ms: f64,
@@ -49,7 +49,7 @@
     pub(super) cost_ms: f64,
     /// Expected time to first token if the engine is as fast as the others.
     pub(super) nominal_ms: f64,
-    pub(super) believed_age_ms: u64,
+    pub(super) held_age_ms: u64,
     pub(super) sent_ms: u64,
     pub(super) first_token: bool,
 }
--- a/crates/core/src/placement/decide.rs
+++ b/crates/core/src/placement/decide.rs
@@ -1,10 +1,10 @@
 use {
     super::{
-        Ask, Choice, EngineSpec, PlacementSettings,
-        block_index::{BlockIndex, MOST_INDEXED},
+        Choice, EngineSpec, PlacementRequest, PlacementSettings,
+        block_index::{BlockIndex, MAX_INDEXED_ENGINES},
         candidates::{Candidate, Candidates},
-        fleet::FleetFacts,
-        marks,
+        fleet::Fleet,
+        prefix_checkpoints,
         prefix_table::{Holder, PrefixTable},
     },
     crate::engine::{CacheEvents, EngineState},
@@ -16,17 +16,17 @@
 const MEAN_WEIGHT: f64 = 0.05;
 
 /// Time that a request holds a slot, before answers tell.
-const FIRST_SERVICE_MS: f64 = 1_000.0;
+const INITIAL_SERVICE_MS: f64 = 1_000.0;
 
 /// Prefill of a request, before answers tell.
-const FIRST_PREFILL_MS: f64 = 50.0;
+const INITIAL_PREFILL_MS: f64 = 50.0;
 
 /// Expectations that differ by less count as equal.
-const GRAIN_MS: f64 = 5.0;
+const COST_STEP_MS: f64 = 5.0;
 
 /// Requests that a prefill holds up where none waits. Fewer would compute more
 /// blocks again for the same time to first token; see docs/policy.md.
-const RUNNING_HELD_UP: f64 = 3.0;
+const DELAYED_RUNNING_REQUESTS: f64 = 3.0;
 
 const US_PER_MS: f64 = 1_000.0;
 
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct Placement {
     pub(super) settings: PlacementSettings,
-    pub(super) fleet: FleetFacts,
+    pub(super) fleet: Fleet,
     pub(super) table: PrefixTable,
     pub(super) index: BlockIndex,
     pub(super) rng: SmallRng,
@@ -52,12 +52,12 @@
     /// Returns a placement that knows no engine yet.
     pub fn new(settings: PlacementSettings, seed: u64) -> Placement {
         Placement {
-            fleet: FleetFacts::default(),
+            fleet: Fleet::default(),
             table: PrefixTable::new(settings.table_entries),
             index: BlockIndex::default(),
             rng: SmallRng::seed_from_u64(seed),
-            service_ms: FIRST_SERVICE_MS,
-            prefill_ms: FIRST_PREFILL_MS,
+            service_ms: INITIAL_SERVICE_MS,
+            prefill_ms: INITIAL_PREFILL_MS,
             sent: 0,
             settings,
         }
@@ -66,7 +66,7 @@
     /// Takes the engines of the records in force.
     pub fn set_engines(&mut self, specs: &[EngineSpec]) {
         for slot in self.fleet.set(specs) {
-            self.index.forget(slot);
+            self.index.remove_engine(slot);
         }
     }
 
@@ -78,16 +78,17 @@
     /// Takes an engine's report; none where it did not answer.
     pub fn report(&mut self, engine: &str, state: Option<&EngineState>) {
         if let Some(slot) = self.fleet.report(engine, state) {
-            self.index.forget(slot);
+            self.index.remove_engine(slot);
         }
     }
 
     /// Returns the sequence number from which an engine's cache events are
     /// to be read; none where the fleet is too large to read any.
-    pub fn events_from(&self, engine: &str) -> Option<u64> {
-        let most = self.settings.full_events_engines.min(MOST_INDEXED);
+    pub fn next_event_sequence(&self, engine: &str) -> Option<u64> {
+        let max_engines = self.settings.full_events_engines.min(MAX_INDEXED_ENGINES);
         let slot = self.fleet.slot(engine)?;
-        (self.fleet.len() <= most && slot < MOST_INDEXED).then(|| self.index.next_sequence(slot))
+        (self.fleet.len() <= max_engines && slot < MAX_INDEXED_ENGINES)
+            .then(|| self.index.next_sequence(slot))
     }
 
     /// Takes cache events of an engine. Those of another start than the one
@@ -98,7 +99,7 @@
         };
         let state = self.fleet.get(slot).state.as_ref();
         if let Some(incarnation) = state.map(|s| s.incarnation) {
-            self.index.take(slot, incarnation, events);
+            self.index.apply_events(slot, incarnation, events);
         }
     }
 
@@ -126,32 +127,33 @@
     /// compute the prompt again there and take the time from others, which
     /// makes the engines fuller still. So it waits for a better engine as long
     /// as that engine is better by, and then takes what is free.
-    pub fn choose(&mut self, ask: &Ask<'_>, now_ms: u64) -> Option<Choice> {
-        let marks = marks(ask.chain);
-        let candidates = Candidates::gather(self, ask, &marks, now_ms);
-        let weighed: Vec<Choice> = candidates
+    pub fn choose(&mut self, request: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
+        let checkpoints = prefix_checkpoints(request.chain);
+        let candidates = Candidates::collect(self, request, &checkpoints, now_ms);
+        let choices: Vec<Choice> = candidates
             .iter()
-            .map(|c| self.weigh(ask, c, now_ms))
+            .map(|c| self.evaluate(request, c, now_ms))
             .collect();
-        let best = weighed.iter().min_by(|a, b| self.compare(a, b))?;
-        if ask.force || self.has_room(best) {
-            return Some(self.chosen(best, weighed.len()));
+        let best = choices.iter().min_by(|a, b| self.compare(a, b))?;
+        if request.force || self.has_room(best) {
+            return Some(self.with_candidate_count(best, choices.len()));
         }
-        let free = weighed
+        let free = choices
             .iter()
             .filter(|choice| self.has_room(choice))
             .min_by(|a, b| self.compare(a, b))?;
         let worse_by_ms = free.cost_ms - best.cost_ms;
-        (worse_by_ms <= ask.waited_ms as f64).then(|| self.chosen(free, weighed.len()))
+        (worse_by_ms <= request.waited_ms as f64)
+            .then(|| self.with_candidate_count(free, choices.len()))
     }
 
     /// Returns how many requests wait for each engine, those of the other
     /// instances estimated from its own. A prefill holds each of them up, so
     /// computing a prompt anew costs the more the fuller the fleet is; without
     /// this, misses under overload take the capacity that would end it.
-    fn pressure(&self, ask: &Ask<'_>) -> f64 {
-        let engines = self.fleet.model(ask.model).map_or(1, |m| m.slots.len());
-        let queued = ask.queued as f64 * f64::from(self.settings.instances);
+    fn queued_per_engine(&self, request: &PlacementRequest<'_>) -> f64 {
+        let engines = self.fleet.model(request.model).map_or(1, |m| m.slots.len());
+        let queued = request.queued as f64 * f64::from(self.settings.instances);
         queued / engines.max(1) as f64
     }
 
@@ -161,9 +163,9 @@
         engine.has_room(settings.instances, settings.queue_ahead)
     }
 
-    fn chosen(&self, choice: &Choice, weighed: usize) -> Choice {
+    fn with_candidate_count(&self, choice: &Choice, candidate_count: usize) -> Choice {
         Choice {
-            weighed,
+            candidate_count,
             ..choice.clone()
         }
     }
@@ -172,45 +174,53 @@
     /// engine that was not chosen for longer is better: estimates that differ
     /// by noise must not gather the work on one engine.
     fn compare(&self, a: &Choice, b: &Choice) -> Ordering {
-        let grains = |choice: &Choice| (choice.cost_ms / GRAIN_MS).floor();
+        let cost_steps = |choice: &Choice| (choice.cost_ms / COST_STEP_MS).floor();
         let last_sent = |choice: &Choice| self.fleet.get(choice.slot).last_sent;
-        grains(a)
-            .total_cmp(&grains(b))
+        cost_steps(a)
+            .total_cmp(&cost_steps(b))
             .then(last_sent(a).cmp(&last_sent(b)))
     }
 
-    fn weigh(&self, ask: &Ask<'_>, candidate: &Candidate, now_ms: u64) -> Choice {
+    fn evaluate(
+        &self,
+        request: &PlacementRequest<'_>,
+        candidate: &Candidate,
+        now_ms: u64,
+    ) -> Choice {
         let engine = self.fleet.get(candidate.slot);
-        let (prefill_ms, imports) = self.prefill_ms(ask, candidate.expected_blocks);
+        let (prefill_ms, imports) = self.prefill_ms(request, candidate.expected_blocks);
         // What is only expected to be there is imported all the same: the
         // engine skips what it finds.
         let import_blocks = if imports {
-            ask.kept_blocks.saturating_sub(candidate.held_blocks)
+            request
+                .kv_store_blocks
+                .saturating_sub(candidate.held_blocks)
         } else {
             0
         };
         let wait_ms = engine.wait_ms(self.service_ms, self.prefill_ms);
-        let distance_ms = if engine.spec.near {
+        let distance_ms = if engine.spec.in_same_domain {
             0.0
         } else {
             self.settings.other_domain_ms
         };
         let nominal_ms = self.settings.base_ms + wait_ms + prefill_ms;
         let expected_ms = distance_ms + engine.slowness(now_ms) * nominal_ms;
-        let held_up = RUNNING_HELD_UP + self.pressure(ask) * engine.fullness();
+        let delayed_requests =
+            DELAYED_RUNNING_REQUESTS + self.queued_per_engine(request) * engine.fullness();
         Choice {
             engine: engine.spec.name.clone(),
             incarnation: engine.state.as_ref().map_or(0, |s| s.incarnation),
-            believed_blocks: candidate.held_blocks,
+            held_blocks: candidate.held_blocks,
             import_blocks,
             expected_ms,
-            cost_ms: expected_ms + prefill_ms * held_up,
-            weighed: 0,
+            cost_ms: expected_ms + prefill_ms * delayed_requests,
+            candidate_count: 0,
             slot: candidate.slot,
             generation: engine.generation,
             prefill_ms,
             nominal_ms,
-            believed_age_ms: candidate.age_ms,
+            held_age_ms: candidate.age_ms,
             sent_ms: now_ms,
             first_token: false,
         }
@@ -218,10 +228,10 @@
 
     /// Returns the expected time of the prefill, and whether blocks are to be
     /// imported for it.
-    fn prefill_ms(&self, ask: &Ask<'_>, held_blocks: f64) -> (f64, bool) {
+    fn prefill_ms(&self, request: &PlacementRequest<'_>, held_blocks: f64) -> (f64, bool) {
         let settings = &self.settings;
-        let blocks = ask.chain.len() as f64;
-        let importable = (ask.kept_blocks as f64 - held_blocks).max(0.0);
+        let blocks = request.chain.len() as f64;
+        let importable = (request.kv_store_blocks as f64 - held_blocks).max(0.0);
         let import_us = settings.import_us.filter(|us| *us < settings.miss_us);
         let imported = import_us.map_or(0.0, |_| importable);
         let missed = (blocks - held_blocks - imported).max(0.0);
@@ -248,9 +258,9 @@
             generation: choice.generation,
             used_ms: now_ms,
         };
-        for mark in marks(chain) {
-            self.table.add_load(mark.digest, cost_ms, now_ms);
-            self.table.hold(mark.digest, holder);
+        for checkpoint in prefix_checkpoints(chain) {
+            self.table.add_load(checkpoint.digest, cost_ms, now_ms);
+            self.table.add_holder(checkpoint.digest, holder);
         }
     }
 
@@ -263,8 +273,8 @@
         let seen_ms = now_ms.saturating_sub(choice.sent_ms) as f64;
         self.prefill_ms += (choice.prefill_ms - self.prefill_ms) * MEAN_WEIGHT;
         let engine = self.fleet.get_mut(choice.slot);
-        engine.prefilled(choice.prefill_ms);
-        engine.observe(choice.nominal_ms, seen_ms, now_ms);
+        engine.prefill_finished(choice.prefill_ms);
+        engine.observe_first_token(choice.nominal_ms, seen_ms, now_ms);
     }
 
     /// Notes that an attempt ended, and what the engine found in its cache if
@@ -278,14 +288,14 @@
         engine.in_flight = engine.in_flight.saturating_sub(1);
         engine.since_report -= 1;
         if !choice.first_token {
-            engine.prefilled(choice.prefill_ms);
+            engine.prefill_finished(choice.prefill_ms);
         }
         let Some(cached_blocks) = cached_blocks else {
             return;
         };
-        if choice.believed_blocks > 0 {
-            let found = cached_blocks >= choice.believed_blocks;
-            engine.learn_keep(choice.believed_age_ms, found);
+        if choice.held_blocks > 0 {
+            let found = cached_blocks >= choice.held_blocks;
+            engine.observe_retention(choice.held_age_ms, found);
         }
         let service_ms = now_ms.saturating_sub(choice.sent_ms) as f64;
         self.service_ms += (service_ms - self.service_ms) * MEAN_WEIGHT;
--- a/crates/core/src/placement/fleet.rs
+++ b/crates/core/src/placement/fleet.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        engine::{EngineFacts, EngineSpec},
         ring::Ring,
+        tracked_engine::{EngineSpec, TrackedEngine},
     },
     crate::engine::EngineState,
     std::collections::HashMap,
@@ -17,13 +17,13 @@
 
 /// Every engine, by a slot that stays the same while its record stays.
 #[derive(Debug, Default)]
-pub(super) struct FleetFacts {
-    engines: Vec<EngineFacts>,
+pub(super) struct Fleet {
+    engines: Vec<TrackedEngine>,
     by_name: HashMap<String, usize>,
     models: HashMap<String, ModelEngines>,
 }
 
-impl FleetFacts {
+impl Fleet {
     /// Takes the engines of the records in force. What is known of engines
     /// that stay is kept. Returns the slots that changed hands.
     pub(super) fn set(&mut self, specs: &[EngineSpec]) -> Vec<usize> {
@@ -41,22 +41,22 @@
         for spec in specs {
             match self.by_name.get(&spec.name) {
                 Some(slot) => self.engines[*slot].spec = spec.clone(),
-                None => self.place_new(spec, free.pop()),
+                None => self.insert_new(spec, free.pop()),
             }
         }
         self.rebuild();
         freed
     }
 
-    fn place_new(&mut self, spec: &EngineSpec, free: Option<usize>) {
+    fn insert_new(&mut self, spec: &EngineSpec, free: Option<usize>) {
         let slot = match free {
             Some(slot) => {
                 let generation = self.engines[slot].generation + 1;
-                self.engines[slot] = EngineFacts::new(spec.clone(), generation);
+                self.engines[slot] = TrackedEngine::new(spec.clone(), generation);
                 slot
             }
             None => {
-                self.engines.push(EngineFacts::new(spec.clone(), 0));
+                self.engines.push(TrackedEngine::new(spec.clone(), 0));
                 self.engines.len() - 1
             }
         };
@@ -93,7 +93,7 @@
         let restarted = match state {
             Some(state) => engine.report(state),
             None => {
-                engine.unreached();
+                engine.mark_unreachable();
                 false
             }
         };
@@ -137,11 +137,11 @@
         self.models.get(model)
     }
 
-    pub(super) fn get(&self, slot: usize) -> &EngineFacts {
+    pub(super) fn get(&self, slot: usize) -> &TrackedEngine {
         &self.engines[slot]
     }
 
-    pub(super) fn get_mut(&mut self, slot: usize) -> &mut EngineFacts {
+    pub(super) fn get_mut(&mut self, slot: usize) -> &mut TrackedEngine {
         &mut self.engines[slot]
     }
 
@@ -161,7 +161,7 @@
             .iter()
             .map(|slot| &self.engines[*slot])
             .filter(|e| e.state.is_some())
-            .map(EngineFacts::slots)
+            .map(TrackedEngine::slots)
             .sum()
     }
 }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -8,23 +8,23 @@
 //! prefix, homes that every instance computes alike, and two random ones. See
 //! docs/placement.md for the ways weighed and the measurements.
 
-mod ask;
 mod block_index;
 mod blocks;
 mod candidates;
+mod checkpoints;
+mod choice;
 mod decide;
-mod engine;
 mod fleet;
-mod marks;
 mod prefix_table;
 mod ring;
 mod settings;
+mod tracked_engine;
 
 pub use {
-    ask::{Ask, Choice},
-    blocks::{BLOCK_BYTES, TOKEN_BYTES, block_chain, tokens_of},
+    blocks::{BLOCK_BYTES, TOKEN_BYTES, block_chain, estimate_tokens},
+    checkpoints::{PrefixCheckpoint, prefix_checkpoints},
+    choice::{Choice, PlacementRequest},
     decide::Placement,
-    engine::EngineSpec,
-    marks::{Mark, marks},
     settings::PlacementSettings,
+    tracked_engine::EngineSpec,
 };
--- a/crates/core/src/placement/prefix_table.rs
+++ b/crates/core/src/placement/prefix_table.rs
@@ -1,7 +1,7 @@
 use std::collections::HashMap;
 
 /// Engines noted as holders of one prefix.
-const MOST_HOLDERS: usize = 6;
+const MAX_HOLDERS: usize = 6;
 
 /// Time over which the load of a prefix is averaged. Hot prefixes shift
 /// within seconds; a shorter time would follow single requests.
@@ -73,10 +73,10 @@
     }
 
     /// Notes that an engine holds a prefix.
-    pub(super) fn hold(&mut self, digest: u64, holder: Holder) {
+    pub(super) fn add_holder(&mut self, digest: u64, holder: Holder) {
         let holders = &mut self.entry(digest).holders;
         holders.retain(|h| h.slot != holder.slot);
-        if holders.len() >= MOST_HOLDERS {
+        if holders.len() >= MAX_HOLDERS {
             holders.remove(0);
         }
         holders.push(holder);
--- a/crates/core/src/placement/ring.rs
+++ b/crates/core/src/placement/ring.rs
@@ -1,9 +1,9 @@
 /// Points of one engine on the ring. With 64, the share of one engine among
 /// 18 lies within about an eighth of the mean.
-const POINTS_AN_ENGINE: u64 = 64;
+const POINTS_PER_ENGINE: u64 = 64;
 
 /// Steps along the ring before a search for an eligible engine gives up.
-const MOST_STEPS: usize = 32;
+const MAX_STEPS: usize = 32;
 
 /// Consistent hashing over engines.
 ///
@@ -21,7 +21,7 @@
         let mut points: Vec<(u64, usize)> = engines
             .flat_map(|(name, slot)| {
                 let base = hash_name(name);
-                (0..POINTS_AN_ENGINE).map(move |i| (mix(base, i), slot))
+                (0..POINTS_PER_ENGINE).map(move |i| (mix(base, i), slot))
             })
             .collect();
         points.sort_unstable();
@@ -32,7 +32,7 @@
     pub(super) fn find(&self, key: u64, eligible: impl Fn(usize) -> bool) -> Option<usize> {
         let from = self.points.partition_point(|(point, _)| *point < key);
         let len = self.points.len();
-        (0..len.min(MOST_STEPS))
+        (0..len.min(MAX_STEPS))
             .map(|step| self.points[(from + step) % len].1)
             .find(|slot| eligible(*slot))
     }
--- a/crates/core/src/placement/settings.rs
+++ b/crates/core/src/placement/settings.rs
@@ -16,7 +16,7 @@
     /// Number of instances that share the engines.
     pub instances: u32,
     /// Most homes that one prefix spreads over.
-    pub most_homes: u32,
+    pub max_homes: u32,
     /// Share of an engine's prefill time that one prefix may ask for before
     /// it gets a further home.
     pub home_load: f64,
@@ -38,7 +38,7 @@
             base_ms: 5.0,
             other_domain_ms: 2.0,
             instances: 1,
-            most_homes: 64,
+            max_homes: 64,
             home_load: 0.35,
             table_entries: 16_384,
             full_events_engines: 32,
--- a/crates/core/src/placement/engine.rs
+++ b/crates/core/src/placement/tracked_engine.rs
@@ -1,7 +1,7 @@
 use crate::engine::EngineState;
 
 /// Starts of an engine that are remembered as over.
-const RETIRED_STARTS: usize = 4;
+const MAX_RETIRED_INCARNATIONS: usize = 4;
 
 /// Weight of one observation in the slowness of an engine that gets slower.
 const SLOWER_WEIGHT: f64 = 0.4;
@@ -11,29 +11,29 @@
 
 /// Time after which half of an engine's slowness is forgiven, so that an
 /// engine without work is tried again.
-const FORGIVE_MS: f64 = 4_000.0;
+const SLOWNESS_HALF_LIFE_MS: f64 = 4_000.0;
 
 /// Most that slowness multiplies.
-const MOST_SLOWNESS: f64 = 50.0;
+const MAX_SLOWNESS: f64 = 50.0;
 
 /// Slots of an engine for each request that may wait inside it. With many
 /// slots one is free soon; with few, the request would wait there for long,
 /// where neither a fairer turn nor a withdrawn key can stop it.
-const SLOTS_FOR_ONE_AHEAD: u32 = 8;
+const SLOTS_PER_QUEUED_REQUEST: u32 = 8;
 
 /// Share of used slots below which an engine has slots to spare.
-const SPARE_BELOW: f64 = 0.7;
+const SPARE_SLOTS_BELOW: f64 = 0.7;
 
 /// Shortest time to first token that an observation is compared with: below
 /// it the jitter of a network would count as slowness.
-const LEAST_EXPECTED_MS: f64 = 20.0;
+const MIN_EXPECTED_MS: f64 = 20.0;
 
 /// Longest time for which an engine is believed to keep what it computed,
 /// before its answers tell.
-const KEEP_MS: f64 = 30_000.0;
+const MAX_RETENTION_MS: f64 = 30_000.0;
 
 /// Shortest time for which a belief holds.
-const LEAST_KEEP_MS: f64 = 500.0;
+const MIN_RETENTION_MS: f64 = 500.0;
 
 /// How an engine is named and where it stands.
 #[derive(Debug, Clone, PartialEq)]
@@ -43,14 +43,14 @@
     /// Model of the record.
     pub model: String,
     /// Whether it stands in the instance's failure domain.
-    pub near: bool,
+    pub in_same_domain: bool,
     /// Whether it gets no new work.
     pub departing: bool,
 }
 
 /// What an instance knows of one engine.
 #[derive(Debug, Clone)]
-pub(super) struct EngineFacts {
+pub(super) struct TrackedEngine {
     pub(super) spec: EngineSpec,
     pub(super) generation: u32,
     pub(super) state: Option<EngineState>,
@@ -69,12 +69,12 @@
     retired: Vec<u64>,
     slowness: f64,
     slowness_ms: u64,
-    keep_ms: f64,
+    retention_ms: f64,
 }
 
-impl EngineFacts {
-    pub(super) fn new(spec: EngineSpec, generation: u32) -> EngineFacts {
-        EngineFacts {
+impl TrackedEngine {
+    pub(super) fn new(spec: EngineSpec, generation: u32) -> TrackedEngine {
+        TrackedEngine {
             spec,
             generation,
             state: None,
@@ -87,7 +87,7 @@
             retired: Vec::new(),
             slowness: 1.0,
             slowness_ms: 0,
-            keep_ms: KEEP_MS,
+            retention_ms: MAX_RETENTION_MS,
         }
     }
 
@@ -110,18 +110,18 @@
     }
 
     fn retire(&mut self, incarnation: u64) {
-        if self.retired.len() >= RETIRED_STARTS {
+        if self.retired.len() >= MAX_RETIRED_INCARNATIONS {
             self.retired.remove(0);
         }
         self.retired.push(incarnation);
         self.generation += 1;
-        self.keep_ms = KEEP_MS;
+        self.retention_ms = MAX_RETENTION_MS;
         self.slowness = 1.0;
     }
 
     /// Notes that the engine did not answer. Its start is kept in mind, so
     /// that beliefs hold again if the same start answers later.
-    pub(super) fn unreached(&mut self) {
+    pub(super) fn mark_unreachable(&mut self) {
         self.reachable = false;
     }
 
@@ -179,7 +179,7 @@
     /// one with slots to spare a prefill holds up nobody who waits.
     pub(super) fn fullness(&self) -> f64 {
         let used = f64::from(self.occupancy()) / f64::from(self.slots());
-        ((used - SPARE_BELOW) / (1.0 - SPARE_BELOW)).clamp(0.0, 1.0)
+        ((used - SPARE_SLOTS_BELOW) / (1.0 - SPARE_SLOTS_BELOW)).clamp(0.0, 1.0)
     }
 
     /// Returns whether this instance may send one more.
@@ -191,7 +191,7 @@
     /// slots several times over.
     pub(super) fn has_room(&self, instances: u32, ahead: u32) -> bool {
         let share = (self.slots() / instances.max(1)).max(1);
-        let ahead = ahead.min(self.slots() / SLOTS_FOR_ONE_AHEAD);
+        let ahead = ahead.min(self.slots() / SLOTS_PER_QUEUED_REQUEST);
         if self.in_flight < share + ahead {
             return true;
         }
@@ -201,14 +201,14 @@
     }
 
     /// Notes that the prefill of an own attempt is over.
-    pub(super) fn prefilled(&mut self, prefill_ms: f64) {
+    pub(super) fn prefill_finished(&mut self, prefill_ms: f64) {
         self.pending = self.pending.saturating_sub(1);
         self.backlog_ms = (self.backlog_ms - prefill_ms).max(0.0);
     }
 
     /// Learns from the time to first token, against what was expected.
-    pub(super) fn observe(&mut self, expected_ms: f64, seen_ms: f64, now_ms: u64) {
-        let ratio = (seen_ms / expected_ms.max(LEAST_EXPECTED_MS)).clamp(1.0, MOST_SLOWNESS);
+    pub(super) fn observe_first_token(&mut self, expected_ms: f64, seen_ms: f64, now_ms: u64) {
+        let ratio = (seen_ms / expected_ms.max(MIN_EXPECTED_MS)).clamp(1.0, MAX_SLOWNESS);
         let held = self.slowness(now_ms);
         let weight = if ratio > held {
             SLOWER_WEIGHT
@@ -222,24 +222,24 @@
     /// Returns the factor by which the engine is slower than expected.
     pub(super) fn slowness(&self, now_ms: u64) -> f64 {
         let elapsed_ms = now_ms.saturating_sub(self.slowness_ms) as f64;
-        1.0 + (self.slowness - 1.0) * (-elapsed_ms / FORGIVE_MS).exp2()
+        1.0 + (self.slowness - 1.0) * (-elapsed_ms / SLOWNESS_HALF_LIFE_MS).exp2()
     }
 
     /// Returns whether a belief of an age still holds.
-    pub(super) fn keeps(&self, age_ms: u64) -> bool {
-        (age_ms as f64) <= self.keep_ms
+    pub(super) fn retains(&self, age_ms: u64) -> bool {
+        (age_ms as f64) <= self.retention_ms
     }
 
     /// Learns how long the engine keeps what it does not use. Engines evict
     /// what was used longest ago, so one prefix that is gone tells of all
     /// that were used before it.
-    pub(super) fn learn_keep(&mut self, age_ms: u64, found: bool) {
+    pub(super) fn observe_retention(&mut self, age_ms: u64, found: bool) {
         let age_ms = age_ms as f64;
-        self.keep_ms = if found {
-            self.keep_ms.max(age_ms) * 1.02
+        self.retention_ms = if found {
+            self.retention_ms.max(age_ms) * 1.02
         } else {
-            self.keep_ms.min(age_ms)
+            self.retention_ms.min(age_ms)
         }
-        .clamp(LEAST_KEEP_MS, KEEP_MS);
+        .clamp(MIN_RETENTION_MS, MAX_RETENTION_MS);
     }
 }
--- a/crates/core/src/pool/departures.rs
+++ b/crates/core/src/pool/departures.rs
@@ -5,7 +5,7 @@
 };
 
 /// Departures kept for peers and told in one heartbeat, so that it fits a datagram.
-const MOST_TOLD: usize = 64;
+const MAX_REPORTED: usize = 64;
 
 /// One start of an engine that drains or has left the list, or is back there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,29 +53,29 @@
 
 impl Departures {
     /// Notes that the own list lacks an engine from a revision on.
-    pub(super) fn unlist(&mut self, entry: &EngineEntry, revision: u64) {
-        self.see(Departure::of(entry, revision));
+    pub(super) fn record_removal(&mut self, entry: &EngineEntry, revision: u64) {
+        self.record(Departure::of(entry, revision));
     }
 
     /// Notes an entry of the own list. One that drains is a departure, any other
     /// ends those before it.
-    pub(super) fn list(&mut self, entry: &EngineEntry) {
+    pub(super) fn record_entry(&mut self, entry: &EngineEntry) {
         let listed = Departure {
             is_over: !entry.draining,
             ..Departure::of(entry, entry.revision)
         };
         let mut seen = self.seen.iter();
         let before = seen.find(|seen| seen.start == listed.start);
-        let is_news = before.map_or(entry.draining, |before| before.revision < listed.revision);
-        if is_news {
-            self.see(listed);
+        let is_newer = before.map_or(entry.draining, |before| before.revision < listed.revision);
+        if is_newer {
+            self.record(listed);
         }
     }
 
-    fn see(&mut self, departure: Departure) {
+    fn record(&mut self, departure: Departure) {
         self.seen.retain(|seen| seen.start != departure.start);
         self.seen.push_back(departure);
-        if self.seen.len() > MOST_TOLD {
+        if self.seen.len() > MAX_REPORTED {
             self.seen.pop_front();
         }
     }
@@ -115,9 +115,9 @@
     }
 
     /// Forgets what the own list tells by itself, but for some starts.
-    pub(super) fn forget_up_to(&mut self, revision: u64, but_for: &[u32]) {
+    pub(super) fn remove_up_to(&mut self, revision: u64, retained: &[u32]) {
         self.reported.retain(|start, report| {
-            report.departure.revision > revision || but_for.contains(start)
+            report.departure.revision > revision || retained.contains(start)
         });
     }
 
@@ -128,7 +128,7 @@
         let seen = self.seen.iter().rev().copied();
         seen.chain(reported)
             .filter(|departure| departure.revision > revision)
-            .take(MOST_TOLD)
+            .take(MAX_REPORTED)
             .collect()
     }
 }
--- a/crates/core/src/pool/health.rs
+++ b/crates/core/src/pool/health.rs
@@ -27,21 +27,21 @@
 pub struct Health {
     failures: f64,
     updated_ms: u64,
-    silent_in_row: u32,
+    silent_attempts: u32,
     probing_since_ms: Option<u64>,
 }
 
 impl Health {
     /// Notes an answer that is the engine's own and whole.
-    pub fn answered(&mut self, settings: &HealthSettings, now_ms: u64) {
+    pub fn record_answer(&mut self, settings: &HealthSettings, now_ms: u64) {
         self.failures = self.failures(settings, now_ms) * 0.8;
         self.updated_ms = now_ms;
-        self.silent_in_row = 0;
+        self.silent_attempts = 0;
         self.probing_since_ms = None;
     }
 
     /// Notes a failed or broken answer.
-    pub fn failed(&mut self, settings: &HealthSettings, now_ms: u64) {
+    pub fn record_failure(&mut self, settings: &HealthSettings, now_ms: u64) {
         self.failures = self.failures(settings, now_ms) + 1.0;
         self.updated_ms = now_ms;
         self.probing_since_ms = None;
@@ -49,26 +49,26 @@
 
     /// Notes that the engine took no connection, or fell silent. It gets no
     /// request until it takes a connection again.
-    pub fn silent(&mut self, settings: &HealthSettings, now_ms: u64) {
-        self.failed(settings, now_ms);
-        self.silent_in_row += 1;
+    pub fn record_silence(&mut self, settings: &HealthSettings, now_ms: u64) {
+        self.record_failure(settings, now_ms);
+        self.silent_attempts += 1;
     }
 
     /// Notes that a request goes to the engine.
-    pub fn sent(&mut self, settings: &HealthSettings, now_ms: u64) {
-        if self.is_doubtful(settings, now_ms) {
+    pub fn record_sent(&mut self, settings: &HealthSettings, now_ms: u64) {
+        if self.is_suspect(settings, now_ms) {
             self.probing_since_ms = Some(now_ms);
         }
     }
 
     /// Notes that the engine took a connection again.
-    pub fn connected(&mut self) {
-        self.silent_in_row = 0;
+    pub fn record_connection(&mut self) {
+        self.silent_attempts = 0;
     }
 
     /// Returns whether the engine did not answer when last tried.
     pub fn is_silent(&self) -> bool {
-        self.silent_in_row > 0
+        self.silent_attempts > 0
     }
 
     /// Returns the failures, aged.
@@ -78,18 +78,18 @@
     }
 
     /// Returns whether only single requests should go to the engine.
-    pub fn is_doubtful(&self, settings: &HealthSettings, now_ms: u64) -> bool {
-        self.silent_in_row > 0 || self.failures(settings, now_ms) >= settings.suspect_from
+    pub fn is_suspect(&self, settings: &HealthSettings, now_ms: u64) -> bool {
+        self.silent_attempts > 0 || self.failures(settings, now_ms) >= settings.suspect_from
     }
 
     /// Returns whether no request should go to the engine now.
-    pub fn is_barred(&self, settings: &HealthSettings, now_ms: u64) -> bool {
-        if self.silent_in_row > 0 {
+    pub fn is_excluded(&self, settings: &HealthSettings, now_ms: u64) -> bool {
+        if self.silent_attempts > 0 {
             return true;
         }
         let probing = self
             .probing_since_ms
             .is_some_and(|since_ms| now_ms < since_ms + settings.probe_ms);
-        probing && self.is_doubtful(settings, now_ms)
+        probing && self.is_suspect(settings, now_ms)
     }
 }
--- a/crates/core/src/pool/belief.rs
+++ b/crates/core/src/pool/known_engine.rs
@@ -37,7 +37,7 @@
 
 /// Work that is kept away from an engine whose weights are about to change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Steering {
+pub struct WorkPause {
     /// Weights that it will have.
     pub version: u64,
     /// When the note is no longer believed.
@@ -46,7 +46,7 @@
 
 /// All that this instance believes of one engine.
 #[derive(Debug, Clone)]
-pub struct Belief {
+pub struct KnownEngine {
     /// What the engine said of itself.
     pub entry: EngineEntry,
     /// Short hash of its name, under which peers tell of it.
@@ -60,9 +60,9 @@
     /// Weights by model, from lists, answers and orders.
     pub versions: HashMap<String, u64>,
     /// Set while its weights are changed.
-    pub steering: Option<Steering>,
+    pub pause: Option<WorkPause>,
     /// Shared parts that it read, and when they were last used.
-    pub parts_ms: HashMap<u64, u64>,
+    pub cached_parts_ms: HashMap<u64, u64>,
     /// When it told that it is about to leave, in an answer.
     pub leaving_since_ms: Option<u64>,
     /// Since when the list lacks it.
@@ -70,40 +70,40 @@
     /// Until when it is used although the list lacks it.
     pub missing_until_ms: Option<u64>,
     /// When it was last tried whether it takes connections.
-    pub doubted_ms: u64,
+    pub last_probe_ms: u64,
     /// Until when a peer's word that it is silent is believed.
     pub reported_silent_until_ms: u64,
     /// When its last byte came.
-    pub heard_ms: u64,
+    pub last_received_ms: u64,
 }
 
 /// Parts remembered of one engine. Its memory holds a few dozen shared parts;
 /// more would be remembered in vain.
-const MOST_PARTS: usize = 256;
+const MAX_CACHED_PARTS: usize = 256;
 
-impl Belief {
+impl KnownEngine {
     /// Returns the belief of an engine that was just listed.
-    pub fn new(entry: EngineEntry) -> Belief {
+    pub fn new(entry: EngineEntry) -> KnownEngine {
         let versions = entry
             .models
             .iter()
             .map(|model| (model.model.clone(), model.version))
             .collect();
-        Belief {
+        KnownEngine {
             name_hash: short_hash(&entry.incarnation.id),
             entry,
             own: Load::default(),
             others: Load::default(),
             health: Health::default(),
             versions,
-            steering: None,
-            parts_ms: HashMap::new(),
+            pause: None,
+            cached_parts_ms: HashMap::new(),
             leaving_since_ms: None,
             missing_since_ms: None,
             missing_until_ms: None,
-            doubted_ms: 0,
+            last_probe_ms: 0,
             reported_silent_until_ms: 0,
-            heard_ms: 0,
+            last_received_ms: 0,
         }
     }
 
@@ -123,14 +123,13 @@
     pub fn set_version(&mut self, model: &str, version: u64) {
         let before = self.versions.insert(model.to_owned(), version);
         if before.is_some_and(|before| before != version) {
-            self.parts_ms.clear();
+            self.cached_parts_ms.clear();
         }
     }
 
     /// Returns whether work is kept away because weights are changed.
-    pub fn is_steered(&self, now_ms: u64) -> bool {
-        self.steering
-            .is_some_and(|steering| now_ms < steering.until_ms)
+    pub fn is_paused(&self, now_ms: u64) -> bool {
+        self.pause.is_some_and(|pause| now_ms < pause.until_ms)
     }
 
     /// Returns whether the engine takes no connections, as seen here or told
@@ -145,35 +144,35 @@
     /// Whoever orders weights may have no work at a dead engine and learn of it
     /// last; while it kept places for dead ones, the orders to the others would
     /// stand still.
-    pub fn answers(&self, settings: &HealthSettings, now_ms: u64) -> bool {
-        !self.is_silent(now_ms) && !self.health.is_doubtful(settings, now_ms)
+    pub fn is_responsive(&self, settings: &HealthSettings, now_ms: u64) -> bool {
+        !self.is_silent(now_ms) && !self.health.is_suspect(settings, now_ms)
     }
 
     /// Returns whether no request should go there: it is silent here, or a
     /// peer says so and nothing came from it since.
-    pub fn is_barred(&self, settings: &HealthSettings, now_ms: u64) -> bool {
-        now_ms < self.reported_silent_until_ms || self.health.is_barred(settings, now_ms)
+    pub fn is_excluded(&self, settings: &HealthSettings, now_ms: u64) -> bool {
+        now_ms < self.reported_silent_until_ms || self.health.is_excluded(settings, now_ms)
     }
 
     /// Takes a peer's word that the engine is silent, unless it spoke here
     /// just now.
     pub fn report_silent(&mut self, believe_ms: u64, now_ms: u64) {
-        if now_ms >= self.heard_ms + believe_ms {
+        if now_ms >= self.last_received_ms + believe_ms {
             self.reported_silent_until_ms = now_ms + believe_ms;
         }
     }
 
     /// Notes that something came from the engine.
-    pub fn heard(&mut self, now_ms: u64) {
-        self.heard_ms = now_ms;
+    pub fn record_received(&mut self, now_ms: u64) {
+        self.last_received_ms = now_ms;
         self.reported_silent_until_ms = 0;
-        self.health.connected();
+        self.health.record_connection();
     }
 
     /// Keeps work away for a short time, after the engine refused some.
-    pub fn refused(&mut self, pause_ms: u64, now_ms: u64) {
-        if !self.is_steered(now_ms) {
-            self.steering = Some(Steering {
+    pub fn pause_after_refusal(&mut self, pause_ms: u64, now_ms: u64) {
+        if !self.is_paused(now_ms) {
+            self.pause = Some(WorkPause {
                 version: 0,
                 until_ms: now_ms + pause_ms,
             });
@@ -181,19 +180,21 @@
     }
 
     /// Returns whether a shared part is taken to be in the engine's cache.
-    pub fn keeps(&self, part: u64, kept_ms: u64, now_ms: u64) -> bool {
-        let used_ms = self.parts_ms.get(&part);
-        used_ms.is_some_and(|used_ms| now_ms < used_ms + kept_ms)
+    pub fn has_cached(&self, part: u64, retention_ms: u64, now_ms: u64) -> bool {
+        let used_ms = self.cached_parts_ms.get(&part);
+        used_ms.is_some_and(|used_ms| now_ms < used_ms + retention_ms)
     }
 
     /// Notes that the engine has read a shared part.
     pub fn record_part(&mut self, part: u64, now_ms: u64) {
-        if self.parts_ms.len() >= MOST_PARTS && !self.parts_ms.contains_key(&part) {
-            let oldest = self.parts_ms.iter().min_by_key(|(_, ms)| **ms);
+        if self.cached_parts_ms.len() >= MAX_CACHED_PARTS
+            && !self.cached_parts_ms.contains_key(&part)
+        {
+            let oldest = self.cached_parts_ms.iter().min_by_key(|(_, ms)| **ms);
             if let Some((&oldest, _)) = oldest {
-                self.parts_ms.remove(&oldest);
+                self.cached_parts_ms.remove(&oldest);
             }
         }
-        self.parts_ms.insert(part, now_ms);
+        self.cached_parts_ms.insert(part, now_ms);
     }
 }
--- a/crates/core/src/pool/standing.rs
+++ b/crates/core/src/pool/listing_status.rs
@@ -2,7 +2,7 @@
 
 /// What the list of engines and the peers say of whether an engine is there.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub struct ListingStatus {
     /// Revision of the store at which the engine's entry was written.
     pub entry_revision: u64,
     /// Revision up to which the list is known here.
@@ -22,7 +22,7 @@
 /// Why an engine that gets work may have left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[display("{}", self.label())]
-pub enum Doubt {
+pub enum DepartureSuspicion {
     /// The list lacks it; its entry may have lapsed.
     Missing,
     /// A peer reported that it leaves, but its entry is newer.
@@ -31,27 +31,27 @@
     OldList,
 }
 
-impl Doubt {
+impl DepartureSuspicion {
     /// Returns the label under which it is logged and counted.
     pub fn label(self) -> &'static str {
         match self {
-            Doubt::Missing => "missing",
-            Doubt::ReportedLeaving => "reported_leaving",
-            Doubt::OldList => "old_list",
+            DepartureSuspicion::Missing => "missing",
+            DepartureSuspicion::ReportedLeaving => "reported_leaving",
+            DepartureSuspicion::OldList => "old_list",
         }
     }
 }
 
-impl Standing {
+impl ListingStatus {
     /// Returns why the engine may have left, for a list that counts as fresh up
     /// to an age.
-    pub fn doubt(&self, fresh_ms: u64) -> Option<Doubt> {
+    pub fn departure_suspicion(&self, fresh_ms: u64) -> Option<DepartureSuspicion> {
         if self.missing_ms.is_some() {
-            return Some(Doubt::Missing);
+            return Some(DepartureSuspicion::Missing);
         }
         if self.departure.is_some_and(|departure| !departure.is_over) {
-            return Some(Doubt::ReportedLeaving);
+            return Some(DepartureSuspicion::ReportedLeaving);
         }
-        (self.list_age_ms > fresh_ms).then_some(Doubt::OldList)
+        (self.list_age_ms > fresh_ms).then_some(DepartureSuspicion::OldList)
     }
 }
--- a/crates/core/src/pool/mod.rs
+++ b/crates/core/src/pool/mod.rs
@@ -2,31 +2,31 @@
 //! among them.
 
 mod admit;
-mod belief;
+mod cache_source;
 mod choice;
 mod departures;
 mod entry;
 mod health;
-mod kept;
-mod need;
-mod source;
-mod standing;
+mod known_engine;
+mod kv_store;
+mod listing_status;
+mod prompt_length;
+mod requirements;
 mod table;
 mod turnover;
-mod usual;
 
 pub use {
-    admit::{AdmitSettings, ReadRate, refuse},
-    belief::{Belief, Load, Steering},
+    admit::{AdmitSettings, PrefillRate, retry_after_ms},
+    cache_source::{CacheSource, find_cache_source},
     choice::{ChoiceSettings, choose, rendezvous},
     departures::Departure,
     entry::{EngineEntry, Incarnation, ModelVersion},
     health::{Health, HealthSettings},
-    kept::{KeptParts, kept_key},
-    need::{Need, PromptPart},
-    source::{Holder, holder},
-    standing::{Doubt, Standing},
+    known_engine::{KnownEngine, Load, WorkPause},
+    kv_store::{KvStoreContents, kv_store_key},
+    listing_status::{DepartureSuspicion, ListingStatus},
+    prompt_length::MeanPromptLength,
+    requirements::{EngineRequirements, PromptPart},
     table::{EngineTable, short_hash},
     turnover::Turnover,
-    usual::UsualPrompt,
 };
--- a/crates/core/src/pool/usual.rs
+++ b/crates/core/src/pool/prompt_length.rs
@@ -1,18 +1,18 @@
 /// Weight of one new prompt in the mean.
-const SAMPLE: f64 = 0.02;
+const SAMPLE_WEIGHT: f64 = 0.02;
 
 /// The usual length of prompts, learned from those that come.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct UsualPrompt {
+pub struct MeanPromptLength {
     mean_tokens: Option<f64>,
 }
 
-impl UsualPrompt {
+impl MeanPromptLength {
     /// Notes the tokens of a prompt.
-    pub fn note(&mut self, tokens: u64) {
+    pub fn record(&mut self, tokens: u64) {
         let tokens = tokens as f64;
         let mean_tokens = self.mean_tokens.unwrap_or(tokens);
-        self.mean_tokens = Some(mean_tokens + (tokens - mean_tokens) * SAMPLE);
+        self.mean_tokens = Some(mean_tokens + (tokens - mean_tokens) * SAMPLE_WEIGHT);
     }
 
     /// Returns how many engines a prompt may look at, where one of the usual
@@ -22,9 +22,9 @@
     /// of each other. What that costs grows with the prompt: one that is a tenth
     /// as long may look at ten times as many engines, and so finds one that has
     /// no long prompt to read.
-    pub fn looks(&self, sample: usize, tokens: u64) -> usize {
+    pub fn sample_size(&self, sample: usize, tokens: u64) -> usize {
         let mean_tokens = self.mean_tokens.unwrap_or(0.0);
-        let times = mean_tokens / tokens.max(1) as f64;
-        sample.max((sample as f64 * times) as usize)
+        let factor = mean_tokens / tokens.max(1) as f64;
+        sample.max((sample as f64 * factor) as usize)
     }
 }
--- a/crates/core/src/pool/need.rs
+++ b/crates/core/src/pool/requirements.rs
@@ -9,7 +9,7 @@
 
 /// What a request wants of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Need {
+pub struct EngineRequirements {
     /// Service that runs it.
     pub service: String,
     /// Model, for model engines.
@@ -21,12 +21,12 @@
     /// Parts of the prompt in order; the last is the request's own.
     pub parts: Vec<PromptPart>,
     /// Team whose cached parts only it may use, mixed into identities.
-    pub wall: u64,
+    pub isolation_salt: u64,
     /// Failure domain of this instance.
     pub domain: String,
 }
 
-impl Need {
+impl EngineRequirements {
     /// Returns the identity of the longest part that other requests share.
     pub fn shared_part(&self) -> Option<u64> {
         self.shared_parts().next().map(|(part, _)| part)
@@ -39,7 +39,7 @@
         (0..shared).rev().map(|last| {
             let parts = &self.parts[..=last];
             let tokens = parts.iter().map(|part| u64::from(part.tokens)).sum();
-            (self.parts[last].id ^ self.wall, tokens)
+            (self.parts[last].id ^ self.isolation_salt, tokens)
         })
     }
 
--- a/crates/core/src/pool/turnover.rs
+++ b/crates/core/src/pool/turnover.rs
@@ -1,8 +1,8 @@
 use crate::demand::Demand;
 
 /// Bounds on the time for which an engine is taken to keep a part.
-const LEAST_KEPT_MS: f64 = 1_000.0;
-const MOST_KEPT_MS: f64 = 30_000.0;
+const MIN_RETENTION_MS: f64 = 1_000.0;
+const MAX_RETENTION_MS: f64 = 30_000.0;
 
 /// How fast engines' memory fills with what this instance sends, from which
 /// follows how long they keep a part that nobody uses.
@@ -13,7 +13,7 @@
 
 impl Turnover {
     /// Notes tokens that an engine has to take into its memory.
-    pub fn sent(&mut self, tokens: u64, now_ms: u64) {
+    pub fn record_sent(&mut self, tokens: u64, now_ms: u64) {
         self.sent.add(tokens as f64, now_ms);
     }
 
@@ -25,7 +25,7 @@
     /// filled once with other tokens. With one fixed time a deployment with
     /// larger memories or less traffic would read again what it still has, and
     /// one with smaller ones would send prompts to engines that have lost them.
-    pub fn kept_ms(
+    pub fn retention_ms(
         &self,
         memory_tokens: u64,
         engines: usize,
@@ -35,6 +35,6 @@
         let all_per_s = self.sent.at(now_ms) * instances as f64;
         let engine_per_s = all_per_s / engines.max(1) as f64;
         let filled_ms = memory_tokens as f64 * 1_000.0 / engine_per_s.max(1.0);
-        filled_ms.clamp(LEAST_KEPT_MS, MOST_KEPT_MS) as u64
+        filled_ms.clamp(MIN_RETENTION_MS, MAX_RETENTION_MS) as u64
     }
 }
--- a/crates/core/tests/departures.rs
+++ b/crates/core/tests/departures.rs
@@ -37,21 +37,21 @@
 /// Lets a table read one change of the list.
 fn read(table: &mut EngineTable, engine: &str, state: State, revision: u64) {
     match state {
-        State::Ready => drop(table.list(entry(engine, revision, false))),
-        State::Draining => drop(table.list(entry(engine, revision, true))),
-        State::Gone => drop(table.unlist(engine, revision, None, 0)),
+        State::Ready => drop(table.apply_entry(entry(engine, revision, false))),
+        State::Draining => drop(table.apply_entry(entry(engine, revision, true))),
+        State::Gone => drop(table.remove_entry(engine, revision, None, 0)),
     }
-    table.listed_up_to(revision, 0);
+    table.set_list_revision(revision, 0);
 }
 
-fn tell(teller: &EngineTable, hearer: &mut EngineTable, now_ms: u64) {
-    let departures = teller.departures(hearer.known_revision());
-    hearer.merge_departures("teller", &departures, now_ms);
+fn send_departures(sender: &EngineTable, receiver: &mut EngineTable, now_ms: u64) {
+    let departures = sender.departures(receiver.known_revision());
+    receiver.merge_departures("sender", &departures, now_ms);
 }
 
 fn is_used(table: &EngineTable, engine: &str, now_ms: u64) -> bool {
-    let mut takers = table.takers("llm", now_ms);
-    takers.any(|belief| belief.entry.incarnation.id == engine)
+    let mut accepting = table.accepting_engines("llm", now_ms);
+    accepting.any(|known| known.entry.incarnation.id == engine)
 }
 
 /// Returns two tables that have read the same list of all engines.
@@ -67,12 +67,12 @@
 /// Guards against a departure that is believed for a shorter time than the list
 /// stays old.
 #[test]
-fn a_departure_holds_for_as_long_as_the_list_is_old() {
+fn a_reported_departure_holds_while_the_own_list_is_older() {
     for state in [State::Draining, State::Gone] {
-        let (mut teller, mut hearer) = two_tables();
-        read(&mut teller, "e1", state, 4);
-        tell(&teller, &mut hearer, 0);
-        let used = ENGINES.map(|engine| is_used(&hearer, engine, LATER_MS));
+        let (mut sender, mut receiver) = two_tables();
+        read(&mut sender, "e1", state, 4);
+        send_departures(&sender, &mut receiver, 0);
+        let used = ENGINES.map(|engine| is_used(&receiver, engine, LATER_MS));
         assert_eq!(used, [true, false, true]);
     }
 }
@@ -80,33 +80,33 @@
 /// Guards against work for an engine that peers saw leave before a list that lags
 /// shows it for the first time.
 #[test]
-fn an_engine_that_left_before_it_is_listed_gets_no_work() {
-    let (mut teller, mut hearer) = two_tables();
-    read(&mut teller, "new", State::Ready, 4);
-    read(&mut teller, "new", State::Gone, 5);
-    tell(&teller, &mut hearer, 0);
-    read(&mut hearer, "new", State::Ready, 4);
-    assert!(!is_used(&hearer, "new", LATER_MS));
-    read(&mut hearer, "new", State::Ready, 6);
-    assert!(is_used(&hearer, "new", LATER_MS), "it was written later");
+fn an_engine_that_departed_before_it_was_listed_gets_no_work() {
+    let (mut sender, mut receiver) = two_tables();
+    read(&mut sender, "new", State::Ready, 4);
+    read(&mut sender, "new", State::Gone, 5);
+    send_departures(&sender, &mut receiver, 0);
+    read(&mut receiver, "new", State::Ready, 4);
+    assert!(!is_used(&receiver, "new", LATER_MS));
+    read(&mut receiver, "new", State::Ready, 6);
+    assert!(is_used(&receiver, "new", LATER_MS), "it was written later");
 }
 
 /// Guards against the grace for lapsed entries where a peer knows better, also if
 /// it is heard only once the list has been read.
 #[test]
-fn an_engine_that_a_peer_saw_leave_has_no_grace() {
-    for is_told_first in [true, false] {
-        let (mut teller, mut hearer) = two_tables();
-        read(&mut teller, "e1", State::Gone, 4);
-        if is_told_first {
-            tell(&teller, &mut hearer, 0);
+fn an_engine_reported_as_departed_gets_no_grace_period() {
+    for is_reported_first in [true, false] {
+        let (mut sender, mut receiver) = two_tables();
+        read(&mut sender, "e1", State::Gone, 4);
+        if is_reported_first {
+            send_departures(&sender, &mut receiver, 0);
         }
         for engine in ["e1", "e2"] {
-            assert!(!hearer.unlist(engine, 9, Some(LATER_MS), 1_000));
+            assert!(!receiver.remove_entry(engine, 9, Some(LATER_MS), 1_000));
         }
-        hearer.listed_up_to(9, 1_000);
-        tell(&teller, &mut hearer, 1_000);
-        let used = ENGINES.map(|engine| is_used(&hearer, engine, 1_001));
+        receiver.set_list_revision(9, 1_000);
+        send_departures(&sender, &mut receiver, 1_000);
+        let used = ENGINES.map(|engine| is_used(&receiver, engine, 1_001));
         assert_eq!(used, [true, false, true]);
     }
 }
@@ -114,24 +114,24 @@
 /// Guards against doing without an engine whose entry lapsed and is back, for as
 /// long as the own list is old.
 #[test]
-fn an_engine_that_is_back_is_used_by_those_who_heard_that_it_left() {
-    let (mut teller, mut hearer) = two_tables();
-    read(&mut teller, "e1", State::Gone, 4);
-    tell(&teller, &mut hearer, 0);
-    assert!(!is_used(&hearer, "e1", 0));
-    read(&mut teller, "e1", State::Ready, 5);
-    tell(&teller, &mut hearer, 0);
-    assert!(is_used(&hearer, "e1", 0));
-    read(&mut teller, "e1", State::Draining, 6);
-    tell(&teller, &mut hearer, 0);
-    assert!(!is_used(&hearer, "e1", LATER_MS));
+fn an_engine_listed_again_is_used_after_a_reported_departure() {
+    let (mut sender, mut receiver) = two_tables();
+    read(&mut sender, "e1", State::Gone, 4);
+    send_departures(&sender, &mut receiver, 0);
+    assert!(!is_used(&receiver, "e1", 0));
+    read(&mut sender, "e1", State::Ready, 5);
+    send_departures(&sender, &mut receiver, 0);
+    assert!(is_used(&receiver, "e1", 0));
+    read(&mut sender, "e1", State::Draining, 6);
+    send_departures(&sender, &mut receiver, 0);
+    assert!(!is_used(&receiver, "e1", LATER_MS));
 }
 
 /// Guards against work for the start before, where an engine has started again under
 /// its name and the list is old.
 #[test]
-fn a_start_that_another_one_replaced_gets_no_work() {
-    let (mut teller, mut hearer) = two_tables();
+fn a_replaced_incarnation_gets_no_work() {
+    let (mut sender, mut receiver) = two_tables();
     let again = EngineEntry {
         incarnation: Incarnation {
             id: "e1".to_owned(),
@@ -139,41 +139,41 @@
         },
         ..entry("e1", 4, false)
     };
-    teller.list(again.clone());
-    tell(&teller, &mut hearer, 0);
-    assert!(!is_used(&hearer, "e1", LATER_MS));
-    hearer.list(again);
-    assert!(is_used(&hearer, "e1", LATER_MS));
+    sender.apply_entry(again.clone());
+    send_departures(&sender, &mut receiver, 0);
+    assert!(!is_used(&receiver, "e1", LATER_MS));
+    receiver.apply_entry(again);
+    assert!(is_used(&receiver, "e1", LATER_MS));
 }
 
 /// Guards against telling for ever what all have read.
 #[test]
-fn a_departure_is_told_until_it_was_read() {
-    let (mut teller, mut hearer) = two_tables();
-    read(&mut teller, "e1", State::Draining, 4);
-    assert_eq!(teller.departures(hearer.known_revision()).len(), 1);
-    tell(&teller, &mut hearer, 0);
-    let passed_on = hearer.departures(3);
-    assert_eq!(passed_on.len(), 1, "peers that hear only this one need it");
-    read(&mut hearer, "e1", State::Draining, 4);
-    assert!(teller.departures(hearer.known_revision()).is_empty());
+fn a_departure_is_reported_until_the_peer_has_read_it() {
+    let (mut sender, mut receiver) = two_tables();
+    read(&mut sender, "e1", State::Draining, 4);
+    assert_eq!(sender.departures(receiver.known_revision()).len(), 1);
+    send_departures(&sender, &mut receiver, 0);
+    let relayed = receiver.departures(3);
+    assert_eq!(relayed.len(), 1, "peers that hear only this one need it");
+    read(&mut receiver, "e1", State::Draining, 4);
+    assert!(sender.departures(receiver.known_revision()).is_empty());
 }
 
 #[derive(Debug, Clone)]
 enum Step {
     Change(usize, State),
-    TellerReads,
-    HearerReads(usize),
-    Tell,
+    SenderReads,
+    ReceiverReads(usize),
+    Report,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let state = prop_oneof![Just(State::Ready), Just(State::Draining), Just(State::Gone)];
     prop_oneof![
         (0..ENGINES.len(), state).prop_map(|(engine, state)| Step::Change(engine, state)),
-        Just(Step::TellerReads),
-        (1_usize..4).prop_map(Step::HearerReads),
-        Just(Step::Tell),
+        Just(Step::SenderReads),
+        (1_usize..4).prop_map(Step::ReceiverReads),
+        Just(Step::Report),
     ]
 }
 
@@ -193,12 +193,13 @@
     /// that a peer said to leave, and a list that is as new as all that was told
     /// is gone by alone.
     #[test]
-    fn what_a_peer_told_of_engines_that_leave_is_never_forgotten(
+    fn reported_departures_hold_in_every_order_of_reads_and_reports(
         steps in prop::collection::vec(step(), 1..60),
     ) {
         let mut history = History((0..ENGINES.len()).map(|n| (n, State::Ready)).collect());
-        let (mut teller, mut hearer) = two_tables();
-        let (mut teller_at, mut hearer_at, mut told_at) = (ENGINES.len(), ENGINES.len(), 0);
+        let (mut sender, mut receiver) = two_tables();
+        let (mut sender_revision, mut receiver_revision) = (ENGINES.len(), ENGINES.len());
+        let mut reported_revision = 0;
         for (number, step) in steps.into_iter().enumerate() {
             let now_ms = number as u64 * LATER_MS;
             let newest = history.0.len();
@@ -208,34 +209,37 @@
                         history.0.push((engine, state));
                     }
                 }
-                Step::TellerReads => {
-                    for (at, &(engine, state)) in history.0.iter().enumerate().skip(teller_at) {
-                        read(&mut teller, ENGINES[engine], state, at as u64 + 1);
+                Step::SenderReads => {
+                    let changes = history.0.iter().enumerate().skip(sender_revision);
+                    for (at, &(engine, state)) in changes {
+                        read(&mut sender, ENGINES[engine], state, at as u64 + 1);
                     }
-                    teller_at = newest;
+                    sender_revision = newest;
                 }
-                Step::HearerReads(count) => {
-                    let changes = history.0.iter().enumerate().skip(hearer_at).take(count);
+                Step::ReceiverReads(count) => {
+                    let changes = history.0.iter().enumerate().skip(receiver_revision);
+                    let changes = changes.take(count);
                     for (at, &(engine, state)) in changes {
-                        read(&mut hearer, ENGINES[engine], state, at as u64 + 1);
-                        hearer_at = at + 1;
+                        read(&mut receiver, ENGINES[engine], state, at as u64 + 1);
+                        receiver_revision = at + 1;
                     }
                 }
-                Step::Tell => {
-                    tell(&teller, &mut hearer, now_ms);
-                    told_at = teller_at;
+                Step::Report => {
+                    send_departures(&sender, &mut receiver, now_ms);
+                    reported_revision = sender_revision;
                 }
             }
             for (engine, id) in ENGINES.into_iter().enumerate() {
-                let used = is_used(&hearer, id, now_ms + LATER_MS);
-                if told_at > hearer_at {
-                    let told = history.state(engine, told_at);
-                    prop_assert!(!used || told == State::Ready, "{id} was {told:?}");
-                    let known = history.state(engine, hearer_at);
-                    let is_there = known == State::Ready && told == State::Ready;
+                let used = is_used(&receiver, id, now_ms + LATER_MS);
+                if reported_revision > receiver_revision {
+                    let reported = history.state(engine, reported_revision);
+                    prop_assert!(!used || reported == State::Ready, "{id} was {reported:?}");
+                    let known = history.state(engine, receiver_revision);
+                    let is_there = known == State::Ready && reported == State::Ready;
                     prop_assert!(used || !is_there, "{id} is there and not used");
                 } else {
-                    prop_assert_eq!(used, history.state(engine, hearer_at) == State::Ready);
+                    let known = history.state(engine, receiver_revision);
+                    prop_assert_eq!(used, known == State::Ready);
                 }
             }
         }
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn keys_are_wanted_except_on_open_routes() {
+fn api_keys_are_required_except_on_anonymous_routes() {
     let table = table();
     assert_eq!(
         table.admit("shop.example", "/a/", None).err(),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn services_get_their_parts() {
+fn services_get_their_share_of_requests() {
     let route = route("r", "/a/");
     let two = (0..1_000)
         .filter(|draw| route.service(*draw) == "two")
@@ -109,7 +109,7 @@
 /// Whatever comes, the repeats of all instances in a window stay under what
 /// the service allows, though each knows only its own.
 #[test]
-fn repeats_stay_within_the_budget_of_all() {
+fn retries_of_all_instances_stay_within_the_budget() {
     let settings = RetrySettings::default();
     proptest!(ProptestConfig::with_cases(64), |(
         instances in 1_usize..9,
@@ -184,7 +184,7 @@
 /// A peer falls silent. It is no longer named to callers within a second, but
 /// what it may spend stays set aside: it may be serving behind a partition.
 #[test]
-fn a_silent_peer_is_not_named_but_counted() {
+fn a_silent_peer_is_not_advertised_but_still_counted() {
     let settings = MeshSettings::default();
     let mut members = MemberTable::default();
     members.hear(heartbeat("p", 1, 1), 0);
@@ -200,7 +200,7 @@
 /// team within its rate must not be refused because parts of it are still set
 /// aside for those that have stopped.
 #[test]
-fn a_peer_that_has_stopped_is_forgotten_at_once() {
+fn a_stopped_peer_is_removed_at_once() {
     let settings = MeshSettings::default();
     let mut members = MemberTable::default();
     members.hear(heartbeat("p", 1, 1), 0);
@@ -217,34 +217,34 @@
 /// Guards against a heartbeat that a relay held up, or a peer's hearsay, that
 /// brings an instance back which has stopped.
 #[test]
-fn a_peer_that_has_stopped_does_not_come_back_by_older_word() {
+fn a_stopped_peer_is_not_restored_by_older_messages() {
     let mut members = MemberTable::default();
     let settings = MeshSettings::default();
-    let beat = |incarnation, sequence| Heartbeat {
+    let heartbeat_of = |incarnation, sequence| Heartbeat {
         peers: Vec::new(),
         ..heartbeat("p", incarnation, sequence)
     };
-    members.hear(beat(1, 1), 0);
+    members.hear(heartbeat_of(1, 1), 0);
     let stopped = Heartbeat {
         stopped: true,
-        ..beat(1, 3)
+        ..heartbeat_of(1, 3)
     };
     assert!(members.hear(stopped, 10));
-    assert!(!members.hear(beat(1, 2), 200));
-    let hearsay = Heartbeat {
+    assert!(!members.hear(heartbeat_of(1, 2), 200));
+    let indirect_report = Heartbeat {
         peer_address: "127.0.0.3:7600".parse().expect("an address"),
-        peers: vec![beat(1, 2).peer_address],
+        peers: vec![heartbeat_of(1, 2).peer_address],
         ..heartbeat("other", 1, 1)
     };
-    assert!(members.hear(hearsay, 210));
+    assert!(members.hear(indirect_report, 210));
     let targets = members.targets("a", 1, &settings, 220);
     assert_eq!((members.expected(), targets.direct.len()), (1, 1));
-    assert!(members.hear(beat(2, 1), 300), "it started again");
+    assert!(members.hear(heartbeat_of(2, 1), 300), "it started again");
     assert_eq!(members.iter().count(), 2);
 }
 
 #[test]
-fn addresses_that_never_answer_are_tried_for_a_while() {
+fn addresses_that_never_answer_are_tried_for_a_limited_time() {
     let settings = MeshSettings::default();
     let mut members = MemberTable::default();
     members.hear(heartbeat("p", 1, 1), 0);
@@ -258,11 +258,11 @@
 /// heard just now, so everybody has to hear of everybody within a heartbeat,
 /// though each sends to few, and some relays are dead.
 #[test]
-fn all_hear_of_each_other_within_two_heartbeats() {
+fn all_instances_receive_each_other_within_two_heartbeats() {
     let settings = MeshSettings::default();
     let address = |n: usize| format!("127.0.0.{n}:7600").parse().expect("an address");
     let domain = |n: usize| ["a", "b", "c", "d"][n % 4];
-    let beat = |n: usize, sequence| Heartbeat {
+    let heartbeat_of = |n: usize, sequence| Heartbeat {
         peer_address: address(n),
         domain: domain(n).to_owned(),
         peers: Vec::new(),
@@ -271,30 +271,30 @@
     let mut tables: Vec<MemberTable> = (0..80).map(|_| MemberTable::default()).collect();
     for (own, table) in tables.iter_mut().enumerate() {
         for other in (0..80).filter(|other| *other != own) {
-            table.hear(beat(other, 1), 0);
+            table.hear(heartbeat_of(other, 1), 0);
         }
     }
     let is_dead = |n: usize| n % 10 == 3;
-    let mut most_sent = 0;
+    let mut max_sent = 0;
     for sequence in 2..4 {
         let now_ms = 1_000 * sequence;
         for from in (0..80).filter(|n| !is_dead(*n)) {
             let targets = tables[from].targets(domain(from), sequence, &settings, 0);
-            most_sent = most_sent.max(targets.direct.len() + targets.relays.len());
-            let mut told: Vec<SocketAddr> = targets.direct;
+            max_sent = max_sent.max(targets.direct.len() + targets.relays.len());
+            let mut receivers: Vec<SocketAddr> = targets.direct;
             for relay in targets.relays {
-                let place = (0..80).find(|n| address(*n) == relay).expect("it is known");
-                if !is_dead(place) {
-                    told.push(relay);
-                    told.extend(tables[place].within(domain(place)));
+                let relay_index = (0..80).find(|n| address(*n) == relay).expect("it is known");
+                if !is_dead(relay_index) {
+                    receivers.push(relay);
+                    receivers.extend(tables[relay_index].within(domain(relay_index)));
                 }
             }
-            for to in (0..80).filter(|n| *n != from && told.contains(&address(*n))) {
-                tables[to].hear(beat(from, sequence), now_ms);
+            for to in (0..80).filter(|n| *n != from && receivers.contains(&address(*n))) {
+                tables[to].hear(heartbeat_of(from, sequence), now_ms);
             }
         }
     }
-    assert_eq!(most_sent, 19 + 3);
+    assert_eq!(max_sent, 19 + 3);
     for (own, table) in tables.iter().enumerate().filter(|(n, _)| !is_dead(*n)) {
         let heard = table
             .iter()
@@ -309,20 +309,20 @@
 #[test]
 fn a_heartbeat_is_small() {
     let sized = |engines: usize, teams: usize, placed: usize| {
-        let mut beat = heartbeat("edge-south-texas-a-1", 1_700_000_000_000, 500);
+        let mut message = heartbeat("edge-south-texas-a-1", 1_700_000_000_000, 500);
         let load = Load {
             requests: 3,
             memory_tokens: 27_000,
             prefill_tokens: 9_000,
             must_finish: 1,
         };
-        beat.loads = (0..engines)
+        message.loads = (0..engines)
             .map(|n| (format!("i-{n:010x}"), load))
             .collect();
-        beat.placed = (0..placed)
+        message.placed = (0..placed)
             .map(|n| (u64::MAX - n as u64, n as u32))
             .collect();
-        beat.teams = (0..teams)
+        message.teams = (0..teams)
             .map(|n| TeamNote {
                 team: format!("team{n:03}"),
                 spent: 1e7,
@@ -330,7 +330,9 @@
                 demand_per_s: 1e5,
             })
             .collect();
-        postcard::to_allocvec(&beat).expect("it is encoded").len()
+        postcard::to_allocvec(&message)
+            .expect("it is encoded")
+            .len()
     };
     insta::assert_debug_snapshot!((sized(16, 5, 6), sized(22, 5, 12), sized(30, 230, 12)));
 }
--- a/crates/core/tests/full.rs
+++ b/crates/core/tests/full.rs
@@ -9,7 +9,8 @@
 use {
     mangowalk_core::{
         pool::{
-            AdmitSettings, Belief, ChoiceSettings, Load, Need, PromptPart, ReadRate, choose, refuse,
+            AdmitSettings, ChoiceSettings, EngineRequirements, KnownEngine, Load, PrefillRate,
+            PromptPart, choose, retry_after_ms,
         },
         weights::Wanted,
     },
@@ -23,15 +24,15 @@
 const SESSIONS: u64 = 160;
 
 /// Tokens that an engine reads in a millisecond.
-const RATE: f64 = 41.4;
+const TOKENS_PER_MS: f64 = 41.4;
 
 /// Time within which a first event is on time, and after which callers leave.
 const TARGET_MS: f64 = 800.0;
 const DEADLINE_MS: f64 = 6_000.0;
 
 /// Tokens of the shared parts and of a request's own.
-const SHARED: u32 = 6_300;
-const OWN: u32 = 2_900;
+const SHARED_TOKENS: u32 = 6_300;
+const OWN_TOKENS: u32 = 2_900;
 
 /// Shared parts that an engine's memory holds beside what runs.
 const MEMORY_PARTS: usize = 12;
@@ -39,7 +40,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Policy {
     /// The decisions of this package.
-    Ours,
+    ChooseAndRefuse,
     /// The same choice, and nothing is refused.
     NeverRefuse,
     /// The engine with the fewest requests, and nothing is refused.
@@ -61,28 +62,35 @@
     refused: f64,
 }
 
-fn need(session: u64, own: u64) -> Need {
+fn requirements(session: u64, own: u64) -> EngineRequirements {
     let part = |id, tokens| PromptPart { id, tokens };
-    Need {
+    EngineRequirements {
         service: "llm".to_owned(),
         model: Some("model".to_owned()),
         memory_tokens: 9_250,
-        prompt_tokens: u64::from(SHARED + OWN),
-        parts: vec![part(session, SHARED), part(own + 1_000_000, OWN)],
-        wall: 0,
+        prompt_tokens: u64::from(SHARED_TOKENS + OWN_TOKENS),
+        parts: vec![
+            part(session, SHARED_TOKENS),
+            part(own + 1_000_000, OWN_TOKENS),
+        ],
+        isolation_salt: 0,
         domain: "a".to_owned(),
     }
 }
 
 /// Plays ten seconds with so many requests a second.
-fn play(policy: Policy, per_s: f64, seed: u64) -> Outcome {
+fn simulate(policy: Policy, per_s: f64, seed: u64) -> Outcome {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut engines: Vec<Engine> = (0..ENGINES).map(|_| Engine::default()).collect();
-    let mut beliefs: Vec<Vec<Belief>> = (0..INSTANCES)
-        .map(|_| (0..ENGINES).map(|n| Belief::new(entry(n, 96))).collect())
+    let mut known_engines: Vec<Vec<KnownEngine>> = (0..INSTANCES)
+        .map(|_| {
+            (0..ENGINES)
+                .map(|n| KnownEngine::new(entry(n, 96)))
+                .collect()
+        })
         .collect();
     let (settings, admit) = (ChoiceSettings::default(), AdmitSettings::default());
-    let rate = ReadRate::default();
+    let rate = PrefillRate::default();
     let mut result = Outcome::default();
     let mut asked = 0.0;
     for now_ms in 0..10_000_u64 {
@@ -93,11 +101,11 @@
                 .extract_if(.., |end| end.0 <= now)
                 .collect();
             for (_, at, load) in done {
-                beliefs[at][engine].own.remove(load);
+                known_engines[at][engine].own.remove(load);
             }
         }
         if now_ms % 200 == 0 {
-            exchange(&mut beliefs);
+            exchange(&mut known_engines);
         }
         if !random.random_bool(per_s / 1_000.0) {
             continue;
@@ -105,32 +113,33 @@
         asked += 1.0;
         let at = random.random_range(0..INSTANCES);
         let session = random.random_range(0..SESSIONS);
-        let need = need(session, now_ms);
+        let requirements = requirements(session, now_ms);
         let chosen = match policy {
             Policy::LeastLoaded => {
-                let loads = beliefs[at].iter().enumerate();
+                let loads = known_engines[at].iter().enumerate();
                 loads
-                    .min_by_key(|(_, belief)| belief.load().requests)
+                    .min_by_key(|(_, known)| known.load().requests)
                     .map(|(n, _)| n)
             }
             _ => {
-                let all = beliefs[at].iter();
+                let all = known_engines[at].iter();
                 let draw = random.random();
                 let best = choose(
                     all,
-                    &need,
+                    &requirements,
                     Wanted::default(),
                     82_259,
                     &settings,
                     draw,
                     now_ms,
                 );
-                let refused = best.and_then(|best| refuse(best, &rate, &admit, 2_900, 800, false));
-                if policy == Policy::Ours && refused.is_some() {
+                let refused =
+                    best.and_then(|best| retry_after_ms(best, &rate, &admit, 2_900, 800, false));
+                if policy == Policy::ChooseAndRefuse && refused.is_some() {
                     result.refused += 1.0;
                     continue;
                 }
-                best.and_then(|best| beliefs[at].iter().position(|b| std::ptr::eq(b, best)))
+                best.and_then(|best| known_engines[at].iter().position(|b| std::ptr::eq(b, best)))
             }
         };
         let engine = chosen.expect("all engines take work");
@@ -140,9 +149,9 @@
             .last()
             .expect("it was just put there")
             .2;
-        beliefs[at][engine].own.add(load);
-        for belief in &mut beliefs {
-            belief[engine].record_part(session, now_ms);
+        known_engines[at][engine].own.add(load);
+        for known in &mut known_engines {
+            known[engine].record_part(session, now_ms);
         }
         result.on_time += f64::from(u8::from(waited <= TARGET_MS));
         result.late += f64::from(u8::from(waited > TARGET_MS && waited <= DEADLINE_MS));
@@ -157,17 +166,21 @@
 /// Lets an engine read a prompt, and returns after how many milliseconds its
 /// first event comes.
 fn read(engine: &mut Engine, at: usize, session: u64, now: f64) -> f64 {
-    let is_kept = engine.parts.contains(&session);
+    let is_cached = engine.parts.contains(&session);
     engine.parts.retain(|part| *part != session);
     engine.parts.push_back(session);
     if engine.parts.len() > MEMORY_PARTS {
         engine.parts.pop_front();
     }
-    let tokens = if is_kept { OWN } else { SHARED + OWN };
-    engine.free_ms = engine.free_ms.max(now) + f64::from(tokens) / RATE;
+    let tokens = if is_cached {
+        OWN_TOKENS
+    } else {
+        SHARED_TOKENS + OWN_TOKENS
+    };
+    engine.free_ms = engine.free_ms.max(now) + f64::from(tokens) / TOKENS_PER_MS;
     let load = Load {
         requests: 1,
-        memory_tokens: SHARED + OWN,
+        memory_tokens: SHARED_TOKENS + OWN_TOKENS,
         prefill_tokens: tokens,
         must_finish: 1,
     };
@@ -176,7 +189,7 @@
 }
 
 fn mean(policy: Policy, per_s: f64) -> Outcome {
-    let all: Vec<Outcome> = (1..=5).map(|seed| play(policy, per_s, seed)).collect();
+    let all: Vec<Outcome> = (1..=5).map(|seed| simulate(policy, per_s, seed)).collect();
     let mean = |part: fn(&Outcome) -> f64| all.iter().map(part).sum::<f64>() / all.len() as f64;
     Outcome {
         on_time: mean(|result| result.on_time),
@@ -192,9 +205,9 @@
 /// refused, with this choice or with the fewest requests first; 0.24 with
 /// refusals and all engines looked at; 0.35 with both.
 #[test]
-fn callers_are_served_on_time_while_more_comes_than_can_be_read() {
+fn callers_are_served_on_time_under_overload() {
     let (ours, never, least) = (
-        mean(Policy::Ours, 80.0),
+        mean(Policy::ChooseAndRefuse, 80.0),
         mean(Policy::NeverRefuse, 80.0),
         mean(Policy::LeastLoaded, 80.0),
     );
@@ -208,7 +221,10 @@
 /// their parts more often than with the fewest requests first.
 #[test]
 fn nothing_is_refused_while_there_is_room() {
-    let (ours, least) = (mean(Policy::Ours, 20.0), mean(Policy::LeastLoaded, 20.0));
+    let (ours, least) = (
+        mean(Policy::ChooseAndRefuse, 20.0),
+        mean(Policy::LeastLoaded, 20.0),
+    );
     assert!(ours.refused < 0.005, "{ours:?}");
     assert!(
         ours.on_time > 0.97 && ours.on_time >= least.on_time,
--- a/crates/core/tests/mixed.rs
+++ b/crates/core/tests/mixed.rs
@@ -10,8 +10,8 @@
 use {
     mangowalk_core::{
         pool::{
-            AdmitSettings, Belief, ChoiceSettings, Load, Need, PromptPart, ReadRate, UsualPrompt,
-            choose, refuse,
+            AdmitSettings, ChoiceSettings, EngineRequirements, KnownEngine, Load, MeanPromptLength,
+            PrefillRate, PromptPart, choose, retry_after_ms,
         },
         weights::Wanted,
     },
@@ -24,26 +24,26 @@
 const ENGINES: usize = 6;
 
 /// Tokens that an engine reads in a millisecond, and in one piece.
-const RATE: f64 = 37.9;
-const PIECE: u32 = 2_048;
+const TOKENS_PER_MS: f64 = 37.9;
+const CHUNK_TOKENS: u32 = 2_048;
 
 /// Time of a step of an engine that reads nothing, and what each request adds.
 const STEP_MS: f64 = 4.63;
-const STEP_MS_A_REQUEST: f64 = 0.15;
+const STEP_MS_PER_REQUEST: f64 = 0.15;
 
 /// Long parts that an engine's memory holds beside what runs.
 const MEMORY_PARTS: usize = 4;
 const MEMORY_TOKENS: u64 = 150_000;
 
 /// Time that is played.
-const PLAYED_MS: u64 = 15_000;
+const DURATION_MS: u64 = 15_000;
 
 /// One kind of request.
 struct Kind {
     sessions: u64,
     shared_tokens: u32,
     own_tokens: u32,
-    most_answer_tokens: u32,
+    max_answer_tokens: u32,
     target_ms: f64,
     deadline_ms: f64,
     per_s: f64,
@@ -54,7 +54,7 @@
     sessions: 55,
     shared_tokens: 13_300,
     own_tokens: 3_700,
-    most_answer_tokens: 60,
+    max_answer_tokens: 60,
     target_ms: 1_000.0,
     deadline_ms: 10_000.0,
     per_s: 11.0,
@@ -65,7 +65,7 @@
     sessions: 600,
     shared_tokens: 90,
     own_tokens: 290,
-    most_answer_tokens: 180,
+    max_answer_tokens: 180,
     target_ms: 500.0,
     deadline_ms: 5_000.0,
     per_s: 110.0,
@@ -92,47 +92,51 @@
 
 /// What callers of one kind got.
 #[derive(Debug, Default, Clone, Copy)]
-struct Got {
+struct Outcome {
     asked: f64,
     on_time: f64,
     refused: f64,
     failed: f64,
 }
 
-fn need(kind: &Kind, session: u64, own: u64) -> Need {
+fn requirements(kind: &Kind, session: u64, own: u64) -> EngineRequirements {
     let part = |id, tokens| PromptPart { id, tokens };
     let prompt_tokens = u64::from(kind.shared_tokens + kind.own_tokens);
-    Need {
+    EngineRequirements {
         service: "llm".to_owned(),
         model: Some("model".to_owned()),
-        memory_tokens: prompt_tokens + u64::from(kind.most_answer_tokens),
+        memory_tokens: prompt_tokens + u64::from(kind.max_answer_tokens),
         prompt_tokens,
         parts: vec![
             part(session, kind.shared_tokens),
             part(own + 1_000_000, kind.own_tokens),
         ],
-        wall: 0,
+        isolation_salt: 0,
         domain: "a".to_owned(),
     }
 }
 
 struct Fleet {
     engines: Vec<Engine>,
-    beliefs: Vec<Vec<Belief>>,
-    usual: UsualPrompt,
+    known_engines: Vec<Vec<KnownEngine>>,
+    prompt_length: MeanPromptLength,
     choice: ChoiceSettings,
-    got: [Got; 2],
+    outcome: [Outcome; 2],
 }
 
 impl Fleet {
     fn new(choice: ChoiceSettings) -> Fleet {
-        let beliefs = || (0..ENGINES).map(|n| Belief::new(entry(n, 64))).collect();
+        let known_engines = || {
+            (0..ENGINES)
+                .map(|n| KnownEngine::new(entry(n, 64)))
+                .collect()
+        };
         Fleet {
             engines: (0..ENGINES).map(|_| Engine::default()).collect(),
-            beliefs: (0..INSTANCES).map(|_| beliefs()).collect(),
-            usual: UsualPrompt::default(),
+            known_engines: (0..INSTANCES).map(|_| known_engines()).collect(),
+            prompt_length: MeanPromptLength::default(),
             choice,
-            got: [Got::default(); 2],
+            outcome: [Outcome::default(); 2],
         }
     }
 
@@ -141,39 +145,49 @@
         let is_long = !kind.is_first;
         let at = random.random_range(0..INSTANCES);
         let session = random.random_range(0..kind.sessions) + if is_long { 10_000 } else { 0 };
-        let need = need(kind, session, now_ms);
-        self.usual.note(need.prompt_tokens);
-        let got = &mut self.got[usize::from(is_long)];
-        got.asked += 1.0;
+        let requirements = requirements(kind, session, now_ms);
+        self.prompt_length.record(requirements.prompt_tokens);
+        let outcome = &mut self.outcome[usize::from(is_long)];
+        outcome.asked += 1.0;
         let settings = ChoiceSettings {
-            sample: self.usual.looks(self.choice.sample, need.prompt_tokens),
+            sample: self
+                .prompt_length
+                .sample_size(self.choice.sample, requirements.prompt_tokens),
             ..self.choice
         };
-        let all = self.beliefs[at].iter();
+        let all = self.known_engines[at].iter();
         let (wanted, draw) = (Wanted::default(), random.random());
-        let best = choose(all, &need, wanted, MEMORY_TOKENS, &settings, draw, now_ms);
+        let best = choose(
+            all,
+            &requirements,
+            wanted,
+            MEMORY_TOKENS,
+            &settings,
+            draw,
+            now_ms,
+        );
         let best = best.expect("all engines take work");
-        let (rate, admit) = (ReadRate::default(), AdmitSettings::default());
+        let (rate, admit) = (PrefillRate::default(), AdmitSettings::default());
         let own_tokens = u64::from(kind.own_tokens);
         let target_ms = kind.target_ms as u64;
-        if refuse(best, &rate, &admit, own_tokens, target_ms, kind.is_first).is_some() {
-            got.refused += 1.0;
+        if retry_after_ms(best, &rate, &admit, own_tokens, target_ms, kind.is_first).is_some() {
+            outcome.refused += 1.0;
             return;
         }
-        let mut beliefs = self.beliefs[at].iter();
-        let chosen = beliefs.position(|belief| std::ptr::eq(belief, best));
+        let mut known_engines = self.known_engines[at].iter();
+        let chosen = known_engines.position(|known| std::ptr::eq(known, best));
         let chosen = chosen.expect("it is one of them");
-        let is_kept = self.engines[chosen].parts.contains(&session);
-        let unread = kind.own_tokens + if is_kept { 0 } else { kind.shared_tokens };
+        let is_cached = self.engines[chosen].parts.contains(&session);
+        let unread = kind.own_tokens + if is_cached { 0 } else { kind.shared_tokens };
         let load = Load {
             requests: 1,
-            memory_tokens: need.memory_tokens as u32,
+            memory_tokens: requirements.memory_tokens as u32,
             prefill_tokens: unread,
             must_finish: 0,
         };
-        self.beliefs[at][chosen].own.add(load);
-        for belief in &mut self.beliefs {
-            belief[chosen].record_part(session, now_ms);
+        self.known_engines[at][chosen].own.add(load);
+        for known in &mut self.known_engines {
+            known[chosen].record_part(session, now_ms);
         }
         let engine = &mut self.engines[chosen];
         if is_long {
@@ -189,7 +203,7 @@
             at,
             load,
             unread,
-            answer_left: 1 + (f64::from(kind.most_answer_tokens) * length.powi(3)) as u32,
+            answer_left: 1 + (f64::from(kind.max_answer_tokens) * length.powi(3)) as u32,
             asked_ms: now_ms as f64,
             begun_ms: None,
             is_long,
@@ -206,20 +220,20 @@
         if runs.is_empty() || *busy_until_ms > now_ms {
             return;
         }
-        let mut piece = PIECE;
+        let mut chunk = CHUNK_TOKENS;
         for run in runs.iter_mut() {
-            let read = run.unread.min(piece);
+            let read = run.unread.min(chunk);
             run.unread -= read;
-            piece -= read;
+            chunk -= read;
         }
-        let read_ms = f64::from(PIECE - piece) / RATE;
-        *busy_until_ms = now_ms + STEP_MS + STEP_MS_A_REQUEST * runs.len() as f64 + read_ms;
+        let read_ms = f64::from(CHUNK_TOKENS - chunk) / TOKENS_PER_MS;
+        *busy_until_ms = now_ms + STEP_MS + STEP_MS_PER_REQUEST * runs.len() as f64 + read_ms;
         let until_ms = *busy_until_ms;
         for run in runs.iter_mut().filter(|run| run.unread == 0) {
             run.answer_left -= 1;
             if run.begun_ms.is_none() {
                 run.begun_ms = Some(until_ms);
-                let own = &mut self.beliefs[run.at][engine].own;
+                let own = &mut self.known_engines[run.at][engine].own;
                 own.prefill_tokens -= run.load.prefill_tokens;
                 run.load.prefill_tokens = 0;
             }
@@ -228,14 +242,14 @@
             let kind = if run.is_long { &LONG } else { &SHORT };
             run.answer_left == 0 || until_ms > run.asked_ms + kind.deadline_ms
         }) {
-            self.beliefs[run.at][engine].own.remove(run.load);
+            self.known_engines[run.at][engine].own.remove(run.load);
             let kind = if run.is_long { &LONG } else { &SHORT };
-            let got = &mut self.got[usize::from(run.is_long)];
+            let outcome = &mut self.outcome[usize::from(run.is_long)];
             let begun_ms = run.begun_ms.unwrap_or(f64::MAX);
             if run.answer_left > 0 {
-                got.failed += 1.0;
+                outcome.failed += 1.0;
             } else if begun_ms <= run.asked_ms + kind.target_ms {
-                got.on_time += 1.0;
+                outcome.on_time += 1.0;
             }
         }
     }
@@ -243,19 +257,19 @@
 
 /// Returns what callers of short and of long prompts got, as parts of what was
 /// asked, as a mean of five seeds.
-fn play(choice: ChoiceSettings) -> [Got; 2] {
-    play_at(choice, 1.0)
+fn simulate(choice: ChoiceSettings) -> [Outcome; 2] {
+    simulate_load(choice, 1.0)
 }
 
 /// Returns the same where so many times the usual comes.
-fn play_at(choice: ChoiceSettings, times: f64) -> [Got; 2] {
-    let mut sum = [Got::default(); 2];
+fn simulate_load(choice: ChoiceSettings, times: f64) -> [Outcome; 2] {
+    let mut sum = [Outcome::default(); 2];
     for seed in 1..=5 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut fleet = Fleet::new(choice);
-        for now_ms in 0..PLAYED_MS {
+        for now_ms in 0..DURATION_MS {
             if now_ms % 200 == 0 {
-                exchange(&mut fleet.beliefs);
+                exchange(&mut fleet.known_engines);
             }
             (0..ENGINES).for_each(|engine| fleet.step(engine, now_ms as f64));
             for kind in [&LONG, &SHORT] {
@@ -264,18 +278,18 @@
                 }
             }
         }
-        for (sum, got) in sum.iter_mut().zip(fleet.got) {
-            sum.asked += got.asked;
-            sum.on_time += got.on_time;
-            sum.refused += got.refused;
-            sum.failed += got.failed;
+        for (sum, outcome) in sum.iter_mut().zip(fleet.outcome) {
+            sum.asked += outcome.asked;
+            sum.on_time += outcome.on_time;
+            sum.refused += outcome.refused;
+            sum.failed += outcome.failed;
         }
     }
-    sum.map(|got| Got {
-        asked: got.asked,
-        on_time: got.on_time / got.asked,
-        refused: got.refused / got.asked,
-        failed: got.failed / got.asked,
+    sum.map(|outcome| Outcome {
+        asked: outcome.asked,
+        on_time: outcome.on_time / outcome.asked,
+        refused: outcome.refused / outcome.asked,
+        failed: outcome.failed / outcome.asked,
     })
 }
 
@@ -286,10 +300,10 @@
 /// others. Without and with it, means of five seeds: short ones on time 0.47
 /// and 0.85, never finished 0.123 and 0.009; long ones on time 0.52 and 0.61.
 #[test]
-fn short_streams_do_not_crawl_behind_long_prompts() {
-    let [short, long] = play(ChoiceSettings::default());
-    let [spread_short, spread_long] = play(ChoiceSettings {
-        delay_part: 0.0,
+fn short_streams_are_not_slowed_by_long_prompts() {
+    let [short, long] = simulate(ChoiceSettings::default());
+    let [spread_short, spread_long] = simulate(ChoiceSettings {
+        delay_ratio: 0.0,
         ..ChoiceSettings::default()
     });
     assert!(short.on_time > 0.75, "{short:?}");
@@ -306,9 +320,9 @@
 
 /// With room for all, nothing is refused and hardly anything fails.
 #[test]
-fn a_calm_mix_is_served_whole() {
-    let calm = |kind: &Got| kind.refused < 0.005 && kind.failed < 0.005;
-    let got = play_at(ChoiceSettings::default(), 0.4);
-    assert!(got.iter().all(calm), "{got:?}");
-    assert!(got.iter().all(|kind| kind.on_time > 0.9), "{got:?}");
+fn a_mix_below_capacity_is_served_without_refusals() {
+    let is_unaffected = |kind: &Outcome| kind.refused < 0.005 && kind.failed < 0.005;
+    let outcome = simulate_load(ChoiceSettings::default(), 0.4);
+    assert!(outcome.iter().all(is_unaffected), "{outcome:?}");
+    assert!(outcome.iter().all(|kind| kind.on_time > 0.9), "{outcome:?}");
 }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -3,7 +3,9 @@
 use {
     mangowalk_core::{
         engine::{CacheChange, CacheEvents, EngineState, LoadReport},
-        placement::{Ask, Choice, EngineSpec, Placement, PlacementSettings, block_chain},
+        placement::{
+            Choice, EngineSpec, Placement, PlacementRequest, PlacementSettings, block_chain,
+        },
     },
     proptest::prelude::*,
     std::collections::HashSet,
@@ -30,7 +32,7 @@
         .map(|i| EngineSpec {
             name: format!("engine-{i}"),
             model: "drafting".to_owned(),
-            near: true,
+            in_same_domain: true,
             departing: false,
         })
         .collect();
@@ -43,18 +45,18 @@
 }
 
 fn choose(placement: &mut Placement, chain: &[u64], now_ms: u64) -> Choice {
-    let ask = Ask {
+    let request = PlacementRequest {
         model: "drafting",
         version: "v1",
         chain,
-        kept_blocks: 0,
+        kv_store_blocks: 0,
         avoid: &HashSet::new(),
-        fit: &|_| true,
+        is_usable: &|_| true,
         waited_ms: 0,
         queued: 0,
         force: false,
     };
-    let choice = placement.choose(&ask, now_ms);
+    let choice = placement.choose(&request, now_ms);
     choice.expect("an engine with room")
 }
 
@@ -66,7 +68,7 @@
     let mut choice = choose(placement, chain, now_ms);
     placement.sent(&mut choice, chain, now_ms);
     placement.first_token(&mut choice, now_ms + 10);
-    placement.ended(&choice, Some(choice.believed_blocks), now_ms + 20);
+    placement.ended(&choice, Some(choice.held_blocks), now_ms + 20);
     choice
 }
 
@@ -74,23 +76,20 @@
 /// again. It must go back there; a prompt of another team must not count on a
 /// single block of it.
 #[test]
-fn a_prefix_is_believed_for_its_team_alone() {
+fn a_cached_prefix_counts_only_for_its_own_team() {
     let mut placement = placement(12, PlacementSettings::default());
     let first = run(&mut placement, &chain("gallery"), 0);
     let again = choose(&mut placement, &chain("gallery"), 100);
     assert_eq!(again.engine, first.engine);
-    assert!(again.believed_blocks >= 96, "{again:?}");
-    assert_eq!(
-        choose(&mut placement, &chain("cooper"), 100).believed_blocks,
-        0
-    );
+    assert!(again.held_blocks >= 96, "{again:?}");
+    assert_eq!(choose(&mut placement, &chain("cooper"), 100).held_blocks, 0);
 }
 
 /// The engine that held the prefix restarts. Reports and cache events of its
 /// former start, under way since before the crash, must not bring the belief
 /// back: the caller would wait for a prefill that nobody expected.
 #[test]
-fn late_news_of_a_dead_start_is_not_believed() {
+fn late_events_of_a_former_incarnation_are_ignored() {
     let mut placement = placement(12, PlacementSettings::default());
     let chain = chain("gallery");
     let first = run(&mut placement, &chain, 0);
@@ -103,14 +102,14 @@
     };
     placement.cache_events(&first.engine, &late);
     let after = choose(&mut placement, &chain, 200);
-    assert_eq!(after.believed_blocks, 0);
+    assert_eq!(after.held_blocks, 0);
 }
 
 /// Events tell that an engine holds a prefix that another instance sent
 /// there. Then some are lost. What is known of the engine must go with them,
 /// for the lost ones may have been evictions; what follows is believed again.
 #[test]
-fn a_gap_in_the_events_drops_what_is_known() {
+fn a_gap_in_cache_events_clears_the_index_of_the_engine() {
     let mut placement = placement(12, PlacementSettings::default());
     let chain = chain("gallery");
     let stored = |first_sequence| CacheEvents {
@@ -120,26 +119,23 @@
     };
     placement.cache_events("engine-3", &stored(0));
     let known = choose(&mut placement, &chain, 0);
-    assert_eq!(
-        (known.engine.as_str(), known.believed_blocks),
-        ("engine-3", 96)
-    );
+    assert_eq!((known.engine.as_str(), known.held_blocks), ("engine-3", 96));
     let behind_gap = CacheEvents {
         incarnation: 1,
         first_sequence: 5_000,
         changes: Vec::new(),
     };
     placement.cache_events("engine-3", &behind_gap);
-    assert_eq!(choose(&mut placement, &chain, 0).believed_blocks, 0);
+    assert_eq!(choose(&mut placement, &chain, 0).held_blocks, 0);
     placement.cache_events("engine-3", &stored(5_000));
-    assert_eq!(choose(&mut placement, &chain, 0).believed_blocks, 96);
+    assert_eq!(choose(&mut placement, &chain, 0).held_blocks, 96);
 }
 
 /// An engine evicts within seconds. Its answer says that a prefix believed to
 /// be there was not found; other prefixes that it used even earlier must not
 /// be believed any more, without a miss of each.
 #[test]
-fn a_miss_corrects_what_is_believed_of_older_prefixes() {
+fn a_miss_shortens_the_retention_of_older_prefixes() {
     let mut placement = placement(1, PlacementSettings::default());
     let older = chain("cooper");
     let newer = chain("gallery");
@@ -148,15 +144,15 @@
     let mut choice = choose(&mut placement, &newer, 6_000);
     placement.sent(&mut choice, &newer, 6_000);
     placement.ended(&choice, Some(0), 6_100);
-    assert_eq!(choose(&mut placement, &older, 6_200).believed_blocks, 0);
-    assert!(choose(&mut placement, &newer, 6_200).believed_blocks > 0);
+    assert_eq!(choose(&mut placement, &older, 6_200).held_blocks, 0);
+    assert!(choose(&mut placement, &newer, 6_200).held_blocks > 0);
 }
 
 /// A busy engine holds the prompt, an idle one does not. The caller waits
 /// least where waiting and computing together are least, so the holder loses
 /// the request only once its queue costs more than the prefill.
 #[test]
-fn a_hit_is_weighed_against_the_wait() {
+fn a_cache_hit_is_weighed_against_the_queue() {
     let settings = PlacementSettings {
         queue_ahead: 64,
         ..PlacementSettings::default()
@@ -175,7 +171,7 @@
 /// others keep their prefill time. Once it has waited for as long as the prompt
 /// takes to compute, it must go where there is room.
 #[test]
-fn a_request_waits_for_its_prompt_but_not_for_ever() {
+fn a_request_waits_for_a_full_holder_only_as_long_as_a_prefill_takes() {
     let settings = PlacementSettings {
         instances: 8,
         ..PlacementSettings::default()
@@ -197,18 +193,18 @@
     };
     placement.cache_events(&format!("engine-{other}"), &nothing);
     let mut after = |waited_ms| {
-        let ask = Ask {
+        let request = PlacementRequest {
             model: "drafting",
             version: "v1",
             chain: &chain,
-            kept_blocks: 0,
+            kv_store_blocks: 0,
             avoid: &HashSet::new(),
-            fit: &|_| true,
+            is_usable: &|_| true,
             waited_ms,
             queued: 0,
             force: false,
         };
-        placement.choose(&ask, 100 + waited_ms)
+        placement.choose(&request, 100 + waited_ms)
     };
     assert_eq!(after(0), None);
     let elsewhere = after(2_000).expect("the other engine");
@@ -218,37 +214,40 @@
 /// Where the store of kept pieces holds a prompt that no engine has, the
 /// decision counts on importing it, which costs less than computing it.
 #[test]
-fn a_kept_piece_is_imported_rather_than_computed() {
+fn blocks_in_the_kv_store_are_imported_rather_than_computed() {
     let settings = PlacementSettings {
         import_us: Some(400.0),
         ..PlacementSettings::default()
     };
     let mut placement = placement(2, settings);
     let chain = chain("gallery");
-    let ask = Ask {
+    let request = PlacementRequest {
         model: "drafting",
         version: "v1",
         chain: &chain,
-        kept_blocks: 64,
+        kv_store_blocks: 64,
         avoid: &HashSet::new(),
-        fit: &|_| true,
+        is_usable: &|_| true,
         waited_ms: 0,
         queued: 0,
         force: false,
     };
-    let choice = placement.choose(&ask, 0).expect("an engine");
+    let choice = placement.choose(&request, 0).expect("an engine");
     assert_eq!(choice.import_blocks, 64);
 }
 
 /// However many engines there are, a decision weighs a bounded number.
 #[test]
-fn the_candidates_are_bounded_at_every_size() {
+fn the_number_of_candidates_is_bounded_at_every_fleet_size() {
     for engines in [16, 160, 640] {
         let mut placement = placement(engines, PlacementSettings::default());
-        let most = (0..200)
-            .map(|i| run(&mut placement, &chain("gallery"), i * 10).weighed)
+        let max_candidates = (0..200)
+            .map(|i| run(&mut placement, &chain("gallery"), i * 10).candidate_count)
             .max();
-        assert!(most <= Some(20), "{engines} engines: {most:?}");
+        assert!(
+            max_candidates <= Some(20),
+            "{engines} engines: {max_candidates:?}"
+        );
     }
 }
 
@@ -278,7 +277,7 @@
     /// said it can't serve it or that is to be avoided, nor count on blocks
     /// that were computed before the engine's last restart.
     #[test]
-    fn no_request_goes_where_it_cannot_run(
+    fn requests_go_only_to_engines_that_can_run_them(
         steps in prop::collection::vec((0_usize..4, event(), any::<bool>()), 1..60),
     ) {
         let mut placement = placement(4, PlacementSettings::default());
@@ -286,7 +285,7 @@
         let mut states: Vec<Option<EngineState>> = vec![Some(state(1, 0)); 4];
         let mut holds = [false; 4];
         let avoid = HashSet::from(["engine-3".to_owned()]);
-        for (i, (engine, event, shunned)) in steps.into_iter().enumerate() {
+        for (i, (engine, event, avoid_fourth)) in steps.into_iter().enumerate() {
             let before = states[engine].clone().unwrap_or_else(|| state(i as u64 + 100, 0));
             let after = match event {
                 Event::Restart => Some(state(i as u64 + 100, 0)),
@@ -305,27 +304,27 @@
             placement.report(&format!("engine-{engine}"), after.as_ref());
             states[engine] = after;
             let none = HashSet::new();
-            let ask = Ask {
+            let request = PlacementRequest {
                 model: "drafting",
                 version: "v1",
                 chain: &chain,
-                kept_blocks: 0,
-                avoid: if shunned { &avoid } else { &none },
-                fit: &|_| true,
+                kv_store_blocks: 0,
+                avoid: if avoid_fourth { &avoid } else { &none },
+                is_usable: &|_| true,
                 waited_ms: 0,
                 queued: 0,
                 force: true,
             };
             let now_ms = i as u64 * 100;
-            let Some(mut choice) = placement.choose(&ask, now_ms) else { continue };
+            let Some(mut choice) = placement.choose(&request, now_ms) else { continue };
             let at: usize = choice.engine.trim_start_matches("engine-").parse().unwrap_or(9);
             let now = states[at].as_ref();
             prop_assert!(now.is_some_and(|s| !s.loading && s.version == "v1"), "{choice:?}");
-            prop_assert!(!(shunned && at == 3));
-            prop_assert!(choice.believed_blocks == 0 || holds[at], "{choice:?}");
+            prop_assert!(!(avoid_fourth && at == 3));
+            prop_assert!(choice.held_blocks == 0 || holds[at], "{choice:?}");
             holds[at] = true;
             placement.sent(&mut choice, &chain, now_ms);
-            placement.ended(&choice, Some(choice.believed_blocks), now_ms + 10);
+            placement.ended(&choice, Some(choice.held_blocks), now_ms + 10);
         }
     }
 }
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! Model engines as instances see them, for the models of a loaded fleet.
 
-use mangowalk_core::pool::{Belief, EngineEntry, Incarnation, Load, ModelVersion};
+use mangowalk_core::pool::{EngineEntry, Incarnation, KnownEngine, Load, ModelVersion};
 
 /// Returns the entry of an engine of one model.
 pub(crate) fn entry(number: usize, slots: u32) -> EngineEntry {
@@ -25,7 +25,7 @@
 
 /// Lets each instance hear what the others have sent to each engine; the
 /// beliefs are by instance, then by engine.
-pub(crate) fn exchange(beliefs: &mut [Vec<Belief>]) {
+pub(crate) fn exchange(beliefs: &mut [Vec<KnownEngine>]) {
     for engine in 0..beliefs.first().map_or(0, Vec::len) {
         let own: Vec<Load> = beliefs.iter().map(|belief| belief[engine].own).collect();
         for (at, belief) in beliefs.iter_mut().enumerate() {
--- a/crates/gateway/src/callers/end.rs
+++ b/crates/gateway/src/callers/end.rs
@@ -14,9 +14,9 @@
     let now_ms = now_ms();
     let mut engines = request.instance.engines.borrow_mut();
     if let Some(belief) = engines.get_mut(engine) {
-        belief.heard(now_ms);
+        belief.record_received(now_ms);
         let health = &request.instance.settings.choice.health;
-        belief.health.answered(health, now_ms);
+        belief.health.record_answer(health, now_ms);
     }
 }
 
--- a/crates/gateway/src/callers/judge.rs
+++ b/crates/gateway/src/callers/judge.rs
@@ -46,7 +46,7 @@
     let now_ms = now_ms();
     let mut engines = request.instance.engines.borrow_mut();
     if let Some(belief) = engines.get_mut(&engine.incarnation.id) {
-        belief.heard(now_ms);
+        belief.record_received(now_ms);
         if let (Some(model), Some(version)) = (&request.need.model, head.version)
             && version > belief.version(model)
         {
@@ -54,7 +54,7 @@
         }
         let health = &request.instance.settings.choice.health;
         if status.is_server_error() {
-            belief.health.failed(health, now_ms);
+            belief.health.record_failure(health, now_ms);
         }
     }
     drop(engines);
@@ -91,7 +91,7 @@
         "full"
     };
     if let Some(belief) = engines.get_mut(&engine.incarnation.id) {
-        belief.heard(now_ms);
+        belief.record_received(now_ms);
         match (reason, &request.need.model) {
             ("other_engine", _) => belief.leaving_since_ms = Some(now_ms),
             ("other_weights", Some(model)) => {
@@ -100,10 +100,10 @@
                 if version > plan.version {
                     belief.set_version(model, version);
                 } else {
-                    belief.refused(REFUSED_PAUSE_MS, now_ms);
+                    belief.pause_after_refusal(REFUSED_PAUSE_MS, now_ms);
                 }
             }
-            _ => belief.refused(REFUSED_PAUSE_MS, now_ms),
+            _ => belief.pause_after_refusal(REFUSED_PAUSE_MS, now_ms),
         }
     }
     drop(engines);
@@ -152,7 +152,7 @@
         return;
     };
     let health = &request.instance.settings.choice.health;
-    belief.health.failed(health, now_ms);
+    belief.health.record_failure(health, now_ms);
     drop(engines);
     if matches!(reason, "lost" | "broken_off" | "half_event") {
         let identity = request.identity();
--- a/crates/gateway/src/callers/passing.rs
+++ b/crates/gateway/src/callers/passing.rs
@@ -151,7 +151,7 @@
         }
         let mut engines = self.request.instance.engines.borrow_mut();
         if let Some(belief) = engines.get_mut(&answered.engine.incarnation.id) {
-            belief.heard(now_ms);
+            belief.record_received(now_ms);
         }
     }
 
--- a/crates/gateway/src/callers/plan.rs
+++ b/crates/gateway/src/callers/plan.rs
@@ -4,8 +4,8 @@
         request::CallerRequest,
     },
     mangowalk_core::pool::{
-        Belief, ChoiceSettings, EngineEntry, Holder, Load, Need, Standing, choose, holder,
-        kept_key, refuse,
+        CacheSource, ChoiceSettings, EngineEntry, EngineRequirements, KnownEngine, ListingStatus,
+        Load, choose, find_cache_source, kv_store_key, retry_after_ms,
     },
     mangowalk_platform::{Forward, forward_headers},
     std::net::SocketAddr,
@@ -51,11 +51,11 @@
         .and_then(|service| service.engine);
     let memory_tokens = limits.map_or(u64::MAX, |limits| limits.memory_tokens);
     let mut engines = instance.engines.borrow_mut();
-    let count = engines.takers(&need.service, now_ms).count();
+    let count = engines.accepting_engines(&need.service, now_ms).count();
     let settings = &adapted(request, memory_tokens, count, now_ms);
     let chosen = choose(
         engines
-            .takers(&need.service, now_ms)
+            .accepting_engines(&need.service, now_ms)
             .filter(|belief| !this.tried.contains(&belief.entry.incarnation.id)),
         need,
         request.wanted(now_ms),
@@ -71,15 +71,17 @@
         let is_first = request.is_first();
         let target_ms = request.route.target_ms;
         let own_tokens = need.prompt_tokens.saturating_sub(need.shared_tokens());
-        if let Some(return_ms) = refuse(chosen, &rate, admit, own_tokens, target_ms, is_first) {
+        if let Some(return_ms) =
+            retry_after_ms(chosen, &rate, admit, own_tokens, target_ms, is_first)
+        {
             log::warn!(
                 "event=full request={} engine={} wait_ms={:.0} target_ms={target_ms} own={} others={} read_per_ms={:.1}",
                 request.id(),
                 chosen.entry.incarnation.id,
-                rate.wait_ms(f64::from(chosen.load().prefill_tokens)),
+                rate.prefill_ms(f64::from(chosen.load().prefill_tokens)),
                 chosen.own.prefill_tokens,
                 chosen.others.prefill_tokens,
-                rate.per_ms(),
+                rate.tokens_per_ms(),
             );
             return Err(Outcome::Full(return_ms));
         }
@@ -90,37 +92,44 @@
         .find_map(|service| service.kept_store.as_ref());
     let store = store.map(|store| store.address);
     let draw = rand::random();
-    let holder = holder(chosen, need, engines.iter(), settings.kept_ms, draw, now_ms);
+    let holder = find_cache_source(
+        chosen,
+        need,
+        engines.iter(),
+        settings.retention_ms,
+        draw,
+        now_ms,
+    );
     let plan = plan(
         request,
         this,
         chosen,
         store,
         holder,
-        settings.kept_ms,
+        settings.retention_ms,
         now_ms,
     );
     if need.model.is_some() {
         let mut turnover = instance.turnover.get();
-        turnover.sent(taken_in(need, plan.is_kept), now_ms);
+        turnover.record_sent(taken_in(need, plan.is_kept), now_ms);
         instance.turnover.set(turnover);
     }
     let entry = chosen.entry.clone();
-    let standing = engines.standing(&entry.incarnation.id, now_ms);
+    let standing = engines.listing_status(&entry.incarnation.id, now_ms);
     log_uncertain(request, &entry, standing);
     if let Some(belief) = engines.get_mut(&entry.incarnation.id) {
-        belief.health.sent(&settings.health, now_ms);
+        belief.health.record_sent(&settings.health, now_ms);
     }
     Ok((entry, plan))
 }
 
 /// Logs why an engine was chosen that may have left.
-fn log_uncertain(request: &CallerRequest, entry: &EngineEntry, standing: Option<Standing>) {
+fn log_uncertain(request: &CallerRequest, entry: &EngineEntry, standing: Option<ListingStatus>) {
     let instance = &request.instance;
     let Some(standing) = standing else {
         return;
     };
-    let Some(doubt) = standing.doubt(instance.settings.list_fresh_ms()) else {
+    let Some(doubt) = standing.departure_suspicion(instance.settings.list_fresh_ms()) else {
         return;
     };
     instance.counters.count("uncertain_engine", doubt.label());
@@ -156,14 +165,14 @@
     let turnover = instance.turnover.get();
     let usual = instance.usual_prompt.get();
     ChoiceSettings {
-        sample: usual.looks(choice.sample, request.need.prompt_tokens),
-        kept_ms: turnover.kept_ms(memory_tokens, engines, instance.instances(), now_ms),
+        sample: usual.sample_size(choice.sample, request.need.prompt_tokens),
+        retention_ms: turnover.retention_ms(memory_tokens, engines, instance.instances(), now_ms),
         ..choice
     }
 }
 
 /// Returns the tokens that an engine has to make room for.
-fn taken_in(need: &Need, is_kept: bool) -> u64 {
+fn taken_in(need: &EngineRequirements, is_kept: bool) -> u64 {
     let kept_tokens = if is_kept { need.shared_tokens() } else { 0 };
     need.memory_tokens.saturating_sub(kept_tokens)
 }
@@ -171,9 +180,9 @@
 fn plan(
     request: &CallerRequest,
     this: &Try<'_>,
-    belief: &Belief,
+    belief: &KnownEngine,
     store: Option<SocketAddr>,
-    holder: Option<Holder>,
+    holder: Option<CacheSource>,
     kept_ms: u64,
     now_ms: u64,
 ) -> Plan {
@@ -181,7 +190,7 @@
     let version = need.model.as_ref().map_or(0, |model| belief.version(model));
     let is_kept = need
         .shared_part()
-        .is_some_and(|part| belief.keeps(part, kept_ms, now_ms));
+        .is_some_and(|part| belief.has_cached(part, kept_ms, now_ms));
     let shared_tokens = need.shared_tokens();
     let worth_fetching = version > 0 && shared_tokens >= LEAST_FETCH_TOKENS;
     let holder = holder.filter(|holder| version > 0 && holder.tokens >= LEAST_NEAR_TOKENS);
@@ -192,7 +201,7 @@
     let is_saved = salt
         .as_ref()
         .zip(shared)
-        .is_some_and(|(salt, part)| kept.holds(kept_key(salt, part.id)));
+        .is_some_and(|(salt, part)| kept.holds(kv_store_key(salt, part.id)));
     // Another engine's link is faster than the store's, but its memory turns
     // over within seconds.
     let (fetch_from, fetched_tokens) = match (is_saved, holder) {
@@ -204,7 +213,7 @@
         && !is_saved
         && need
             .shared_part()
-            .is_some_and(|part| kept.ask(part, now_ms));
+            .is_some_and(|part| kept.claim_save(part, now_ms));
     Plan {
         load: Load {
             requests: 1,
@@ -233,7 +242,7 @@
 const FETCHED: f64 = 0.2;
 
 /// Returns the tokens that an engine has to read, as far as known.
-fn unread(need: &Need, is_kept: bool, fetched_tokens: u64) -> u64 {
+fn unread(need: &EngineRequirements, is_kept: bool, fetched_tokens: u64) -> u64 {
     let shared = need.shared_tokens().min(need.prompt_tokens);
     let own = need.prompt_tokens - shared;
     if is_kept {
--- a/crates/gateway/src/callers/request.rs
+++ b/crates/gateway/src/callers/request.rs
@@ -10,7 +10,7 @@
     http_body_util::{BodyExt, LengthLimitError, Limited},
     hyper::body::Incoming,
     mangowalk_core::{
-        pool::Need,
+        pool::EngineRequirements,
         routing::{Denied, Route, Tenant},
         weights::Wanted,
     },
@@ -39,7 +39,7 @@
     pub(super) body: Bytes,
     pub(super) route: Rc<Route>,
     pub(super) tenant: Option<Rc<Tenant>>,
-    pub(super) need: Need,
+    pub(super) need: EngineRequirements,
     pub(super) arrived_ms: u64,
     /// When the caller leaves, or the operator's limit is reached.
     pub(super) deadline_ms: u64,
@@ -194,22 +194,27 @@
 /// it goes to another one.
 const STOPPING_RETRY_MS: u64 = 20;
 
-fn need(instance: &Instance, head: &RequestHead, route: &Route, tenant: Option<&Tenant>) -> Need {
+fn need(
+    instance: &Instance,
+    head: &RequestHead,
+    route: &Route,
+    tenant: Option<&Tenant>,
+) -> EngineRequirements {
     let service = route.service(rand::random()).to_owned();
     let model = head.usage.and_then(|_| head.model.clone());
     let usage = head.usage;
     if let Some(usage) = usage {
         let mut usual = instance.usual_prompt.get();
-        usual.note(usage.prompt_tokens);
+        usual.record(usage.prompt_tokens);
         instance.usual_prompt.set(usual);
     }
-    Need {
+    EngineRequirements {
         service,
         model,
         memory_tokens: usage.map_or(0, |usage| usage.prompt_tokens + usage.answer_tokens),
         prompt_tokens: usage.map_or(0, |usage| usage.prompt_tokens),
         parts: head.parts.clone(),
-        wall: tenant.filter(|tenant| tenant.isolated).map_or(0, wall),
+        isolation_salt: tenant.filter(|tenant| tenant.isolated).map_or(0, wall),
         domain: instance.machine().domain.clone(),
     }
 }
--- a/crates/gateway/src/callers/tries.rs
+++ b/crates/gateway/src/callers/tries.rs
@@ -104,7 +104,10 @@
 
 fn can_repeat(request: &CallerRequest) -> bool {
     let engines = request.instance.engines.borrow();
-    engines.takers(&request.need.service, now_ms()).count() > 1
+    engines
+        .accepting_engines(&request.need.service, now_ms())
+        .count()
+        > 1
 }
 
 /// Takes one repeat of the service's budget.
--- a/crates/gateway/src/callers/work.rs
+++ b/crates/gateway/src/callers/work.rs
@@ -51,7 +51,7 @@
         if self.is_alone {
             let took_ms = now_ms.saturating_sub(self.began_ms);
             let mut rate = self.instance.read_rate.get();
-            rate.sample(self.load.prefill_tokens, took_ms);
+            rate.record(self.load.prefill_tokens, took_ms);
             self.instance.read_rate.set(rate);
         }
         let prompt = Load {
--- a/crates/gateway/src/instance/blackboard.rs
+++ b/crates/gateway/src/instance/blackboard.rs
@@ -3,7 +3,7 @@
     crate::clock::now_ms,
     mangowalk_core::{
         mesh::{MemberTable, OrderNote},
-        pool::{EngineTable, KeptParts, ReadRate, Turnover, UsualPrompt, short_hash},
+        pool::{EngineTable, KvStoreContents, MeanPromptLength, PrefillRate, Turnover, short_hash},
         retries::RetryBudget,
         routing::{Configuration, RouteTable},
         share::{ShareSettings, ShareTable},
@@ -58,7 +58,7 @@
     /// Requests that were on engines when these crashed.
     pub crashes: RefCell<Crashes>,
     /// What the store of kept parts holds.
-    pub kept: RefCell<KeptParts>,
+    pub kept: RefCell<KvStoreContents>,
     /// Shared parts that engines have read for this instance, and when.
     pub placed: RefCell<VecDeque<(u64, u64, u32)>>,
     /// When this instance started.
@@ -72,11 +72,11 @@
     /// How far the store can be read.
     pub following: Following,
     /// How fast engines read prompts.
-    pub read_rate: Cell<ReadRate>,
+    pub read_rate: Cell<PrefillRate>,
     /// How fast engines' memory fills.
     pub turnover: Cell<Turnover>,
     /// The usual length of prompts.
-    pub usual_prompt: Cell<UsualPrompt>,
+    pub usual_prompt: Cell<MeanPromptLength>,
     /// Newest weights by model.
     pub newest: RefCell<BTreeMap<String, NamedWeights>>,
     /// Parts of teams' rates.
@@ -281,7 +281,7 @@
         let Some(belief) = engines.get_mut(engine) else {
             return;
         };
-        let is_known = belief.keeps(part, TOLD_AGAIN_MS, now_ms);
+        let is_known = belief.has_cached(part, TOLD_AGAIN_MS, now_ms);
         belief.record_part(part, now_ms);
         if is_known {
             return;
--- a/crates/gateway/src/instance/heartbeats.rs
+++ b/crates/gateway/src/instance/heartbeats.rs
@@ -2,7 +2,7 @@
     super::Instance,
     mangowalk_core::{
         mesh::{Heartbeat, OrderNote, OrderPhase},
-        pool::Steering,
+        pool::WorkPause,
         share::{PeerReport, PeerSpending},
         weights::NamedAt,
     },
@@ -29,7 +29,7 @@
         }
         if heartbeat.stopped {
             log::info!("event=peer_stopped peer={}", heartbeat.name);
-            self.engines.borrow_mut().forget_peer(&heartbeat.name);
+            self.engines.borrow_mut().remove_peer(&heartbeat.name);
             return self.look_at_peers(now_ms);
         }
         if !known {
@@ -48,11 +48,11 @@
     fn apply_engine_reports(&self, heartbeat: &Heartbeat, now_ms: u64) {
         for &(part, _) in &heartbeat.placed {
             // The peer's engine was asked to send it; so none here needs to be.
-            self.kept.borrow_mut().ask(part, now_ms);
+            self.kept.borrow_mut().claim_save(part, now_ms);
         }
         let mut engines = self.engines.borrow_mut();
-        engines.peer_load(&heartbeat.name, &heartbeat.loads);
-        engines.placed(&heartbeat.placed, now_ms);
+        engines.set_peer_load(&heartbeat.name, &heartbeat.loads);
+        engines.record_peer_parts(&heartbeat.placed, now_ms);
         let (peer, departures) = (&heartbeat.name, &heartbeat.departures);
         for engine in engines.merge_departures(peer, departures, now_ms) {
             log::info!("event=engine_leaves engine={engine} peer={peer}");
@@ -88,7 +88,7 @@
             OrderPhase::Planned | OrderPhase::Sent => {
                 let age_ms = u64::from(order.age_ms);
                 if belief.version(&order.model) < order.version && age_ms < STEERING_MS {
-                    belief.steering = Some(Steering {
+                    belief.pause = Some(WorkPause {
                         version: order.version,
                         until_ms: now_ms + STEERING_MS - age_ms,
                     });
@@ -98,7 +98,7 @@
                 if belief.version(&order.model) < order.version {
                     belief.set_version(&order.model, order.version);
                 }
-                belief.steering = None;
+                belief.pause = None;
             }
         }
     }
--- a/crates/gateway/src/mesh/exchange.rs
+++ b/crates/gateway/src/mesh/exchange.rs
@@ -97,7 +97,7 @@
     let gone = instance.members.borrow_mut().expire(mesh, now_ms);
     for peer in &gone {
         log::info!("event=peer_gone peer={peer}");
-        instance.engines.borrow_mut().forget_peer(peer);
+        instance.engines.borrow_mut().remove_peer(peer);
     }
     instance.look_at_peers(now_ms);
     sequence.set(sequence.get() + 1);
@@ -150,7 +150,7 @@
         loads: instance.engines.borrow().own_loads(),
         placed: instance.placed_lately(now_ms),
         crashes: instance.crashes.borrow().sights(now_ms),
-        silent: instance.engines.borrow().silent(),
+        silent: instance.engines.borrow().silent_engines(),
         engines_revision: instance.engines.borrow().known_revision(),
         departures: instance
             .engines
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -245,8 +245,8 @@
     let now_ms = now_ms();
     let mut engines = instance.engines.borrow_mut();
     let revision = engines.list_revision();
-    for engine in engines.missing(now_ms) {
-        engines.unlist(&engine, revision, None, now_ms);
+    for engine in engines.grace_expired(now_ms) {
+        engines.remove_entry(&engine, revision, None, now_ms);
         log::info!("event=engine_gone engine={engine} revision={revision}");
     }
 }
--- a/crates/gateway/src/store/followers.rs
+++ b/crates/gateway/src/store/followers.rs
@@ -101,7 +101,7 @@
         match decode_engine(name, revision, &object.spec) {
             Ok(entry) => {
                 let draining = entry.draining;
-                if engines.list(entry) {
+                if engines.apply_entry(entry) {
                     log::info!(
                         "event=engine_listed engine={name} draining={draining} revision={revision}"
                     );
@@ -111,7 +111,7 @@
                 }
             }
             Err(error) => {
-                engines.refuse(name);
+                engines.remove_unreadable(name);
                 log::warn!("event=engine_refused engine={name} error=\"{error}\"");
             }
         }
@@ -121,7 +121,7 @@
         let (lapsed_ms, settled_ms) = (self.0.settings.lapsed_ms, self.0.machine().settled_ms);
         let following = &self.0.following;
         let keep_until_ms = following.keep_missing_until_ms(lapsed_ms, settled_ms, now_ms);
-        if engines.unlist(name, revision, keep_until_ms, now_ms) {
+        if engines.remove_entry(name, revision, keep_until_ms, now_ms) {
             log::info!("event=engine_gone engine={name} revision={revision}");
             self.0.notes.heartbeat.notify_one();
         } else if engines.get(name).is_some() {
@@ -144,13 +144,13 @@
         let now_ms = now_ms();
         let mut engines = self.0.engines.borrow_mut();
         let is_listed = |id: &str| objects.iter().any(|object| object.name == id);
-        for name in engines.unlisted(is_listed) {
+        for name in engines.missing_from(is_listed) {
             self.unlist(&mut engines, &name, revision, now_ms);
         }
         for object in objects {
             self.list(&mut engines, object);
         }
-        engines.listed_up_to(revision, now_ms);
+        engines.set_list_revision(revision, now_ms);
         if !self.0.engines_known.replace(true) {
             log::info!("event=engines_known count={}", objects.len());
         }
@@ -166,7 +166,7 @@
                 None => self.unlist(&mut engines, name, revision, now_ms),
             }
         }
-        engines.listed_up_to(revision, now_ms);
+        engines.set_list_revision(revision, now_ms);
         if !changes.is_empty() {
             self.0.notes.orders.notify_one();
         }
--- a/crates/gateway/src/upstreams/kept.rs
+++ b/crates/gateway/src/upstreams/kept.rs
@@ -1,6 +1,6 @@
 use {
     crate::{instance::Instance, logs::LIFECYCLE, store::CallClient},
-    mangowalk_core::pool::kept_key,
+    mangowalk_core::pool::kv_store_key,
     mangowalk_platform::KeptChanges,
     std::{net::SocketAddr, rc::Rc, time::Duration},
     tokio::time::sleep,
@@ -30,7 +30,7 @@
             Some(address) if is_follower(&instance) => follow(&instance, address).await,
             Some(_) => {
                 // Unknown content is fetched for nothing now and then.
-                instance.kept.borrow_mut().answered(0, false);
+                instance.kept.borrow_mut().record_answer(0, false);
                 sleep(Duration::from_secs(1)).await;
             }
             None => sleep(Duration::from_secs(1)).await,
@@ -66,7 +66,7 @@
             if instance.kept.borrow().is_up() {
                 log::warn!("event=kept_store_lost address={address}");
             }
-            instance.kept.borrow_mut().down();
+            instance.kept.borrow_mut().mark_down();
             since = 0;
             sleep(PAUSE).await;
             continue;
@@ -81,8 +81,8 @@
     if !kept.is_up() {
         log::info!(target: LIFECYCLE, "event=kept_store_answers epoch={}", changes.epoch);
     }
-    kept.answered(changes.epoch, changes.lost);
+    kept.record_answer(changes.epoch, changes.lost);
     for change in &changes.changes {
-        kept.change(kept_key(&change.salt, change.part), change.came);
+        kept.apply_change(kv_store_key(&change.salt, change.part), change.came);
     }
 }
--- a/crates/gateway/src/upstreams/probe.rs
+++ b/crates/gateway/src/upstreams/probe.rs
@@ -19,7 +19,7 @@
     loop {
         let silent: Vec<EngineEntry> = {
             let engines = instance.engines.borrow();
-            let silent = engines.silent();
+            let silent = engines.silent_engines();
             let silent = silent.iter().filter_map(|id| engines.get(id));
             silent.map(|belief| belief.entry.clone()).collect()
         };
@@ -38,7 +38,7 @@
     let now_ms = now_ms();
     pool.adopt(entry, sender, task).put_back(now_ms);
     if let Some(belief) = instance.engines.borrow_mut().get_mut(&entry.incarnation.id) {
-        belief.health.connected();
+        belief.health.record_connection();
     }
     log::warn!("event=engine_answers_again engine={}", entry.incarnation.id);
 }
@@ -55,7 +55,7 @@
     let engines = instance.engines.borrow();
     let belief = engines.get(&entry.incarnation.id);
     let is_silent = belief.is_none_or(|belief| belief.is_silent(now_ms));
-    let is_quiet = belief.is_some_and(|belief| belief.heard_ms < unheard_since_ms);
+    let is_quiet = belief.is_some_and(|belief| belief.last_received_ms < unheard_since_ms);
     drop(engines);
     if is_quiet && !is_silent {
         doubt(instance, pool, entry);
@@ -75,10 +75,10 @@
             return;
         };
         let now_ms = now_ms();
-        if now_ms < belief.doubted_ms + PAUSE.as_millis() as u64 || belief.health.is_silent() {
+        if now_ms < belief.last_probe_ms + PAUSE.as_millis() as u64 || belief.health.is_silent() {
             return;
         }
-        belief.doubted_ms = now_ms;
+        belief.last_probe_ms = now_ms;
     }
     let (instance, pool, entry) = (instance.clone(), pool.clone(), entry.clone());
     spawn_local(async move {
@@ -88,7 +88,7 @@
         };
         if let Some(belief) = instance.engines.borrow_mut().get_mut(&entry.incarnation.id) {
             let health = &instance.settings.choice.health;
-            belief.health.silent(health, now_ms());
+            belief.health.record_silence(health, now_ms());
         }
         pool.drop_idle(&entry.incarnation);
         instance
--- a/crates/gateway/src/weights/orderer.rs
+++ b/crates/gateway/src/weights/orderer.rs
@@ -105,7 +105,7 @@
         let newest = self.instance.newest.borrow();
         let engines = self.instance.engines.borrow();
         let mut lagging = Vec::new();
-        for belief in engines.staying(now_ms()) {
+        for belief in engines.staying_engines(now_ms()) {
             for model in &belief.entry.models {
                 let version = newest.get(&model.model).map_or(0, |named| named.newest());
                 if belief.version(&model.model) < version {
@@ -255,7 +255,7 @@
         let engines = self.instance.engines.borrow();
         let serves = |entry: &EngineEntry| entry.models.iter().any(|m| m.model == model);
         let answering = engines
-            .staying(now_ms)
+            .staying_engines(now_ms)
             .filter(|belief| serves(&belief.entry) && !belief.is_silent(now_ms));
         let requests = answering.clone().map(|belief| belief.load().requests).sum();
         (answering.count(), requests)
--- a/crates/gateway/src/weights/progress.rs
+++ b/crates/gateway/src/weights/progress.rs
@@ -127,7 +127,7 @@
             version: belief.map_or(0, |belief| belief.version(&one.model)),
             requests: belief.map_or(0, |belief| belief.load().requests),
             must_finish: belief.map_or(0, |belief| belief.load().must_finish),
-            answers: belief.is_some_and(|belief| belief.answers(health, now_ms)),
+            answers: belief.is_some_and(|belief| belief.is_responsive(health, now_ms)),
         }
     }
 
--- a/crates/mangowalkd/src/board/admission.rs
+++ b/crates/mangowalkd/src/board/admission.rs
@@ -5,7 +5,7 @@
         admission::{AdmissionSettings, Dispatcher, Job, Verdict},
         config::View,
         engine::{CacheEvents, EngineState},
-        placement::{Ask, Choice, EngineSpec, Placement, PlacementSettings},
+        placement::{Choice, EngineSpec, Placement, PlacementRequest, PlacementSettings},
     },
     std::{
         collections::HashMap,
@@ -125,7 +125,7 @@
 
     /// Chooses an engine past the queue, for a request that was let in
     /// already and lost its engine.
-    pub fn place_again(&self, ask: &Ask<'_>, now_ms: u64) -> Option<Choice> {
+    pub fn place_again(&self, ask: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
         let mut inner = lock(&self.inner);
         let placement = inner.dispatcher.placement_mut();
         let mut choice = placement.choose(ask, now_ms)?;
@@ -134,7 +134,7 @@
     }
 
     /// Returns where a request would go now, and sends nothing.
-    pub fn preview(&self, ask: &Ask<'_>, now_ms: u64) -> Option<Choice> {
+    pub fn preview(&self, ask: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
         let mut inner = lock(&self.inner);
         inner.dispatcher.placement_mut().choose(ask, now_ms)
     }
--- a/crates/mangowalkd/src/board/whole.rs
+++ b/crates/mangowalkd/src/board/whole.rs
@@ -75,7 +75,7 @@
             .map(|e| EngineSpec {
                 name: e.name.clone(),
                 model: e.model.clone(),
-                near: e.failure_domain == self.identity.failure_domain,
+                in_same_domain: e.failure_domain == self.identity.failure_domain,
                 departing: e.departing || view.draining.contains(&e.name),
             })
             .collect();
--- a/crates/mangowalkd/src/controller/cache_events.rs
+++ b/crates/mangowalkd/src/controller/cache_events.rs
@@ -40,7 +40,7 @@
         for _ in 0..engines.len().min(ASKED_A_ROUND) {
             self.next = (self.next + 1) % engines.len();
             let engine = engines[self.next];
-            let from = board.dispatch.read(|p| p.events_from(&engine.name));
+            let from = board.dispatch.read(|p| p.next_event_sequence(&engine.name));
             let Some(from) = from else { continue };
             if let Ok(events) = edges.engines().cache_events(engine.address, from) {
                 board.dispatch.cache_events(&engine.name, &events);
--- a/crates/mangowalkd/src/operator/candidates.rs
+++ b/crates/mangowalkd/src/operator/candidates.rs
@@ -5,7 +5,7 @@
     },
     mangowalk_core::{
         config::{EngineRecord, View},
-        placement::{Ask, Choice, block_chain},
+        placement::{Choice, PlacementRequest, block_chain},
         status::{Candidate, ExplainRequest},
     },
     std::collections::HashSet,
@@ -110,7 +110,7 @@
         let expected_ms = choice.expected_ms.round();
         let reason = format!(
             "First token expected after {expected_ms} ms; it is believed to hold {} of {} blocks.",
-            choice.believed_blocks,
+            choice.held_blocks,
             self.blocks()
         );
         (true, reason)
@@ -124,13 +124,13 @@
     }
 
     fn choose(&self, avoid: &HashSet<String>, force: bool) -> Option<Choice> {
-        let ask = Ask {
+        let ask = PlacementRequest {
             model: self.model,
             version: self.version,
             chain: &self.chain,
-            kept_blocks: 0,
+            kv_store_blocks: 0,
             avoid,
-            fit: &|name| force || self.board.upstreams.usable(name, self.now_ms),
+            is_usable: &|name| force || self.board.upstreams.usable(name, self.now_ms),
             force,
             waited_ms: 0,
             queued: self.board.dispatch.queued(),
--- a/crates/mangowalkd/src/operator/explain.rs
+++ b/crates/mangowalkd/src/operator/explain.rs
@@ -4,7 +4,7 @@
     mangowalk_core::{
         config::View,
         limits::minting_ms,
-        placement::tokens_of,
+        placement::estimate_tokens,
         record::Rate,
         refusal::Refusal,
         status::{ExplainReply, ExplainRequest},
@@ -50,7 +50,7 @@
     };
     let version = &offered.version;
     steps.push(format!("Model {model} is offered at version {version}."));
-    let tokens = tokens_of(&request.prompt) + u64::from(request.max_tokens);
+    let tokens = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
     let Some(rate) = view.rates.get(team) else {
         steps.push(format!("Team {team} has no rate, so nothing is let in."));
         return Err(Refusal::RateLimited { retry_ms: 60_000 });
@@ -128,7 +128,7 @@
         .ok_or_else(|| unavailable("Every engine is full; the request would wait or be refused"))?;
     reply.steps.push(format!(
         "Of {} engines weighed, {} is expected to bring the first token soonest.",
-        choice.weighed, choice.engine
+        choice.candidate_count, choice.engine
     ));
     reply.engine = Some(choice.engine);
     Ok(())
--- a/crates/mangowalkd/src/serve/generate.rs
+++ b/crates/mangowalkd/src/serve/generate.rs
@@ -2,7 +2,7 @@
     super::{AnswerSink, ChatRequest, Finished, Router, poison::identity_of},
     mangowalk_core::{
         edge::Edges,
-        placement::tokens_of,
+        placement::estimate_tokens,
         refusal::{Outcome, Refusal},
     },
 };
@@ -26,7 +26,7 @@
             });
         }
         self.refuse_poison(identity_of(request), Outcome::NotRun)?;
-        let reserved = tokens_of(&request.prompt) + u64::from(request.max_tokens);
+        let reserved = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
         let reservation = self.reserve(&request.team, reserved)?;
         let result = self.attempts(request, sink);
         let used = match &result {
--- a/crates/mangowalkd/src/serve/observe.rs
+++ b/crates/mangowalkd/src/serve/observe.rs
@@ -3,7 +3,7 @@
     mangowalk_core::{
         burn::{End, Observation},
         edge::{Clock, Edges, ServiceReply},
-        placement::tokens_of,
+        placement::estimate_tokens,
         refusal::Refusal,
     },
     std::io,
@@ -56,7 +56,7 @@
         };
         let result = self.generate(request, &mut timed);
         let (first_ms, caller_gone) = (timed.first_ms, timed.caller_gone);
-        let asked = tokens_of(&request.prompt) + u64::from(request.max_tokens);
+        let asked = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
         let (end, tokens) = match &result {
             Ok(done) => (
                 End::Complete,
--- a/crates/mangowalkd/src/serve/place.rs
+++ b/crates/mangowalkd/src/serve/place.rs
@@ -5,7 +5,7 @@
         admission::Fit,
         config::View,
         edge::{Clock, Edges},
-        placement::{Ask, BLOCK_BYTES, Choice, block_chain},
+        placement::{BLOCK_BYTES, Choice, PlacementRequest, block_chain},
     },
     std::collections::HashSet,
 };
@@ -66,13 +66,13 @@
         let version = version.map_or_else(|| self.version_for(request), |v| Some(v.to_owned()))?;
         let salt = cache_salt(&request.team, &request.model, &version);
         let chain = block_chain(&salt, &request.prompt);
-        let ask = Ask {
+        let ask = PlacementRequest {
             model: &request.model,
             version: &version,
             chain: &chain,
-            kept_blocks: 0,
+            kv_store_blocks: 0,
             avoid: &avoid,
-            fit,
+            is_usable: fit,
             waited_ms: 0,
             queued: 0,
             force: true,
--- a/crates/standins/src/engine/run.rs
+++ b/crates/standins/src/engine/run.rs
@@ -2,7 +2,7 @@
     super::{answer, stand_in::Shared},
     mangowalk_core::{
         engine::{GenerateEvent, GeneratePayload, GenerateRequest, Usage},
-        placement::{BLOCK_BYTES, TOKEN_BYTES, tokens_of},
+        placement::{BLOCK_BYTES, TOKEN_BYTES, estimate_tokens},
     },
     std::{io::Write, sync::Arc, thread, time::Duration},
 };
@@ -105,7 +105,7 @@
 
     fn done(&self, tokens: u64) -> GeneratePayload {
         let version = self.shared.lock().version.clone();
-        let prompt_tokens = tokens_of(&self.request.prompt);
+        let prompt_tokens = estimate_tokens(&self.request.prompt);
         GeneratePayload::Done {
             finish_reason: "length".to_owned(),
             version,
--- a/crates/standins/src/queue/mangowalk.rs
+++ b/crates/standins/src/queue/mangowalk.rs
@@ -9,7 +9,7 @@
     mangowalk_core::{
         admission::{AdmissionSettings, Dispatcher, Job, Verdict},
         engine::{CacheEvents, EngineState},
-        placement::{Ask, Choice, EngineSpec, Placement, PlacementSettings},
+        placement::{Choice, EngineSpec, Placement, PlacementRequest, PlacementSettings},
     },
     std::collections::{HashMap, HashSet},
 };
@@ -56,7 +56,7 @@
             .map(|engine| EngineSpec {
                 name: name(engine),
                 model: MODEL.to_owned(),
-                near: engine % domains == instance % domains,
+                in_same_domain: engine % domains == instance % domains,
                 departing: false,
             })
             .collect();
@@ -121,13 +121,13 @@
 
     fn again(&mut self, request: &Request, dead: usize, now_ms: u64) -> Vec<Action> {
         let avoid = HashSet::from([name(dead)]);
-        let ask = Ask {
+        let ask = PlacementRequest {
             model: MODEL,
             version: VERSION,
             chain: &request.chain,
-            kept_blocks: 0,
+            kv_store_blocks: 0,
             avoid: &avoid,
-            fit: &|_| true,
+            is_usable: &|_| true,
             waited_ms: 0,
             queued: 0,
             force: true,
@@ -177,7 +177,9 @@
     }
 
     fn events_from(&self, engine: usize) -> Option<u64> {
-        self.dispatcher.placement().events_from(&name(engine))
+        self.dispatcher
+            .placement()
+            .next_event_sequence(&name(engine))
     }
 
     fn cache_events(&mut self, engine: usize, events: &CacheEvents) {
