--- a/crates/core/src/pool/known_engine.rs
+++ b/crates/core/src/pool/known_engine.rs
@@ -156,9 +156,9 @@
 
     /// Takes a peer's word that the engine is silent, unless it spoke here
     /// just now.
-    pub fn report_silent(&mut self, believe_ms: u64, now_ms: u64) {
-        if now_ms >= self.last_received_ms + believe_ms {
-            self.reported_silent_until_ms = now_ms + believe_ms;
+    pub fn report_silent(&mut self, valid_ms: u64, now_ms: u64) {
+        if now_ms >= self.last_received_ms + valid_ms {
+            self.reported_silent_until_ms = now_ms + valid_ms;
         }
     }
 
