--- a/crates/core/src/pool/admit.rs
+++ b/crates/core/src/pool/admit.rs
@@ -1,20 +1,21 @@
 use super::KnownEngine;
 
-/// When a request is refused rather than left waiting at an engine.
+/// When a request is refused rather than queued at an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmitSettings {
-    /// Wait, in times of the target, that an ordinary request may expect.
+    /// Maximum expected wait of an ordinary request, as a multiple of its
+    /// target time.
     ///
-    /// While more comes than the engines can read, a longer queue serves not
-    /// one request more: it makes all of them late, and engines that change
-    /// their weights take as long to finish.
+    /// Under overload, a longer queue does not serve more requests: it makes
+    /// all of them late, and engines that change their weights take longer to
+    /// drain.
     pub max_wait_factor: f64,
-    /// The same for a request of the first rank. Engines let it pass the
-    /// others, so what is queued there matters less to it.
+    /// The same for a request of the highest priority. Engines let it overtake
+    /// the others, so queued work delays it less.
     pub first_max_wait_factor: f64,
-    /// Shortest and longest time after which a refused caller may come back.
+    /// Minimum time after which a refused caller may retry.
     pub min_retry_ms: u64,
-    /// See above.
+    /// Maximum time after which a refused caller is asked to retry.
     pub max_retry_ms: u64,
 }
 
@@ -29,21 +30,22 @@
     }
 }
 
-/// Prompt tokens that an engine reads in a millisecond before any was seen.
+/// Assumed prefill rate of an engine before the first sample.
 const INITIAL_TOKENS_PER_MS: f64 = 40.0;
 
-/// Bounds on what is believed of the rate.
+/// Bounds on one sample of the prefill rate.
 const MIN_TOKENS_PER_MS: f64 = 5.0;
 const MAX_TOKENS_PER_MS: f64 = 1_000.0;
 
-/// Weight of one new sample of the rate.
+/// Weight of one sample in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Shortest prompt by which the rate is measured; shorter ones take about as
-/// long as an engine's single step.
+/// Minimum number of prompt tokens of a sample. Shorter prompts take about as
+/// long as a single step of the engine and do not show its rate.
 const MIN_SAMPLE_TOKENS: u32 = 1_500;
 
-/// How fast engines read prompts, learned from their first events.
+/// Moving average of the rate at which engines read prompts, measured by the
+/// time to the first event.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrefillRate {
     tokens_per_ms: f64,
@@ -58,13 +60,14 @@
 }
 
 impl PrefillRate {
-    /// Returns the tokens that an engine reads in a millisecond.
+    /// Returns the number of prompt tokens that an engine reads per
+    /// millisecond.
     pub fn tokens_per_ms(&self) -> f64 {
         self.tokens_per_ms
     }
 
-    /// Notes how long an engine that had nothing else to read took for a
-    /// prompt.
+    /// Records the prefill time of a prompt at an engine that had no other
+    /// prompt to read.
     pub fn record(&mut self, tokens: u32, took_ms: u64) {
         if tokens < MIN_SAMPLE_TOKENS || took_ms == 0 {
             return;
@@ -75,14 +78,17 @@
             self.tokens_per_ms * (1.0 - SAMPLE_WEIGHT) + tokens_per_ms * SAMPLE_WEIGHT;
     }
 
-    /// Returns how long an engine takes to read so many tokens.
+    /// Returns the time that an engine takes to read a number of prompt tokens.
     pub fn prefill_ms(&self, tokens: f64) -> f64 {
         tokens / self.tokens_per_ms
     }
 }
 
-/// Returns after how many milliseconds a caller should come back whose
-/// request would wait too long at the best engine; `None` where it need not.
+/// Returns the time after which the caller should retry if the request would
+/// wait too long at the best engine, or `None` if the request is admitted.
+///
+/// `own_tokens` are the prompt tokens that no other request shares; `is_first`
+/// marks a request of the highest priority.
 pub fn retry_after_ms(
     best: &KnownEngine,
     rate: &PrefillRate,
--- a/crates/core/src/pool/cache_source.rs
+++ b/crates/core/src/pool/cache_source.rs
@@ -3,23 +3,23 @@
     std::net::SocketAddr,
 };
 
-/// Another engine that keeps the head of a prompt.
+/// Another engine that has the start of a prompt cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheSource {
-    /// Where it listens.
+    /// Address on which the engine accepts connections.
     pub address: SocketAddr,
-    /// Tokens of the prompt that it keeps.
+    /// Length of the cached prefix of the prompt.
     pub tokens: u64,
 }
 
-/// Returns an engine with the same weights that keeps more of the prompt than
-/// the chosen one does, as much of it as any.
+/// Returns an engine with the same weights that has a longer prefix of the
+/// prompt cached than the chosen one. Without such transfers, each engine would
+/// read the shared start of all prompts again after a change of weights.
 ///
-/// Which of several is left to `draw`: an engine's transfers run one after the
-/// other, and all instances that took the first would wait for it.
-///
-/// After a change of weights each engine would else read the first part of all
-/// prompts anew, though others have it.
+/// Of several engines with the longest prefix, one in the failure domain of the
+/// chosen engine is preferred. `draw` decides among the rest: the transfers of
+/// an engine run one after the other, and all instances that took the first
+/// engine would wait for it.
 pub fn find_cache_source<'a>(
     chosen: &KnownEngine,
     requirements: &EngineRequirements,
--- a/crates/core/src/pool/choice.rs
+++ b/crates/core/src/pool/choice.rs
@@ -3,49 +3,51 @@
     crate::weights::Wanted,
 };
 
-/// Weights of the choice among engines. All are in tokens of prompt, the unit
-/// that an engine's time goes into.
+/// Costs in the choice among engines. All are in prompt tokens, the unit of
+/// work that takes most of the time of an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChoiceSettings {
-    /// Failures and pauses.
+    /// Failure decay and probing.
     pub health: HealthSettings,
-    /// Time for which a part that was used is taken to be in the cache; the ends
-    /// of prompts that nobody else shares push it out. An instance works it out
-    /// while it serves; see [`super::Turnover`].
+    /// Time for which a part is assumed to stay in the cache after its last
+    /// use; the unshared ends of prompts push it out. Instances compute it
+    /// while serving; see [`super::Turnover`].
     pub retention_ms: u64,
-    /// Part of the shared tokens that count as read again on an engine that
-    /// isn't known to hold them, where a store of kept parts brings them.
+    /// Share of the shared tokens that counts as read again on an engine that
+    /// is not known to have them cached, where a KV cache store supplies them.
     pub fetch_cost_ratio: f64,
-    /// Tokens that one running request counts: each makes every step of the
-    /// engine a little longer.
+    /// Cost of one running request: each lengthens every step of the engine a
+    /// little.
     pub running_tokens: f64,
-    /// Tokens that an engine in another failure domain counts more; the
-    /// request's body and answer cross between domains, which is paid for.
+    /// Additional cost of an engine in another failure domain: the body and the
+    /// answer of the request cross domains, which is charged for.
     pub other_domain_tokens: f64,
-    /// Tokens that one aged failure counts.
+    /// Cost of one failure, after decay.
     pub failure_tokens: f64,
-    /// Tokens that an engine with old weights counts more.
+    /// Additional cost of an engine with weights older than the newest.
     pub old_weights_tokens: f64,
-    /// Tokens that an engine counts more whose weights make answers worth
-    /// less.
+    /// Additional cost of an engine whose weights are so old that its answers
+    /// are worth less.
     pub overdue_weights_tokens: f64,
-    /// Tokens that an engine without room in its memory counts more.
+    /// Additional cost of an engine without a free slot or without memory for
+    /// the request.
     pub full_tokens: f64,
-    /// Most tokens that an engine counts more by chance, to break ties.
+    /// Maximum random cost, which breaks ties.
     pub jitter_tokens: f64,
-    /// Engines that are looked at beside those that may keep the prompt, for a
-    /// prompt of the usual length. Instances hear of each other's work up to a
-    /// heartbeat later; if all looked at all engines, all would send to the
-    /// same one meanwhile. See [`super::MeanPromptLength`] for others.
+    /// Number of engines considered besides those that may have the prompt
+    /// cached, for a prompt of mean length. Instances learn of the work of each
+    /// other up to one heartbeat late; if all considered all engines, all would
+    /// send to the same one in the meantime. See [`super::MeanPromptLength`]
+    /// for other lengths.
     pub sample: usize,
-    /// Part of a prompt's unread tokens that counts for each request which
-    /// already runs at the engine. All of them wait while it is read: without
-    /// this, long prompts are spread evenly, every step of every engine has a
-    /// piece of one to read, and streams that run there crawl past their
-    /// deadlines.
+    /// Share of the unread tokens of a prompt that is charged for each request
+    /// already running at the engine, since all of them are delayed while the
+    /// prompt is read. Without it, long prompts are spread evenly, every step
+    /// of every engine contains a chunk of one, and streams running there miss
+    /// their deadlines.
     pub delay_ratio: f64,
-    /// Tokens that an engine counts less if a shared part belongs there by
-    /// its hash; lets all instances agree without speaking.
+    /// Cost reduction for the home of a shared part, chosen by rendezvous
+    /// hashing, so that all instances agree on an engine without communication.
     pub home_tokens: f64,
 }
 
@@ -69,11 +71,12 @@
     }
 }
 
-/// Work of one request against the whole of a plain engine, in the same unit.
+/// Cost of one request at an engine without a model, divided by the slots of
+/// the engine.
 const PLAIN_REQUEST_TOKENS: f64 = 1_000.0;
 
-/// Returns the weight of an engine for a part. The engine with the largest is
-/// the part's home; all instances work out the same one.
+/// Returns the rendezvous hash of a part and an engine. The engine with the
+/// highest hash is the home of the part; all instances compute the same one.
 pub fn rendezvous(part: u64, engine: &str) -> u64 {
     let mut hash = part ^ 0x9e37_79b9_7f4a_7c15;
     for byte in engine.bytes() {
@@ -84,10 +87,12 @@
     hash ^ (hash >> 32)
 }
 
-/// Chooses the engine that runs a request soonest, among those given; never
-/// one whose weights are out of bounds.
+/// Returns the engine that can run a request soonest among the given ones, or
+/// `None` if no engine is usable. Engines with weights older than `wanted`
+/// permits are never chosen; paused ones only if no other is available.
 ///
-/// `draw` breaks ties, so that instances that see the same loads don't all
+/// `memory_tokens` is the memory of one engine. `draw` is a random number that
+/// breaks ties, so that instances with the same view of the loads do not all
 /// choose the same engine.
 pub fn choose<'a>(
     engines: impl Iterator<Item = &'a KnownEngine> + Clone,
@@ -148,7 +153,7 @@
         .or_else(|| engines.clone().filter(usable).min_by(cheapest))
 }
 
-/// Returns the names of a few engines, other ones with each draw.
+/// Returns the names of `count` engines, different ones for each draw.
 fn sample<'a>(
     engines: impl Iterator<Item = &'a KnownEngine>,
     count: usize,
@@ -162,7 +167,7 @@
     drawn.into_iter().take(count).map(|(_, id)| id).collect()
 }
 
-/// Returns a part of one that differs by engine and draw.
+/// Returns a pseudo-random value from 0 to 1 that depends on engine and draw.
 fn jitter(draw: u64, engine: &str) -> f64 {
     (rendezvous(draw, engine) % 1_000) as f64 / 1_000.0
 }
--- a/crates/core/src/pool/departures.rs
+++ b/crates/core/src/pool/departures.rs
@@ -4,24 +4,26 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// Departures kept for peers and told in one heartbeat, so that it fits a datagram.
+/// Maximum number of departures kept for peers and sent in one heartbeat, so
+/// that it fits into a datagram.
 const MAX_REPORTED: usize = 64;
 
-/// One start of an engine that drains or has left the list, or is back there.
+/// An incarnation of an engine that drains, has left the engine list, or has
+/// been listed again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departure {
-    /// Short hash of the start.
+    /// Short hash of the incarnation.
     pub start: u32,
-    /// Revision of the store from which on it holds. An entry that was written
-    /// later says otherwise.
+    /// Revision of the store from which on this applies. An entry written later
+    /// supersedes it.
     pub revision: u64,
-    /// Whether the engine was listed again at that revision: entries lapse while
-    /// the store is away.
+    /// Whether the engine was listed again at that revision: entries expire
+    /// while the store is unavailable and are written again afterwards.
     pub is_over: bool,
 }
 
 impl Departure {
-    /// Returns the departure of an engine at a revision.
+    /// Returns the departure of the incarnation of an entry at a revision.
     pub fn of(entry: &EngineEntry, revision: u64) -> Departure {
         Departure {
             start: entry.incarnation.short_hash(),
@@ -31,7 +33,7 @@
     }
 }
 
-/// The last report of a departure or its end by a peer.
+/// The last report of a peer about a departure or its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Report {
     pub(super) peer: String,
@@ -39,12 +41,14 @@
     pub(super) departure: Departure,
 }
 
-/// Engines that have left, as the own list and peers told.
+/// Engines that have left, according to the own list (`seen`) and to peers
+/// (`reported`).
 ///
-/// What peers told holds for as long as the own list is older: an instance that
-/// can't read the store has no end of that in sight, and its list has the engine
-/// all the while. A time-out would send it work again. Only an entry that was
-/// written later ends it, read here or told.
+/// The report of a peer applies for as long as the own list is older. An
+/// instance that cannot read the store keeps the engine in its list for an
+/// unbounded time, so a timeout would send new work to an engine that has left.
+/// Only an entry written later ends a departure, whether it was read by this
+/// instance or reported.
 #[derive(Debug, Default)]
 pub(super) struct Departures {
     seen: VecDeque<Departure>,
@@ -52,13 +56,13 @@
 }
 
 impl Departures {
-    /// Notes that the own list lacks an engine from a revision on.
+    /// Records that the own list lacks an engine since a revision.
     pub(super) fn record_removal(&mut self, entry: &EngineEntry, revision: u64) {
         self.record(Departure::of(entry, revision));
     }
 
-    /// Notes an entry of the own list. One that drains is a departure, any other
-    /// ends those before it.
+    /// Records an entry of the own list. A draining engine is a departure; any
+    /// other entry ends an earlier departure.
     pub(super) fn record_entry(&mut self, entry: &EngineEntry) {
         let listed = Departure {
             is_over: !entry.draining,
@@ -80,8 +84,8 @@
         }
     }
 
-    /// Takes over what a peer told. Returns whether it is news that the engine
-    /// leaves.
+    /// Applies the report of a peer. Returns whether the departure of the
+    /// engine was unknown before.
     pub(super) fn merge(&mut self, peer: &str, departure: Departure, now_ms: u64) -> bool {
         let known = self.reported.get(&departure.start);
         let known = known.map(|report| report.departure);
@@ -97,8 +101,8 @@
         known.is_none_or(|known| known.is_over) && !departure.is_over
     }
 
-    /// Returns whether a peer reported that an engine leaves, later than its entry
-    /// was written.
+    /// Returns whether a peer reported a departure at or after the revision of
+    /// the entry.
     pub(super) fn is_reported(&self, entry: &EngineEntry) -> bool {
         self.report_of(entry).is_some_and(|report| {
             let departure = report.departure;
@@ -106,7 +110,7 @@
         })
     }
 
-    /// Returns the last report of an engine's departure or its end.
+    /// Returns the last report about a departure of the engine or its end.
     pub(super) fn report_of(&self, entry: &EngineEntry) -> Option<&Report> {
         if self.reported.is_empty() {
             return None;
@@ -114,15 +118,16 @@
         self.reported.get(&entry.incarnation.short_hash())
     }
 
-    /// Forgets what the own list tells by itself, but for some starts.
+    /// Removes reports that the own list covers up to a revision, except for
+    /// the `retained` incarnations.
     pub(super) fn remove_up_to(&mut self, revision: u64, retained: &[u32]) {
         self.reported.retain(|start, report| {
             report.departure.revision > revision || retained.contains(start)
         });
     }
 
-    /// Returns what those need to hear who know the list up to a revision, the
-    /// newest that was seen first.
+    /// Returns the departures after a revision, for peers that know the list up
+    /// to it. The most recently seen come first.
     pub(super) fn since(&self, revision: u64) -> Vec<Departure> {
         let reported = self.reported.values().map(|report| report.departure);
         let seen = self.seen.iter().rev().copied();
--- a/crates/core/src/pool/entry.rs
+++ b/crates/core/src/pool/entry.rs
@@ -1,17 +1,17 @@
 use {super::rendezvous, std::net::SocketAddr};
 
-/// One start of an engine. An engine may start again under its old name, and
-/// then holds nothing of what it held before.
+/// One run of an engine process. An engine may restart under the same name, and
+/// its cache and memory are empty then.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Incarnation {
-    /// Name that the engine gave itself.
+    /// Name that the engine chose for itself.
     pub id: String,
-    /// Time of its start, in milliseconds of its own wall clock.
+    /// Start time, in milliseconds of the wall clock of the engine.
     pub born_ms: u64,
 }
 
 impl Incarnation {
-    /// Returns a short hash of this start, for peers.
+    /// Returns a short hash of the incarnation, which peers exchange.
     pub fn short_hash(&self) -> u32 {
         rendezvous(self.born_ms, &self.id) as u32
     }
@@ -20,31 +20,31 @@
 /// A model that an engine serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelVersion {
-    /// The model's name.
+    /// Name of the model.
     pub model: String,
     /// Version of the weights.
     pub version: u64,
 }
 
-/// What an engine writes of itself in the list.
+/// Entry that an engine writes about itself in the engine list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineEntry {
-    /// This start of the engine.
+    /// Incarnation that wrote the entry.
     pub incarnation: Incarnation,
-    /// Revision of the store at which this was written.
+    /// Revision of the store at which the entry was written.
     pub revision: u64,
-    /// Service whose requests it runs.
+    /// Service whose requests the engine runs.
     pub service: String,
-    /// Where it listens.
+    /// Address on which the engine accepts connections.
     pub address: SocketAddr,
-    /// Failure domain in which it stands.
+    /// Failure domain of the engine.
     pub domain: String,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether the engine is about to leave and takes no new work.
     pub draining: bool,
-    /// Models and versions that it serves.
+    /// Models and weights versions that the engine serves.
     pub models: Vec<ModelVersion>,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which the engine is slow after its start.
     pub cold_left_ms: u64,
 }
--- a/crates/core/src/pool/health.rs
+++ b/crates/core/src/pool/health.rs
@@ -1,14 +1,15 @@
-/// How an engine's failures keep work from it.
+/// How failures keep requests away from an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HealthSettings {
-    /// Time after which half of a failure is forgotten. Some engines fail a
-    /// part of their requests for seconds while their own check is good; a
-    /// second or two keeps most work away and finds out when it is over.
+    /// Half-life of a failure. Some engines fail part of their requests for
+    /// seconds while their own health check passes; one or two seconds keep
+    /// most requests away and still detect the recovery.
     pub half_life_ms: f64,
-    /// Failures, aged, from which on an engine gets only single requests.
+    /// Decayed number of failures from which on an engine gets only single
+    /// probe requests.
     pub suspect_from: f64,
-    /// Time for which a single request may be under way at a doubtful engine
-    /// before a further one is sent.
+    /// Time after which another probe request is sent if the last one has not
+    /// ended.
     pub probe_ms: u64,
 }
 
@@ -22,7 +23,7 @@
     }
 }
 
-/// What was seen of one engine's answers.
+/// Recent failures of one engine, as seen by this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Health {
     failures: f64,
@@ -32,7 +33,8 @@
 }
 
 impl Health {
-    /// Notes an answer that is the engine's own and whole.
+    /// Records a complete answer of the engine itself. Reduces the failures by
+    /// a fifth.
     pub fn record_answer(&mut self, settings: &HealthSettings, now_ms: u64) {
         self.failures = self.failures(settings, now_ms) * 0.8;
         self.updated_ms = now_ms;
@@ -40,49 +42,51 @@
         self.probing_since_ms = None;
     }
 
-    /// Notes a failed or broken answer.
+    /// Records a failed or broken answer.
     pub fn record_failure(&mut self, settings: &HealthSettings, now_ms: u64) {
         self.failures = self.failures(settings, now_ms) + 1.0;
         self.updated_ms = now_ms;
         self.probing_since_ms = None;
     }
 
-    /// Notes that the engine took no connection, or fell silent. It gets no
-    /// request until it takes a connection again.
+    /// Records that the engine accepted no connection or stopped sending. It
+    /// gets no request until it accepts a connection again.
     pub fn record_silence(&mut self, settings: &HealthSettings, now_ms: u64) {
         self.record_failure(settings, now_ms);
         self.silent_attempts += 1;
     }
 
-    /// Notes that a request goes to the engine.
+    /// Records that a request is sent to the engine; the request is a probe if
+    /// the engine is suspect.
     pub fn record_sent(&mut self, settings: &HealthSettings, now_ms: u64) {
         if self.is_suspect(settings, now_ms) {
             self.probing_since_ms = Some(now_ms);
         }
     }
 
-    /// Notes that the engine took a connection again.
+    /// Records that the engine accepted a connection again.
     pub fn record_connection(&mut self) {
         self.silent_attempts = 0;
     }
 
-    /// Returns whether the engine did not answer when last tried.
+    /// Returns whether the engine did not answer at the last attempt.
     pub fn is_silent(&self) -> bool {
         self.silent_attempts > 0
     }
 
-    /// Returns the failures, aged.
+    /// Returns the decayed number of failures.
     pub fn failures(&self, settings: &HealthSettings, now_ms: u64) -> f64 {
         let passed = now_ms.saturating_sub(self.updated_ms) as f64;
         self.failures * (-passed / settings.half_life_ms).exp2()
     }
 
-    /// Returns whether only single requests should go to the engine.
+    /// Returns whether the engine should get only single probe requests.
     pub fn is_suspect(&self, settings: &HealthSettings, now_ms: u64) -> bool {
         self.silent_attempts > 0 || self.failures(settings, now_ms) >= settings.suspect_from
     }
 
-    /// Returns whether no request should go to the engine now.
+    /// Returns whether no request should be sent to the engine now: it is
+    /// silent, or suspect with a probe in flight.
     pub fn is_excluded(&self, settings: &HealthSettings, now_ms: u64) -> bool {
         if self.silent_attempts > 0 {
             return true;
--- a/crates/core/src/pool/known_engine.rs
+++ b/crates/core/src/pool/known_engine.rs
@@ -4,21 +4,22 @@
     std::collections::HashMap,
 };
 
-/// Work that was sent to an engine and isn't done.
+/// Unfinished work that was sent to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Tokens that they may take in the engine's memory.
+    /// Maximum number of tokens that the requests occupy in the memory of the
+    /// engine.
     pub memory_tokens: u32,
-    /// Tokens of prompts that are still to be read.
+    /// Prompt tokens that the engine has yet to read.
     pub prefill_tokens: u32,
-    /// Requests that can't go on elsewhere if their run is cut off.
+    /// Requests that cannot resume on another engine if they are cut off.
     pub must_finish: u32,
 }
 
 impl Load {
-    /// Adds another's work.
+    /// Adds other work.
     pub fn add(&mut self, other: Load) {
         self.requests = self.requests.saturating_add(other.requests);
         self.memory_tokens = self.memory_tokens.saturating_add(other.memory_tokens);
@@ -26,7 +27,7 @@
         self.must_finish = self.must_finish.saturating_add(other.must_finish);
     }
 
-    /// Removes work that was added before.
+    /// Subtracts work that was added before. Saturates at 0.
     pub fn remove(&mut self, other: Load) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.memory_tokens = self.memory_tokens.saturating_sub(other.memory_tokens);
@@ -35,54 +36,57 @@
     }
 }
 
-/// Work that is kept away from an engine whose weights are about to change.
+/// A time during which an engine gets no new work: its weights are about to
+/// change, or it has refused work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkPause {
-    /// Weights that it will have.
+    /// Weights version that the engine will have; 0 after a refusal.
     pub version: u64,
-    /// When the note is no longer believed.
+    /// End of the pause.
     pub until_ms: u64,
 }
 
-/// All that this instance believes of one engine.
+/// State of one engine as known to this instance.
 #[derive(Debug, Clone)]
 pub struct KnownEngine {
-    /// What the engine said of itself.
+    /// Last entry of the engine in the engine list.
     pub entry: EngineEntry,
-    /// Short hash of its name, under which peers tell of it.
+    /// Short hash of its name, by which peers refer to it in heartbeats.
     pub name_hash: u32,
     /// Work sent by this instance.
     pub own: Load,
-    /// Work sent by others, as they told last.
+    /// Work sent by other instances, as last reported by them.
     pub others: Load,
-    /// Failures seen.
+    /// Failures seen by this instance.
     pub health: Health,
-    /// Weights by model, from lists, answers and orders.
+    /// Weights version per model, from list entries, answers and orders.
     pub versions: HashMap<String, u64>,
-    /// Set while its weights are changed.
+    /// Set while the engine gets no new work.
     pub pause: Option<WorkPause>,
-    /// Shared parts that it read, and when they were last used.
+    /// Shared prompt parts that the engine has read, with the time of their
+    /// last use.
     pub cached_parts_ms: HashMap<u64, u64>,
-    /// When it told that it is about to leave, in an answer.
+    /// Time at which an answer of the engine announced that it is about to
+    /// leave.
     pub leaving_since_ms: Option<u64>,
-    /// Since when the list lacks it.
+    /// Time since which the engine list lacks the engine.
     pub missing_since_ms: Option<u64>,
-    /// Until when it is used although the list lacks it.
+    /// Time until which the engine is used although the list lacks it.
     pub missing_until_ms: Option<u64>,
-    /// When it was last tried whether it takes connections.
+    /// Time of the last probe for whether it accepts connections.
     pub last_probe_ms: u64,
-    /// Until when a peer's word that it is silent is believed.
+    /// Time until which the report of a peer that it is silent applies.
     pub reported_silent_until_ms: u64,
-    /// When its last byte came.
+    /// Time at which the last byte was received from it.
     pub last_received_ms: u64,
 }
 
-/// Parts remembered of one engine. Its memory holds a few dozen shared parts;
-/// more would be remembered in vain.
+/// Maximum number of parts recorded per engine. The memory of an engine holds a
+/// few dozen shared parts, so more entries would be of no use.
 const MAX_CACHED_PARTS: usize = 256;
 
 impl KnownEngine {
-    /// Returns the belief of an engine that was just listed.
+    /// Returns the initial state of an engine that was just listed.
     pub fn new(entry: EngineEntry) -> KnownEngine {
         let versions = entry
             .models
@@ -107,19 +111,20 @@
         }
     }
 
-    /// Returns the work of all instances.
+    /// Returns the work sent by all instances.
     pub fn load(&self) -> Load {
         let mut load = self.own;
         load.add(self.others);
         load
     }
 
-    /// Returns the weights that the engine has of a model; 0 if unknown.
+    /// Returns the weights version of a model at the engine; 0 if unknown.
     pub fn version(&self, model: &str) -> u64 {
         self.versions.get(model).copied().unwrap_or(0)
     }
 
-    /// Notes the weights of a model. New weights empty the engine's cache.
+    /// Sets the weights version of a model. A change of version clears the
+    /// cached parts, as new weights empty the cache of the engine.
     pub fn set_version(&mut self, model: &str, version: u64) {
         let before = self.versions.insert(model.to_owned(), version);
         if before.is_some_and(|before| before != version) {
@@ -127,49 +132,51 @@
         }
     }
 
-    /// Returns whether work is kept away because weights are changed.
+    /// Returns whether the engine gets no new work for now.
     pub fn is_paused(&self, now_ms: u64) -> bool {
         self.pause.is_some_and(|pause| now_ms < pause.until_ms)
     }
 
-    /// Returns whether the engine takes no connections, as seen here or told
-    /// by a peer.
+    /// Returns whether the engine accepts no connections, according to this
+    /// instance or to a peer.
     pub fn is_silent(&self, now_ms: u64) -> bool {
         now_ms < self.reported_silent_until_ms || self.health.is_silent()
     }
 
-    /// Returns whether the engine is taken to answer, by what was seen here and
-    /// what peers say.
+    /// Returns whether the engine is assumed to answer, according to this
+    /// instance and its peers.
     ///
-    /// Whoever orders weights may have no work at a dead engine and learn of it
-    /// last; while it kept places for dead ones, the orders to the others would
-    /// stand still.
+    /// The instance that orders weights may have no work at a dead engine and
+    /// so detect its failure last. If it kept waiting for dead engines, the
+    /// orders to the others would stall.
     pub fn is_responsive(&self, settings: &HealthSettings, now_ms: u64) -> bool {
         !self.is_silent(now_ms) && !self.health.is_suspect(settings, now_ms)
     }
 
-    /// Returns whether no request should go there: it is silent here, or a
-    /// peer says so and nothing came from it since.
+    /// Returns whether no request should be sent to the engine: it is silent, a
+    /// probe request is in flight, or a peer reported it silent and nothing was
+    /// received from it since.
     pub fn is_excluded(&self, settings: &HealthSettings, now_ms: u64) -> bool {
         now_ms < self.reported_silent_until_ms || self.health.is_excluded(settings, now_ms)
     }
 
-    /// Takes a peer's word that the engine is silent, unless it spoke here
-    /// just now.
+    /// Applies the report of a peer that the engine is silent, for `valid_ms`.
+    /// Ignored if something was received from the engine within that time.
     pub fn report_silent(&mut self, valid_ms: u64, now_ms: u64) {
         if now_ms >= self.last_received_ms + valid_ms {
             self.reported_silent_until_ms = now_ms + valid_ms;
         }
     }
 
-    /// Notes that something came from the engine.
+    /// Records that something was received from the engine.
     pub fn record_received(&mut self, now_ms: u64) {
         self.last_received_ms = now_ms;
         self.reported_silent_until_ms = 0;
         self.health.record_connection();
     }
 
-    /// Keeps work away for a short time, after the engine refused some.
+    /// Pauses new work for a short time after the engine refused some, unless
+    /// it is paused already.
     pub fn pause_after_refusal(&mut self, pause_ms: u64, now_ms: u64) {
         if !self.is_paused(now_ms) {
             self.pause = Some(WorkPause {
@@ -179,13 +186,15 @@
         }
     }
 
-    /// Returns whether a shared part is taken to be in the engine's cache.
+    /// Returns whether the engine is assumed to have a shared part in its
+    /// cache, where parts stay for `retention_ms` after their last use.
     pub fn has_cached(&self, part: u64, retention_ms: u64, now_ms: u64) -> bool {
         let used_ms = self.cached_parts_ms.get(&part);
         used_ms.is_some_and(|used_ms| now_ms < used_ms + retention_ms)
     }
 
-    /// Notes that the engine has read a shared part.
+    /// Records that the engine has read a shared part. Replaces the least
+    /// recently used part if there are `MAX_CACHED_PARTS`.
     pub fn record_part(&mut self, part: u64, now_ms: u64) {
         if self.cached_parts_ms.len() >= MAX_CACHED_PARTS
             && !self.cached_parts_ms.contains_key(&part)
--- a/crates/core/src/pool/kv_store.rs
+++ b/crates/core/src/pool/kv_store.rs
@@ -1,18 +1,19 @@
 use std::collections::{HashMap, HashSet};
 
-/// Parts remembered of a store. It holds a few hundred shared parts and the
-/// ends of prompts that were sent along with them.
+/// Number of recorded keys above which all are dropped. A store holds a few
+/// hundred shared parts and the ends of prompts that were saved along with
+/// them.
 const MAX_KEYS: usize = 20_000;
 
-/// Time within which a part is sent to the store once. An engine that would
-/// wait for the link for more than two seconds doesn't send it; it is asked
-/// again after that.
+/// Time during which a part is saved to the store only once. An engine that
+/// would wait for the link of the store for more than two seconds does not send
+/// the part; after this time another engine is asked.
 const SAVE_CLAIM_MS: u64 = 2_500;
 
-/// Asks that are remembered before those that are over are forgotten.
+/// Number of claims from which on expired ones are removed.
 const MAX_SAVE_CLAIMS: usize = 4_096;
 
-/// What this instance believes a store of kept parts to hold.
+/// Contents of a KV cache store as known to this instance.
 #[derive(Debug, Default)]
 pub struct KvStoreContents {
     epoch: Option<u64>,
@@ -21,7 +22,7 @@
     claimed_ms: HashMap<u64, u64>,
 }
 
-/// Returns the key of a part that is kept under a text.
+/// Returns the key of a part that is stored under a salt.
 pub fn kv_store_key(salt: &str, part: u64) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for byte in salt.bytes() {
@@ -31,8 +32,8 @@
 }
 
 impl KvStoreContents {
-    /// Notes that the store answered. After a restart, or where changes are
-    /// missing, nothing is believed to be held.
+    /// Records that the store answered. Clears the known contents if the store
+    /// has restarted (a new `epoch`) or changes were `lost`.
     pub fn record_answer(&mut self, epoch: u64, lost: bool) {
         self.is_up = true;
         if self.epoch != Some(epoch) || lost || self.held.len() > MAX_KEYS {
@@ -41,12 +42,12 @@
         self.epoch = Some(epoch);
     }
 
-    /// Notes that the store doesn't answer.
+    /// Records that the store does not answer.
     pub fn mark_down(&mut self) {
         self.is_up = false;
     }
 
-    /// Notes that a part came or went.
+    /// Applies a change: a part was stored or removed.
     pub fn apply_change(&mut self, key: u64, stored: bool) {
         if stored {
             self.held.insert(key);
@@ -55,18 +56,19 @@
         }
     }
 
-    /// Returns whether the store answers. Asking one that doesn't costs an
-    /// engine some hundred milliseconds.
+    /// Returns whether the store answers. A request to a store that does not
+    /// costs an engine some hundred milliseconds.
     pub fn is_up(&self) -> bool {
         self.is_up
     }
 
-    /// Notes that an engine is asked to send a part to the store. Returns
-    /// whether nobody asked for it shortly before.
+    /// Claims the saving of a part to the store. Returns `false` if it was
+    /// claimed within the last `SAVE_CLAIM_MS`.
     ///
-    /// After a change of weights many requests read the same part before the
-    /// store tells that it has it. Each sending the part would take the store's
-    /// one link from those that wait for others.
+    /// After a change of weights, many requests read the same part before the
+    /// store reports that it has it. If each of them sent the part, the single
+    /// link of the store would be taken from requests that wait for other
+    /// parts.
     pub fn claim_save(&mut self, part: u64, now_ms: u64) -> bool {
         let claimed_ms = self.claimed_ms.get(&part);
         if claimed_ms.is_some_and(|claimed_ms| now_ms < claimed_ms + SAVE_CLAIM_MS) {
@@ -80,7 +82,7 @@
         true
     }
 
-    /// Returns whether the store holds a part.
+    /// Returns whether the store answers and holds a part.
     pub fn holds(&self, key: u64) -> bool {
         self.is_up && self.held.contains(&key)
     }
--- a/crates/core/src/pool/listing_status.rs
+++ b/crates/core/src/pool/listing_status.rs
@@ -1,21 +1,22 @@
 use {super::Departure, derive_more::Display};
 
-/// What the list of engines and the peers say of whether an engine is there.
+/// What the engine list and the peers say about the presence of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListingStatus {
-    /// Revision of the store at which the engine's entry was written.
+    /// Revision of the store at which the entry of the engine was written.
     pub entry_revision: u64,
-    /// Revision up to which the list is known here.
+    /// Revision up to which this instance knows the list.
     pub list_revision: u64,
-    /// Time since the store last said anything of the list.
+    /// Time since the store last answered a query about the list.
     pub list_age_ms: u64,
-    /// Time since a reading of the list lacked the engine.
+    /// Time since the list was found to lack the engine; `None` if it is
+    /// listed.
     pub missing_ms: Option<u64>,
-    /// The departure that a peer reported last, or its end.
+    /// Departure that a peer reported last, or its end.
     pub departure: Option<Departure>,
-    /// That peer.
+    /// Name of that peer.
     pub reported_by: Option<String>,
-    /// Time since its report.
+    /// Time since the report.
     pub reported_ago_ms: Option<u64>,
 }
 
@@ -23,16 +24,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[display("{}", self.label())]
 pub enum DepartureSuspicion {
-    /// The list lacks it; its entry may have lapsed.
+    /// The list lacks it; its entry may have expired.
     Missing,
     /// A peer reported that it leaves, but its entry is newer.
     ReportedLeaving,
-    /// The list was not heard of for longer than a watch takes.
+    /// The list has not been updated for longer than a watch takes.
     OldList,
 }
 
 impl DepartureSuspicion {
-    /// Returns the label under which it is logged and counted.
+    /// Returns the label used in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             DepartureSuspicion::Missing => "missing",
@@ -43,8 +44,8 @@
 }
 
 impl ListingStatus {
-    /// Returns why the engine may have left, for a list that counts as fresh up
-    /// to an age.
+    /// Returns why the engine may have left; `None` if there is no reason to
+    /// assume so. A list is fresh up to an age of `fresh_ms`.
     pub fn departure_suspicion(&self, fresh_ms: u64) -> Option<DepartureSuspicion> {
         if self.missing_ms.is_some() {
             return Some(DepartureSuspicion::Missing);
--- a/crates/core/src/pool/mod.rs
+++ b/crates/core/src/pool/mod.rs
@@ -1,5 +1,5 @@
-//! The engines that run requests, what is believed of each, and the choice
-//! among them.
+//! The engines that run requests, the known state of each, and the choice among
+//! them.
 
 mod admit;
 mod cache_source;
--- a/crates/core/src/pool/requirements.rs
+++ b/crates/core/src/pool/requirements.rs
@@ -1,39 +1,42 @@
-/// One part of a prompt, shared with other requests or not.
+/// A part of a prompt, which other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of the part and of all parts before it.
+    /// Identity of the part including all parts before it.
     pub id: u64,
-    /// Its tokens.
+    /// Length of the part.
     pub tokens: u32,
 }
 
-/// What a request wants of an engine.
+/// What a request requires of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineRequirements {
-    /// Service that runs it.
+    /// Service that runs the request.
     pub service: String,
-    /// Model, for model engines.
+    /// Model; `None` for services without one.
     pub model: Option<String>,
-    /// Tokens of prompt and longest answer; 0 for plain services.
+    /// Tokens of the prompt and the longest possible answer; 0 for services
+    /// without a model.
     pub memory_tokens: u64,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Parts of the prompt in order; the last is the request's own.
+    /// Parts of the prompt in order. The last one belongs to this request
+    /// alone.
     pub parts: Vec<PromptPart>,
-    /// Team whose cached parts only it may use, mixed into identities.
+    /// Mixed into the identities of parts, so that an isolated team shares no
+    /// cached parts with others; 0 for other teams.
     pub isolation_salt: u64,
     /// Failure domain of this instance.
     pub domain: String,
 }
 
 impl EngineRequirements {
-    /// Returns the identity of the longest part that other requests share.
+    /// Returns the identity of the longest prefix that other requests share.
     pub fn shared_part(&self) -> Option<u64> {
         self.shared_parts().next().map(|(part, _)| part)
     }
 
-    /// Returns the parts that other requests share, the longest first: the
-    /// identity of each and the tokens up to its end.
+    /// Returns the prefixes that other requests share, longest first, each with
+    /// its identity and its length in tokens.
     pub fn shared_parts(&self) -> impl Iterator<Item = (u64, u64)> {
         let shared = self.parts.len().saturating_sub(1);
         (0..shared).rev().map(|last| {
@@ -43,7 +46,7 @@
         })
     }
 
-    /// Returns the tokens of all parts but the request's own.
+    /// Returns the tokens of all parts but the last.
     pub fn shared_tokens(&self) -> u64 {
         self.shared_parts().next().map_or(0, |(_, tokens)| tokens)
     }
--- a/crates/core/src/pool/table.rs
+++ b/crates/core/src/pool/table.rs
@@ -6,16 +6,16 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// Longest time for which an answer that told of leaving is believed without
-/// the list saying so. Engines also close connections at other times.
+/// Maximum time for which an answer that announced a departure applies without
+/// confirmation by the list. Engines also close connections for other reasons.
 const LEAVING_REPORT_MS: u64 = 4_000;
 
-/// Returns a short hash of an engine's name, for peers.
+/// Returns a short hash of the name of an engine, which peers exchange.
 pub fn short_hash(id: &str) -> u32 {
     rendezvous(0, id) as u32
 }
 
-/// Engines that are listed, and what is believed of each.
+/// The listed engines and the known state of each.
 #[derive(Debug, Default)]
 pub struct EngineTable {
     engines: BTreeMap<String, KnownEngine>,
@@ -26,8 +26,8 @@
 }
 
 impl EngineTable {
-    /// Notes that the store answered, and that the list is known up to a
-    /// revision.
+    /// Records that the store answered and that the list is known up to a
+    /// revision. Drops the reports of peers that the list now covers.
     pub fn set_list_revision(&mut self, revision: u64, now_ms: u64) {
         self.list_revision = self.list_revision.max(revision);
         self.list_received_ms = now_ms;
@@ -35,13 +35,14 @@
         self.departures.remove_up_to(self.list_revision, &missing);
     }
 
-    /// Returns the revision up to which the list is known; 0 before it was read.
+    /// Returns the revision up to which the list is known; 0 before the first
+    /// read.
     pub fn list_revision(&self) -> u64 {
         self.list_revision
     }
 
-    /// Returns the revision beyond which peers know more: that of the list, or of
-    /// the entry of an engine that the list lacks for an unknown reason.
+    /// Returns the revision after which peers may know more: that of the list,
+    /// or that of the oldest entry that the list lacks for an unknown reason.
     pub fn known_revision(&self) -> u64 {
         let engines = self.engines.values();
         let missing = engines.filter(|engine| engine.missing_since_ms.is_some());
@@ -49,7 +50,8 @@
         revisions.fold(self.list_revision, u64::min)
     }
 
-    /// Returns what list and peers say of whether an engine is there.
+    /// Returns what the list and the peers say about the presence of an engine;
+    /// `None` if it is not in the table.
     pub fn listing_status(&self, id: &str, now_ms: u64) -> Option<ListingStatus> {
         let engine = self.engines.get(id)?;
         let report = self.departures.report_of(&engine.entry);
@@ -66,10 +68,11 @@
         })
     }
 
-    /// Takes over an entry. A new start under the same name, or another
-    /// address, begins with nothing believed.
+    /// Applies an entry of the list. A new incarnation, address or service
+    /// resets the known state of the engine, except for the work sent to it.
     ///
-    /// Returns whether anything but the engine's models changed.
+    /// Returns whether the engine is new, or its incarnation, address, service
+    /// or draining state changed.
     pub fn apply_entry(&mut self, entry: EngineEntry) -> bool {
         let id = entry.incarnation.id.clone();
         self.departures.record_entry(&entry);
@@ -95,7 +98,8 @@
             return true;
         }
         for model in &entry.models {
-            // An entry lies up to a beat behind what answers have told.
+            // An entry may be up to one heartbeat older than the version in the
+            // last answer.
             if model.version > engine.version(&model.model) {
                 engine.set_version(&model.model, model.version);
             }
@@ -107,13 +111,15 @@
         changed
     }
 
-    /// Removes an engine that left the list. Returns whether it is gone now.
+    /// Removes an engine that left the list. Returns whether it was removed
+    /// now.
     ///
-    /// Entries lapse while the store is away, as engines can't renew them, and
-    /// come back within seconds of its return. Without a grace all engines were
-    /// gone for that time and every request was refused; with `keep_until_ms`
-    /// an engine is used until then, and whether it answers shows itself. Those
-    /// that peers saw leave are not used.
+    /// Entries expire while the store is unavailable, as engines cannot renew
+    /// them, and are written again within seconds of its return. Without a
+    /// grace period, all engines would be gone during that time and every
+    /// request would be refused. With `keep_until_ms`, the engine is used until
+    /// then; requests show whether it answers. Engines that peers have reported
+    /// as departed are not used.
     pub fn remove_entry(
         &mut self,
         id: &str,
@@ -134,35 +140,35 @@
         true
     }
 
-    /// Removes an engine whose entry can't be read. It may be another writer's
-    /// doing, so peers aren't told that the engine has left.
+    /// Removes an engine whose entry cannot be decoded. Another writer may
+    /// have caused it, so no departure is reported to peers.
     pub fn remove_unreadable(&mut self, id: &str) {
         self.engines.remove(id);
     }
 
-    /// Returns the engines that a whole reading of the list lacks.
+    /// Returns the engines that a complete read of the list lacks.
     pub fn missing_from(&self, is_listed: impl Fn(&str) -> bool) -> Vec<String> {
         let ids = self.engines.keys().filter(|id| !is_listed(id));
         ids.cloned().collect()
     }
 
-    /// Returns the engines that the list still lacks when their grace is over.
+    /// Returns the engines that the list still lacks at the end of their grace
+    /// period.
     pub fn grace_expired(&self, now_ms: u64) -> Vec<String> {
         let over = |engine: &KnownEngine| engine.missing_until_ms.is_some_and(|ms| now_ms >= ms);
         let missing = self.engines.iter().filter(|(_, engine)| over(engine));
         missing.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns the engines that leave or have left, for peers of which one knows
-    /// the list only up to a revision.
+    /// Returns the departures for peers that know the list up to a revision.
     pub fn departures(&self, known_revision: u64) -> Vec<Departure> {
         self.departures.since(known_revision)
     }
 
-    /// Takes over which engines a peer saw leave. The list read here may be
-    /// older, and its engines would get work after their time.
+    /// Applies the departures that a peer reported. The own list may be older,
+    /// and the engines would get work after they left.
     ///
-    /// Returns the engines of which that is news.
+    /// Returns the names of the engines whose departure was unknown before.
     pub fn merge_departures(
         &mut self,
         peer: &str,
@@ -188,8 +194,8 @@
         engines.find(|engine| engine.entry.incarnation.short_hash() == start)
     }
 
-    /// Returns the starts that the list lacks. Peers may know more of them: whether
-    /// their entries lapsed or they left.
+    /// Returns the incarnations that the list lacks. Peers may know more:
+    /// whether the entry expired or the engine has left.
     fn missing_starts(&self) -> Vec<u32> {
         let engines = self.engines.values();
         let missing = engines.filter(|engine| engine.missing_since_ms.is_some());
@@ -198,22 +204,23 @@
             .collect()
     }
 
-    /// Returns one engine.
+    /// Returns the known state of an engine.
     pub fn get(&self, id: &str) -> Option<&KnownEngine> {
         self.engines.get(id)
     }
 
-    /// Returns one engine.
+    /// Returns the known state of an engine.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut KnownEngine> {
         self.engines.get_mut(id)
     }
 
-    /// Returns all engines in the order of their names.
+    /// Returns all engines, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &KnownEngine> + Clone {
         self.engines.values()
     }
 
-    /// Returns the engines that stay, as far as the list and peers tell.
+    /// Returns the engines that neither the list nor a peer reports as leaving
+    /// or gone.
     pub fn staying_engines(&self, now_ms: u64) -> impl Iterator<Item = &KnownEngine> + Clone {
         self.engines.values().filter(move |engine| {
             let is_gone = engine
@@ -224,7 +231,7 @@
         })
     }
 
-    /// Returns the engines of a service that take new work.
+    /// Returns the engines of a service that accept new work.
     pub fn accepting_engines<'a>(
         &'a self,
         service: &'a str,
@@ -239,7 +246,7 @@
         })
     }
 
-    /// Takes over what a peer has sent to each engine.
+    /// Replaces the work that a peer has reported for each engine.
     pub fn set_peer_load(&mut self, peer: &str, loads: &[(String, Load)]) {
         self.remove_peer(peer);
         for (id, load) in loads {
@@ -251,7 +258,7 @@
         self.peer_loads.insert(peer.to_owned(), loads);
     }
 
-    /// Forgets a peer's work, once the peer is gone.
+    /// Removes the work of a peer that is gone.
     pub fn remove_peer(&mut self, peer: &str) {
         for (id, load) in self.peer_loads.remove(peer).unwrap_or_default() {
             if let Some(engine) = self.engines.get_mut(&id) {
@@ -260,7 +267,8 @@
         }
     }
 
-    /// Takes over which shared parts engines have read for a peer.
+    /// Records the shared parts that engines have read for a peer, as pairs of
+    /// part and name hash of the engine.
     pub fn record_peer_parts(&mut self, placed: &[(u64, u32)], now_ms: u64) {
         for &(part, hash) in placed {
             let mut engines = self.engines.values_mut();
@@ -270,7 +278,7 @@
         }
     }
 
-    /// Returns the engines that don't answer this instance.
+    /// Returns the engines that do not answer this instance.
     pub fn silent_engines(&self) -> Vec<String> {
         self.engines
             .iter()
@@ -279,7 +287,7 @@
             .collect()
     }
 
-    /// Returns what this instance has sent to each engine, for its peers.
+    /// Returns the work that this instance has sent to each engine.
     pub fn own_loads(&self) -> Vec<(String, Load)> {
         self.engines
             .iter()
@@ -288,7 +296,7 @@
             .collect()
     }
 
-    /// Returns what all peers have sent to one engine.
+    /// Returns the work that all peers have sent to an engine.
     fn peer_load(&self, id: &str) -> Load {
         let mut others = Load::default();
         for loads in self.peer_loads.values() {
--- a/crates/core/src/pool/turnover.rs
+++ b/crates/core/src/pool/turnover.rs
@@ -1,30 +1,32 @@
 use crate::demand::Demand;
 
-/// Bounds on the time for which an engine is taken to keep a part.
+/// Bounds on the estimated time for which an engine caches an unused part.
 const MIN_RETENTION_MS: f64 = 1_000.0;
 const MAX_RETENTION_MS: f64 = 30_000.0;
 
-/// How fast engines' memory fills with what this instance sends, from which
-/// follows how long they keep a part that nobody uses.
+/// Rate at which this instance fills the memory of engines. Determines how long
+/// a part stays cached after its last use.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Turnover {
     sent: Demand,
 }
 
 impl Turnover {
-    /// Notes tokens that an engine has to take into its memory.
+    /// Records tokens that an engine has to take into its memory.
     pub fn record_sent(&mut self, tokens: u64, now_ms: u64) {
         self.sent.add(tokens as f64, now_ms);
     }
 
-    /// Returns for how long a part is taken to stay in an engine's memory after
-    /// its last use, where so many engines of one size take what so many
-    /// instances send.
+    /// Returns the time for which a part is assumed to stay in the memory of an
+    /// engine after its last use. `memory_tokens` is the memory of each of
+    /// `engines` engines; every one of `instances` is assumed to send as much
+    /// as this one.
     ///
-    /// The least recently used part yields, so a part stays until the memory was
-    /// filled once with other tokens. With one fixed time a deployment with
-    /// larger memories or less traffic would read again what it still has, and
-    /// one with smaller ones would send prompts to engines that have lost them.
+    /// The least recently used part is evicted first, so a part stays until the
+    /// memory has been filled once with other tokens. With a fixed time, a
+    /// deployment with larger memories or less traffic would read parts again
+    /// that are still cached, and one with smaller memories would send prompts
+    /// to engines that have evicted them.
     pub fn retention_ms(
         &self,
         memory_tokens: u64,
