--- a/crates/core/tests/mixed.rs
+++ b/crates/core/tests/mixed.rs
@@ -262,7 +262,7 @@
 }
 
 /// Returns the same where so many times the usual comes.
-fn simulate_load(choice: ChoiceSettings, times: f64) -> [Outcome; 2] {
+fn simulate_load(choice: ChoiceSettings, load_factor: f64) -> [Outcome; 2] {
     let mut sum = [Outcome::default(); 2];
     for seed in 1..=5 {
         let mut random = SmallRng::seed_from_u64(seed);
@@ -273,7 +273,7 @@
             }
             (0..ENGINES).for_each(|engine| fleet.step(engine, now_ms as f64));
             for kind in [&LONG, &SHORT] {
-                if random.random_bool(times * kind.per_s / 1_000.0) {
+                if random.random_bool(load_factor * kind.per_s / 1_000.0) {
                     fleet.send(kind, now_ms, &mut random);
                 }
             }
