--- a/crates/core/examples/decision.rs
+++ b/crates/core/examples/decision.rs
@@ -1,7 +1,8 @@
-//! Makes decisions, for counting their instructions.
+//! Makes placement decisions, to count their instructions.
 //!
-//! `decision ENGINES DECISIONS [events]`; scripts/decision-cost runs it under
-//! callgrind with two numbers of decisions and divides the difference.
+//! Usage: `decision ENGINES DECISIONS [events]`. The script
+//! scripts/decision-cost runs it under callgrind with two numbers of decisions
+//! and divides the difference.
 
 use {
     mangowalk_core::{
@@ -11,7 +12,7 @@
     std::{collections::HashSet, env, hint::black_box},
 };
 
-/// Hot prefixes of 160 blocks, and blocks that are new in each request.
+/// Number of hot prefixes, their blocks, and the new blocks of each request.
 const PREFIXES: u64 = 64;
 const SHARED_BLOCKS: u64 = 160;
 const OWN_BLOCKS: u64 = 8;
@@ -25,7 +26,7 @@
     };
     let events = args.get(2).is_some_and(|a| a == "events");
     let mut placement = placement(engines, events);
-    // Every prefix is known before the decisions that are counted.
+    // Records every prefix before the decisions that are counted.
     for i in 0..PREFIXES * 4 {
         decide(&mut placement, i);
     }
@@ -72,7 +73,7 @@
     }
 }
 
-/// Each engine holds every fourth prefix.
+/// Returns the cache events of an engine: each holds every fourth prefix.
 fn stored(engine: u64) -> CacheEvents {
     let held = (0..PREFIXES).filter(|p| p % 4 == engine % 4);
     let changes = held
--- a/crates/core/tests/departures.rs
+++ b/crates/core/tests/departures.rs
@@ -1,4 +1,4 @@
-//! What instances know of engines that leave, whatever the age of their lists.
+//! What instances know of departing engines, whatever the age of their lists.
 
 use {
     mangowalk_core::pool::{EngineEntry, EngineTable, Incarnation},
@@ -7,7 +7,7 @@
 
 const ENGINES: [&str; 3] = ["e0", "e1", "e2"];
 
-/// Long after anything that is believed for a time only.
+/// Longer than any time for which a report or an entry applies.
 const LATER_MS: u64 = 3_600_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     }
 }
 
-/// Lets a table read one change of the list.
+/// Applies one change of the list to a table.
 fn read(table: &mut EngineTable, engine: &str, state: State, revision: u64) {
     match state {
         State::Ready => drop(table.apply_entry(entry(engine, revision, false))),
@@ -64,8 +64,8 @@
     tables
 }
 
-/// Guards against a departure that is believed for a shorter time than the list
-/// stays old.
+/// A reported departure must not expire while the own list is older than it;
+/// otherwise an engine that has left gets work.
 #[test]
 fn a_reported_departure_holds_while_the_own_list_is_older() {
     for state in [State::Draining, State::Gone] {
@@ -77,8 +77,9 @@
     }
 }
 
-/// Guards against work for an engine that peers saw leave before a list that lags
-/// shows it for the first time.
+/// A peer reports the departure of an engine before the own list, which lags,
+/// shows the engine for the first time. It must get no work until a later entry
+/// is read.
 #[test]
 fn an_engine_that_departed_before_it_was_listed_gets_no_work() {
     let (mut sender, mut receiver) = two_tables();
@@ -88,11 +89,15 @@
     read(&mut receiver, "new", State::Ready, 4);
     assert!(!is_used(&receiver, "new", LATER_MS));
     read(&mut receiver, "new", State::Ready, 6);
-    assert!(is_used(&receiver, "new", LATER_MS), "it was written later");
+    assert!(
+        is_used(&receiver, "new", LATER_MS),
+        "the entry was written later"
+    );
 }
 
-/// Guards against the grace for lapsed entries where a peer knows better, also if
-/// it is heard only once the list has been read.
+/// The own list lacks an engine, and a peer reports that it has left. It must
+/// get no grace period, also if the report arrives only after the list was
+/// read.
 #[test]
 fn an_engine_reported_as_departed_gets_no_grace_period() {
     for is_reported_first in [true, false] {
@@ -111,8 +116,9 @@
     }
 }
 
-/// Guards against doing without an engine whose entry lapsed and is back, for as
-/// long as the own list is old.
+/// An entry expires, is reported as a departure, and is written again. The
+/// engine must be used again as soon as that is reported, even if the own list
+/// stays old.
 #[test]
 fn an_engine_listed_again_is_used_after_a_reported_departure() {
     let (mut sender, mut receiver) = two_tables();
@@ -127,8 +133,8 @@
     assert!(!is_used(&receiver, "e1", LATER_MS));
 }
 
-/// Guards against work for the start before, where an engine has started again under
-/// its name and the list is old.
+/// An engine has restarted under its name and the own list is old. The former
+/// incarnation must get no work.
 #[test]
 fn a_replaced_incarnation_gets_no_work() {
     let (mut sender, mut receiver) = two_tables();
@@ -146,7 +152,8 @@
     assert!(is_used(&receiver, "e1", LATER_MS));
 }
 
-/// Guards against telling for ever what all have read.
+/// A departure must be reported only to peers whose list does not contain it
+/// yet; otherwise heartbeats repeat for ever what all have read.
 #[test]
 fn a_departure_is_reported_until_the_peer_has_read_it() {
     let (mut sender, mut receiver) = two_tables();
@@ -154,7 +161,11 @@
     assert_eq!(sender.departures(receiver.known_revision()).len(), 1);
     send_departures(&sender, &mut receiver, 0);
     let relayed = receiver.departures(3);
-    assert_eq!(relayed.len(), 1, "peers that hear only this one need it");
+    assert_eq!(
+        relayed.len(),
+        1,
+        "peers that receive only from this instance need it"
+    );
     read(&mut receiver, "e1", State::Draining, 4);
     assert!(sender.departures(receiver.known_revision()).is_empty());
 }
@@ -177,7 +188,7 @@
     ]
 }
 
-/// What the list held at each revision.
+/// Changes of the list, one per revision.
 struct History(Vec<(usize, State)>);
 
 impl History {
@@ -189,9 +200,9 @@
 }
 
 proptest! {
-    /// In whatever order lists are read and departures told, no engine gets work
-    /// that a peer said to leave, and a list that is as new as all that was told
-    /// is gone by alone.
+    /// Whatever the order of list reads and reports, an engine that a peer has
+    /// reported as departing must get no work, and a list that is as new as all
+    /// reports must decide alone.
     #[test]
     fn reported_departures_hold_in_every_order_of_reads_and_reports(
         steps in prop::collection::vec(step(), 1..60),
@@ -236,7 +247,7 @@
                     prop_assert!(!used || reported == State::Ready, "{id} was {reported:?}");
                     let known = history.state(engine, receiver_revision);
                     let is_there = known == State::Ready && reported == State::Ready;
-                    prop_assert!(used || !is_there, "{id} is there and not used");
+                    prop_assert!(used || !is_there, "{id} is available but not used");
                 } else {
                     let known = history.state(engine, receiver_revision);
                     prop_assert_eq!(used, known == State::Ready);
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Routes, repeats, and which instances are there.
+//! Routing, the retry budget, and mesh membership.
 
 use {
     mangowalk_core::{
@@ -106,8 +106,9 @@
     assert_eq!(two, 100);
 }
 
-/// Whatever comes, the repeats of all instances in a window stay under what
-/// the service allows, though each knows only its own.
+/// Whatever the order of requests and retries, the retries of all instances
+/// within a window must stay within the budget of the service, though each
+/// instance knows only its own.
 #[test]
 fn retries_of_all_instances_stay_within_the_budget() {
     let settings = RetrySettings::default();
@@ -177,12 +178,13 @@
     assert!(!members.hear(heartbeat("p", 1, 9), 1));
     assert!(
         members.hear(heartbeat("p", 3, 1), 1),
-        "a new start counts anew"
+        "a new incarnation starts a new sequence"
     );
 }
 
-/// A peer falls silent. It is no longer named to callers within a second, but
-/// what it may spend stays set aside: it may be serving behind a partition.
+/// A peer stops sending. Callers must not be sent to it any more within a
+/// second, but its share of the budgets must stay reserved: it may still be
+/// serving behind a partition.
 #[test]
 fn a_silent_peer_is_not_advertised_but_still_counted() {
     let settings = MeshSettings::default();
@@ -196,9 +198,9 @@
     assert_eq!(members.is_heard("p", &settings, settings.gone_ms + 1), None);
 }
 
-/// Instances are replaced one after the other, each by one of another name. A
-/// team within its rate must not be refused because parts of it are still set
-/// aside for those that have stopped.
+/// Instances are replaced one after the other by instances of other names. A
+/// team within its rate must not be refused because shares are still reserved
+/// for instances that have stopped.
 #[test]
 fn a_stopped_peer_is_removed_at_once() {
     let settings = MeshSettings::default();
@@ -214,8 +216,8 @@
     assert_eq!(members.iter().count(), 0);
 }
 
-/// Guards against a heartbeat that a relay held up, or a peer's hearsay, that
-/// brings an instance back which has stopped.
+/// A heartbeat that a relay delayed, or an indirect report of a peer, must not
+/// restore an instance that has stopped.
 #[test]
 fn a_stopped_peer_is_not_restored_by_older_messages() {
     let mut members = MemberTable::default();
@@ -239,7 +241,7 @@
     assert!(members.hear(indirect_report, 210));
     let targets = members.targets("a", 1, &settings, 220);
     assert_eq!((members.expected(), targets.direct.len()), (1, 1));
-    assert!(members.hear(heartbeat_of(2, 1), 300), "it started again");
+    assert!(members.hear(heartbeat_of(2, 1), 300), "the peer restarted");
     assert_eq!(members.iter().count(), 2);
 }
 
@@ -254,9 +256,10 @@
     assert!(targets(10).relays.is_empty());
 }
 
-/// Eighty instances in four failure domains. Callers are sent to those that were
-/// heard just now, so everybody has to hear of everybody within a heartbeat,
-/// though each sends to few, and some relays are dead.
+/// Callers are sent only to instances from which a heartbeat arrived recently.
+/// With eighty instances in four failure domains, each must receive a recent
+/// heartbeat of every other one within two intervals, though each instance
+/// sends to few and some relays are dead.
 #[test]
 fn all_instances_receive_each_other_within_two_heartbeats() {
     let settings = MeshSettings::default();
@@ -283,7 +286,9 @@
             max_sent = max_sent.max(targets.direct.len() + targets.relays.len());
             let mut receivers: Vec<SocketAddr> = targets.direct;
             for relay in targets.relays {
-                let relay_index = (0..80).find(|n| address(*n) == relay).expect("it is known");
+                let relay_index = (0..80)
+                    .find(|n| address(*n) == relay)
+                    .expect("the relay is an instance");
                 if !is_dead(relay_index) {
                     receivers.push(relay);
                     receivers.extend(tables[relay_index].within(domain(relay_index)));
@@ -304,8 +309,9 @@
     }
 }
 
-/// A heartbeat fits one datagram at today's size; at the design size it grows
-/// with the engines that an instance has work at, not with all of them.
+/// A heartbeat must fit into one datagram at the size of the current fleet. At
+/// the design size it must grow with the engines at which an instance has work,
+/// not with all engines.
 #[test]
 fn a_heartbeat_is_small() {
     let sized = |engines: usize, teams: usize, placed: usize| {
--- a/crates/core/tests/full.rs
+++ b/crates/core/tests/full.rs
@@ -1,8 +1,8 @@
-//! What callers get while more comes than the engines can read.
+//! What callers get under overload.
 //!
-//! A small model of engines that read prompts one after the other, behind
-//! instances that each choose and refuse by what they have sent themselves and
-//! what the others told up to 200 ms before.
+//! A small model of engines that read prompts one after the other. Each
+//! instance chooses and refuses by what it has sent itself and what the others
+//! reported up to 200 ms before.
 
 mod support;
 
@@ -23,27 +23,27 @@
 const ENGINES: usize = 8;
 const SESSIONS: u64 = 160;
 
-/// Tokens that an engine reads in a millisecond.
+/// Prefill rate of an engine.
 const TOKENS_PER_MS: f64 = 41.4;
 
-/// Time within which a first event is on time, and after which callers leave.
+/// Target time of the first event, and the time after which callers give up.
 const TARGET_MS: f64 = 800.0;
 const DEADLINE_MS: f64 = 6_000.0;
 
-/// Tokens of the shared parts and of a request's own.
+/// Prompt tokens of the shared part and of the part of one request.
 const SHARED_TOKENS: u32 = 6_300;
 const OWN_TOKENS: u32 = 2_900;
 
-/// Shared parts that an engine's memory holds beside what runs.
+/// Shared parts that the memory of an engine holds besides running requests.
 const MEMORY_PARTS: usize = 12;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Policy {
-    /// The decisions of this package.
+    /// The choice and the refusals of this crate.
     ChooseAndRefuse,
-    /// The same choice, and nothing is refused.
+    /// The same choice without refusals.
     NeverRefuse,
-    /// The engine with the fewest requests, and nothing is refused.
+    /// The engine with the fewest requests, without refusals.
     LeastLoaded,
 }
 
@@ -54,7 +54,7 @@
     ends: Vec<(f64, usize, Load)>,
 }
 
-/// What callers got, in parts of all that was asked.
+/// What callers got, as shares of all requests.
 #[derive(Debug, Default)]
 struct Outcome {
     on_time: f64,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Plays ten seconds with so many requests a second.
+/// Simulates ten seconds at `per_s` requests per second.
 fn simulate(policy: Policy, per_s: f64, seed: u64) -> Outcome {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut engines: Vec<Engine> = (0..ENGINES).map(|_| Engine::default()).collect();
@@ -142,12 +142,12 @@
                 best.and_then(|best| known_engines[at].iter().position(|b| std::ptr::eq(b, best)))
             }
         };
-        let engine = chosen.expect("all engines take work");
+        let engine = chosen.expect("all engines accept work");
         let waited = read(&mut engines[engine], at, session, now);
         let load = engines[engine]
             .ends
             .last()
-            .expect("it was just put there")
+            .expect("the request was just added")
             .2;
         known_engines[at][engine].own.add(load);
         for known in &mut known_engines {
@@ -163,8 +163,8 @@
     }
 }
 
-/// Lets an engine read a prompt, and returns after how many milliseconds its
-/// first event comes.
+/// Adds a prompt to the queue of an engine, and returns the time until its
+/// first event.
 fn read(engine: &mut Engine, at: usize, session: u64, now: f64) -> f64 {
     let is_cached = engine.parts.contains(&session);
     engine.parts.retain(|part| *part != session);
@@ -198,12 +198,13 @@
     }
 }
 
-/// Nearly twice as much comes as eight engines can read. Refusing what would
-/// wait too long keeps most of what is admitted on time, and looking at a few
-/// engines only keeps instances from all sending to the one that was free at
-/// the last heartbeat. On time, means of five seeds: 0.05 where nothing is
-/// refused, with this choice or with the fewest requests first; 0.24 with
-/// refusals and all engines looked at; 0.35 with both.
+/// With nearly twice the load that eight engines can read, most admitted
+/// requests must still be on time. Requests that would wait too long are
+/// refused, and each choice considers only a few engines, so that instances do
+/// not all send to the engine that was idle at the last heartbeat. On time,
+/// means of five seeds: 0.05 without refusals, with this choice or with the
+/// fewest requests; 0.24 with refusals and all engines considered; 0.35 with
+/// both.
 #[test]
 fn callers_are_served_on_time_under_overload() {
     let (ours, never, least) = (
@@ -217,8 +218,8 @@
     assert!(ours.late < 0.25, "{ours:?}");
 }
 
-/// On a calm day nothing is refused, and sessions meet the engines that keep
-/// their parts more often than with the fewest requests first.
+/// Below capacity nothing must be refused, and sessions must reach the engines
+/// that have their parts cached at least as often as with the fewest requests.
 #[test]
 fn nothing_is_refused_while_there_is_room() {
     let (ours, least) = (
--- a/crates/core/tests/mixed.rs
+++ b/crates/core/tests/mixed.rs
@@ -1,9 +1,9 @@
 //! What callers get while long prompts and short streams share engines.
 //!
-//! A small model of engines that read prompts in pieces between the tokens of
-//! what runs there: while a long prompt is read, every stream on its engine
-//! gets a token only after each piece. Six instances choose by what they have
-//! sent themselves and what the others told up to 200 ms before.
+//! A small model of engines that read prompts in chunks between the tokens of
+//! running requests: while a long prompt is read, every stream on its engine
+//! gets one token per chunk. Six instances choose by what they have sent
+//! themselves and what the others reported up to 200 ms before.
 
 mod support;
 
@@ -23,22 +23,22 @@
 const INSTANCES: usize = 6;
 const ENGINES: usize = 6;
 
-/// Tokens that an engine reads in a millisecond, and in one piece.
+/// Prefill rate of an engine, and the maximum number of prompt tokens per step.
 const TOKENS_PER_MS: f64 = 37.9;
 const CHUNK_TOKENS: u32 = 2_048;
 
-/// Time of a step of an engine that reads nothing, and what each request adds.
+/// Duration of a step without prefill, and the addition per running request.
 const STEP_MS: f64 = 4.63;
 const STEP_MS_PER_REQUEST: f64 = 0.15;
 
-/// Long parts that an engine's memory holds beside what runs.
+/// Long parts that the memory of an engine holds besides running requests.
 const MEMORY_PARTS: usize = 4;
 const MEMORY_TOKENS: u64 = 150_000;
 
-/// Time that is played.
+/// Simulated time.
 const DURATION_MS: u64 = 15_000;
 
-/// One kind of request.
+/// A kind of requests.
 struct Kind {
     sessions: u64,
     shared_tokens: u32,
@@ -90,7 +90,7 @@
     parts: VecDeque<u64>,
 }
 
-/// What callers of one kind got.
+/// What callers of one kind got: request counts, or shares of `asked`.
 #[derive(Debug, Default, Clone, Copy)]
 struct Outcome {
     asked: f64,
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Sends one request where the instance that got it wants it.
+    /// Sends one request to the engine that a random instance chooses, unless
+    /// it is refused.
     fn send(&mut self, kind: &Kind, now_ms: u64, random: &mut SmallRng) {
         let is_long = !kind.is_first;
         let at = random.random_range(0..INSTANCES);
@@ -166,7 +167,7 @@
             draw,
             now_ms,
         );
-        let best = best.expect("all engines take work");
+        let best = best.expect("all engines accept work");
         let (rate, admit) = (PrefillRate::default(), AdmitSettings::default());
         let own_tokens = u64::from(kind.own_tokens);
         let target_ms = kind.target_ms as u64;
@@ -176,7 +177,7 @@
         }
         let mut known_engines = self.known_engines[at].iter();
         let chosen = known_engines.position(|known| std::ptr::eq(known, best));
-        let chosen = chosen.expect("it is one of them");
+        let chosen = chosen.expect("the chosen engine is one of them");
         let is_cached = self.engines[chosen].parts.contains(&session);
         let unread = kind.own_tokens + if is_cached { 0 } else { kind.shared_tokens };
         let load = Load {
@@ -197,7 +198,7 @@
                 engine.parts.pop_front();
             }
         }
-        // Half of the answers are short, a few as long as they may be.
+        // Half of the answers are short, a few have the maximum length.
         let length: f64 = random.random();
         engine.runs.push(Run {
             at,
@@ -210,7 +211,7 @@
         });
     }
 
-    /// Lets an engine take its next step.
+    /// Runs the next step of an engine if it is idle and has work.
     fn step(&mut self, engine: usize, now_ms: f64) {
         let Engine {
             busy_until_ms,
@@ -255,13 +256,12 @@
     }
 }
 
-/// Returns what callers of short and of long prompts got, as parts of what was
-/// asked, as a mean of five seeds.
+/// Returns the outcomes of short and of long prompts, as means of five seeds.
 fn simulate(choice: ChoiceSettings) -> [Outcome; 2] {
     simulate_load(choice, 1.0)
 }
 
-/// Returns the same where so many times the usual comes.
+/// Returns the same at `load_factor` times the usual load.
 fn simulate_load(choice: ChoiceSettings, load_factor: f64) -> [Outcome; 2] {
     let mut sum = [Outcome::default(); 2];
     for seed in 1..=5 {
@@ -293,12 +293,13 @@
     })
 }
 
-/// Short requests share six engines with scripts of 17,000 tokens, nearly as
-/// many as the engines can read. With long prompts spread evenly each step of
-/// each engine reads a piece of one, and an answer of a hundred tokens takes
-/// longer than its caller waits. Kept together, they leave engines to the
-/// others. Without and with it, means of five seeds: short ones on time 0.47
-/// and 0.85, never finished 0.123 and 0.009; long ones on time 0.52 and 0.61.
+/// Short requests share six engines with scripts of 17,000 tokens, at nearly
+/// the load that the engines can read. If long prompts are spread evenly, every
+/// step of every engine reads a chunk of one, and an answer of a hundred tokens
+/// takes longer than its caller waits. Kept together, they leave engines to the
+/// short ones. Without and with `delay_ratio`, means of five seeds: short ones
+/// on time 0.47 and 0.85, never finished 0.123 and 0.009; long ones on time
+/// 0.52 and 0.61.
 #[test]
 fn short_streams_are_not_slowed_by_long_prompts() {
     let [short, long] = simulate(ChoiceSettings::default());
@@ -318,7 +319,7 @@
     );
 }
 
-/// With room for all, nothing is refused and hardly anything fails.
+/// Below capacity, nothing must be refused and hardly anything may fail.
 #[test]
 fn a_mix_below_capacity_is_served_without_refusals() {
     let is_unaffected = |kind: &Outcome| kind.refused < 0.005 && kind.failed < 0.005;
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,5 @@
-//! What placement believes of engines' caches.
+//! What placement assumes about the caches of engines, and the engines that it
+//! chooses.
 
 use {
     mangowalk_core::{
@@ -57,7 +58,7 @@
         force: false,
     };
     let choice = placement.choose(&request, now_ms);
-    choice.expect("an engine with room")
+    choice.expect("an engine has room")
 }
 
 fn chain(team: &str) -> Vec<u64> {
@@ -72,9 +73,9 @@
     choice
 }
 
-/// A caller's prompt was computed on an engine, and the same prompt comes
-/// again. It must go back there; a prompt of another team must not count on a
-/// single block of it.
+/// A prompt was computed on an engine and the same prompt arrives again: it
+/// must be sent to that engine. The same text from another team must not count
+/// on any cached block.
 #[test]
 fn a_cached_prefix_counts_only_for_its_own_team() {
     let mut placement = placement(12, PlacementSettings::default());
@@ -85,9 +86,10 @@
     assert_eq!(choose(&mut placement, &chain("cooper"), 100).held_blocks, 0);
 }
 
-/// The engine that held the prefix restarts. Reports and cache events of its
-/// former start, under way since before the crash, must not bring the belief
-/// back: the caller would wait for a prefill that nobody expected.
+/// An engine that held a prefix restarts. Reports and cache events of its
+/// former incarnation, in transit since before the crash, must not restore the
+/// entry; otherwise a request is sent there and waits for a prefill that was
+/// not expected.
 #[test]
 fn late_events_of_a_former_incarnation_are_ignored() {
     let mut placement = placement(12, PlacementSettings::default());
@@ -105,9 +107,9 @@
     assert_eq!(after.held_blocks, 0);
 }
 
-/// Events tell that an engine holds a prefix that another instance sent
-/// there. Then some are lost. What is known of the engine must go with them,
-/// for the lost ones may have been evictions; what follows is believed again.
+/// Cache events show that an engine holds a prefix that another instance sent
+/// there; then some events are lost. The lost ones may have been evictions, so
+/// the entries of the engine must be cleared. Events after the gap apply again.
 #[test]
 fn a_gap_in_cache_events_clears_the_index_of_the_engine() {
     let mut placement = placement(12, PlacementSettings::default());
@@ -131,9 +133,9 @@
     assert_eq!(choose(&mut placement, &chain, 0).held_blocks, 96);
 }
 
-/// An engine evicts within seconds. Its answer says that a prefix believed to
-/// be there was not found; other prefixes that it used even earlier must not
-/// be believed any more, without a miss of each.
+/// An engine evicts blocks within seconds. An answer shows that a prefix
+/// assumed to be cached was not found; prefixes that were used even earlier
+/// must no longer count as cached, without a miss of each.
 #[test]
 fn a_miss_shortens_the_retention_of_older_prefixes() {
     let mut placement = placement(1, PlacementSettings::default());
@@ -148,9 +150,8 @@
     assert!(choose(&mut placement, &newer, 6_200).held_blocks > 0);
 }
 
-/// A busy engine holds the prompt, an idle one does not. The caller waits
-/// least where waiting and computing together are least, so the holder loses
-/// the request only once its queue costs more than the prefill.
+/// A busy engine holds the prompt and an idle one does not. The holder must
+/// lose the request only when its queue costs more than the prefill elsewhere.
 #[test]
 fn a_cache_hit_is_weighed_against_the_queue() {
     let settings = PlacementSettings {
@@ -166,10 +167,10 @@
     assert_ne!(choose(&mut placement, &chain, 100).engine, first.engine);
 }
 
-/// The engine that holds the prompt is full, another one is free. The caller
-/// is served sooner by waiting a little than by a long prefill elsewhere, and
-/// others keep their prefill time. Once it has waited for as long as the prompt
-/// takes to compute, it must go where there is room.
+/// The engine that holds the prompt is full and another one is free. The
+/// request must wait a little rather than be computed again, which would take
+/// prefill time from others. Once it has waited for as long as the prefill
+/// takes, it must be sent to the free engine.
 #[test]
 fn a_request_waits_for_a_full_holder_only_as_long_as_a_prefill_takes() {
     let settings = PlacementSettings {
@@ -185,7 +186,7 @@
         placement.first_token(&mut sent, 10);
     }
     placement.report(&held.engine, Some(&state(1, SLOTS)));
-    // The other engine's events tell that it holds nothing.
+    // The events of the other engine show that its cache is empty.
     let other = usize::from(held.engine == "engine-0");
     let nothing = CacheEvents {
         incarnation: 1,
@@ -207,12 +208,12 @@
         placement.choose(&request, 100 + waited_ms)
     };
     assert_eq!(after(0), None);
-    let elsewhere = after(2_000).expect("the other engine");
+    let elsewhere = after(2_000).expect("the other engine is chosen");
     assert_ne!(elsewhere.engine, held.engine);
 }
 
-/// Where the store of kept pieces holds a prompt that no engine has, the
-/// decision counts on importing it, which costs less than computing it.
+/// The KV cache store holds a prompt that no engine has cached. The blocks must
+/// be imported, which costs less than computing them.
 #[test]
 fn blocks_in_the_kv_store_are_imported_rather_than_computed() {
     let settings = PlacementSettings {
@@ -232,11 +233,11 @@
         queued: 0,
         force: false,
     };
-    let choice = placement.choose(&request, 0).expect("an engine");
+    let choice = placement.choose(&request, 0).expect("an engine is chosen");
     assert_eq!(choice.import_blocks, 64);
 }
 
-/// However many engines there are, a decision weighs a bounded number.
+/// The work of a decision must not grow with the fleet.
 #[test]
 fn the_number_of_candidates_is_bounded_at_every_fleet_size() {
     for engines in [16, 160, 640] {
@@ -251,7 +252,7 @@
     }
 }
 
-/// What may happen to an engine.
+/// Change of the state of an engine.
 #[derive(Debug, Clone, Copy)]
 enum Event {
     Restart,
@@ -272,10 +273,10 @@
 }
 
 proptest! {
-    /// Engines restart, load weights, change version and fall silent in any
-    /// order while requests come. No request may go to an engine that last
-    /// said it can't serve it or that is to be avoided, nor count on blocks
-    /// that were computed before the engine's last restart.
+    /// Engines restart, load weights, change version and stop answering in any
+    /// order while requests arrive. No request may be sent to an engine that is
+    /// excluded or that last reported that it cannot serve it, nor count on
+    /// blocks computed before the last restart of the engine.
     #[test]
     fn requests_go_only_to_engines_that_can_run_them(
         steps in prop::collection::vec((0_usize..4, event(), any::<bool>()), 1..60),
--- a/crates/core/tests/pool.rs
+++ b/crates/core/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Engines, what is believed of them, and the choice among them.
+//! The known state of engines, and the choice among them.
 
 use {
     mangowalk_core::{
@@ -76,8 +76,8 @@
         .collect()
 }
 
-/// Instances that never speak choose the same engine for the same session,
-/// and the sessions spread over all engines.
+/// Instances that do not communicate must choose the same engine for the same
+/// session, and the sessions must spread over all engines.
 #[test]
 fn all_instances_choose_the_same_home_for_a_session() {
     let engines = engines(12);
@@ -140,8 +140,8 @@
     );
 }
 
-/// Weights out of bounds are never used, whatever else speaks for an engine;
-/// where all are, none is chosen.
+/// Engines with weights older than permitted must never be chosen, whatever
+/// their load; if all have such weights, none is chosen.
 #[test]
 fn weights_out_of_bounds_are_never_used() {
     proptest!(|(loads in prop::collection::vec(0_u32..60_000, 3), draw in any::<u64>())| {
@@ -177,12 +177,12 @@
     }
     assert!(
         choose_engine(&engines, &requirements, Wanted::default(), 1).is_some(),
-        "better late than never"
+        "paused engines are better than none"
     );
 }
 
-/// An engine that fails half of what it gets is left for a while, and gets
-/// single requests until it answers well.
+/// An engine that fails part of its requests must get only single probe
+/// requests until one is answered.
 #[test]
 fn a_failing_engine_gets_single_requests() {
     let settings = HealthSettings::default();
@@ -192,7 +192,7 @@
     health.record_failure(&settings, 10);
     assert!(health.is_suspect(&settings, 11));
     health.record_sent(&settings, 20);
-    assert!(health.is_excluded(&settings, 21), "one is under way");
+    assert!(health.is_excluded(&settings, 21), "a probe is in flight");
     health.record_answer(&settings, 30);
     assert!(!health.is_excluded(&settings, 31));
 }
@@ -207,8 +207,9 @@
     assert!(!health.is_excluded(&settings, 60_000));
 }
 
-/// A peer says that an engine is silent. That is believed for a moment, but
-/// not of an engine that spoke here just now.
+/// A peer reports that an engine is silent. The report must expire, and must be
+/// ignored for an engine that this instance has received something from just
+/// now.
 #[test]
 fn a_peer_report_of_silence_expires_and_yields_to_recent_bytes() {
     let settings = HealthSettings::default();
@@ -221,11 +222,9 @@
     assert!(!engine.is_excluded(&settings, 6_400));
 }
 
-/// An engine starts again under its name. Nothing that was believed of it
-/// before may be believed of it now, but work under way is still counted.
-/// A quarter of the engines falls silent while weights change. The instance that
-/// orders has no work there and hears of it from a peer; it must not wait for
-/// them, or the others keep old weights.
+/// A quarter of the engines become unreachable during a change of weights. The
+/// instance that orders the change has no work there and learns of it from a
+/// peer. It must not wait for them, or the other engines keep old weights.
 #[test]
 fn an_engine_reported_silent_is_not_responsive() {
     let settings = HealthSettings::default();
@@ -237,6 +236,8 @@
     assert!(engine.is_responsive(&settings, 10_200));
 }
 
+/// An engine restarts under the same name. Nothing known of the former
+/// incarnation may apply to the new one.
 #[test]
 fn a_new_incarnation_starts_with_no_known_state() {
     let mut table = EngineTable::default();
@@ -306,9 +307,9 @@
     assert_eq!(table.get("e").expect("it is listed").load().requests, 0);
 }
 
-/// A peer that reads the list currently says that engines leave. Their own entry
-/// here may lag; each gets no work from now on, but not one that has started
-/// again under the same name.
+/// A peer with a newer list reports departing engines whose entries are still
+/// listed here. They must get no more work, but a new incarnation under the
+/// same name must.
 #[test]
 fn departing_engines_are_reported_to_peers() {
     let mut sender = EngineTable::default();
@@ -348,15 +349,12 @@
         .iter()
         .filter(|departure| !departure.is_over)
         .count();
-    assert_eq!(
-        (departing, reported.len()),
-        (1, 2),
-        "one is back on the list"
-    );
+    assert_eq!((departing, reported.len()), (1, 2), "one is listed again");
 }
 
-/// All entries lapsed while the store was away. The engines are used for the
-/// grace; those that are not written again by then are gone.
+/// All entries expired while the store was unavailable. The engines must be
+/// used for the grace period; those that are not written again by its end are
+/// removed.
 #[test]
 fn expired_entries_are_used_during_the_grace_period() {
     let mut engines = EngineTable::default();
@@ -370,14 +368,14 @@
     assert_eq!(engines.grace_expired(3_000), ["gone"]);
     assert!(
         engines.remove_entry("gone", 2, Some(3_000), 3_000),
-        "the grace is over"
+        "the grace period is over"
     );
     assert_eq!(engines.departures(0).len(), 1);
 }
 
-/// An engine has just loaded new weights and keeps nothing. The first parts of a
-/// prompt lie on engines with the same weights; it fetches the longest that any
-/// keeps, near by, instead of reading it again.
+/// An engine has just loaded new weights and its cache is empty. It must fetch
+/// the longest prefix of the prompt that an engine with the same weights has
+/// cached, preferably within its failure domain, instead of computing it again.
 #[test]
 fn the_longest_cached_prefix_is_fetched_from_another_engine() {
     let requirements = requirements(7);
@@ -400,20 +398,28 @@
     assert_eq!(found(&engines), None);
     engines[3].record_part(7, 900);
     engines[3].set_version("model", 0);
-    assert_eq!(found(&engines), None, "it has other weights");
+    assert_eq!(found(&engines), None, "that engine has other weights");
     engines[1].record_part(1, 900);
     engines[2].record_part(1, 900);
-    assert_eq!(found(&engines), Some((1, 2_500)), "the near one");
+    assert_eq!(
+        found(&engines),
+        Some((1, 2_500)),
+        "the engine in the same domain"
+    );
     engines[2].record_part(7, 900);
-    assert_eq!(found(&engines), Some((2, 6_300)), "the longer head");
+    assert_eq!(found(&engines), Some((2, 6_300)), "the longer prefix");
     engines[0].record_part(1, 900);
     assert_eq!(found(&engines), Some((2, 6_300)));
     engines[0].record_part(7, 900);
-    assert_eq!(found(&engines), None, "it keeps all that is shared itself");
+    assert_eq!(
+        found(&engines),
+        None,
+        "the engine has all shared parts cached itself"
+    );
 }
 
-/// A store of kept parts restarts. It is empty, so nothing is believed to be
-/// there; while it doesn't answer, nothing is asked of it.
+/// A KV cache store that restarts is empty, so no part may count as stored; nor
+/// while it does not answer.
 #[test]
 fn a_kv_store_is_empty_after_a_restart() {
     let mut kv_store = KvStoreContents::default();
@@ -427,8 +433,8 @@
     assert!(!kv_store.holds(key));
 }
 
-/// Many requests read the same part at once. One engine is asked to send it to
-/// the store; if it didn't arrive, another is asked once the first must have
+/// Many requests read the same part at the same time. Only one engine may be
+/// asked to save it to the store; another is asked once the first must have
 /// given up.
 #[test]
 fn a_part_is_saved_by_one_engine_at_a_time() {
@@ -439,9 +445,9 @@
     assert!(kv_store.claim_save(5, 3_500));
 }
 
-/// More comes than the engines can read. A request that would wait longer
-/// than its time is refused at once, with a time to come back; one of the
-/// first rank, which engines let pass the others, waits longer.
+/// Under overload, a request that would wait longer than permitted must be
+/// refused at once, with a time after which to retry. A request of the highest
+/// priority, which engines let overtake the others, may wait longer.
 #[test]
 fn requests_that_would_wait_too_long_are_refused_at_once() {
     let settings = AdmitSettings::default();
@@ -475,10 +481,10 @@
     );
 }
 
-/// Callers wait while engines read again what they still have, or are sent to
-/// engines that have lost it. How long a part stays follows from the size of the
-/// memory and from what is sent; four times more or less of either moves it by
-/// as much, within bounds.
+/// With a wrong retention time, engines compute prompts again that they still
+/// have cached, or get prompts that they have evicted. The time must follow
+/// from memory size and traffic: four times more or less of either changes it
+/// by the same factor, within bounds.
 #[test]
 fn cache_retention_follows_memory_size_and_load() {
     let retention_ms = |memory_tokens, per_s: u64, engines| {
@@ -510,7 +516,8 @@
     ");
 }
 
-/// Guards against using an engine whose entry is gone until the next sweep.
+/// An engine whose grace period is over must get no work, even before the next
+/// sweep removes it.
 #[test]
 fn an_unlisted_engine_is_not_used_after_its_grace_period() {
     let mut engines = EngineTable::default();
