--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -110,13 +110,13 @@
     }
 
     /// Adds engines known to hold the deepest cached prefixes of the prompt.
-    fn add_holders(&mut self, checkpoints: &[PrefixCheckpoint], turn: u64, now_ms: u64) {
+    fn add_holders(&mut self, checkpoints: &[PrefixCheckpoint], draw: u64, now_ms: u64) {
         for checkpoint in checkpoints.iter().rev() {
             if self.found.len() >= MAX_HOLDER_CANDIDATES {
                 return;
             }
             self.add_recorded_holders(checkpoint, now_ms);
-            self.add_indexed_holders(checkpoint, turn);
+            self.add_indexed_holders(checkpoint, draw);
         }
     }
 
@@ -143,15 +143,15 @@
     /// Adds engines that hold the prefix according to cache events. Starts at a
     /// random slot, so that requests for a prefix that is cached everywhere are
     /// not sent to the same few engines.
-    fn add_indexed_holders(&mut self, checkpoint: &PrefixCheckpoint, turn: u64) {
-        let turn = (turn % 64) as u32;
+    fn add_indexed_holders(&mut self, checkpoint: &PrefixCheckpoint, draw: u64) {
+        let draw = (draw % 64) as u32;
         let mut bits = self
             .placement
             .index
             .holders(checkpoint.digest)
-            .rotate_right(turn);
+            .rotate_right(draw);
         while bits != 0 && self.found.len() < MAX_HOLDER_CANDIDATES {
-            let slot = ((bits.trailing_zeros() + turn) % 64) as usize;
+            let slot = ((bits.trailing_zeros() + draw) % 64) as usize;
             bits &= bits - 1;
             if self.eligible(slot) {
                 self.add_holder(slot, checkpoint.depth_blocks, 0);
@@ -175,9 +175,9 @@
         let mut levels = 0;
         let mut deeper_homes = 0;
         let mut deeper_digest = checkpoints.last().map_or(draw, |c| c.digest);
-        for (at, checkpoint) in checkpoints.iter().enumerate().rev() {
+        for (index, checkpoint) in checkpoints.iter().enumerate().rev() {
             let prefix = self.placement.table.get(checkpoint.digest);
-            if prefix.is_none() && at > 0 {
+            if prefix.is_none() && index > 0 {
                 continue;
             }
             if prefix.is_none() {
--- a/crates/core/src/pool/departures.rs
+++ b/crates/core/src/pool/departures.rs
@@ -69,8 +69,10 @@
             ..Departure::of(entry, entry.revision)
         };
         let mut seen = self.seen.iter();
-        let before = seen.find(|seen| seen.start == listed.start);
-        let is_newer = before.map_or(entry.draining, |before| before.revision < listed.revision);
+        let previous = seen.find(|seen| seen.start == listed.start);
+        let is_newer = previous.map_or(entry.draining, |previous| {
+            previous.revision < listed.revision
+        });
         if is_newer {
             self.record(listed);
         }
--- a/crates/core/src/pool/health.rs
+++ b/crates/core/src/pool/health.rs
@@ -76,8 +76,8 @@
 
     /// Returns the decayed number of failures.
     pub fn failures(&self, settings: &HealthSettings, now_ms: u64) -> f64 {
-        let passed = now_ms.saturating_sub(self.updated_ms) as f64;
-        self.failures * (-passed / settings.half_life_ms).exp2()
+        let elapsed_ms = now_ms.saturating_sub(self.updated_ms) as f64;
+        self.failures * (-elapsed_ms / settings.half_life_ms).exp2()
     }
 
     /// Returns whether the engine should get only single probe requests.
--- a/crates/core/src/pool/table.rs
+++ b/crates/core/src/pool/table.rs
@@ -31,7 +31,7 @@
     pub fn set_list_revision(&mut self, revision: u64, now_ms: u64) {
         self.list_revision = self.list_revision.max(revision);
         self.list_received_ms = now_ms;
-        let missing = self.missing_starts();
+        let missing = self.missing_incarnations();
         self.departures.remove_up_to(self.list_revision, &missing);
     }
 
@@ -155,8 +155,8 @@
     /// Returns the engines that the list still lacks at the end of their grace
     /// period.
     pub fn grace_expired(&self, now_ms: u64) -> Vec<String> {
-        let over = |engine: &KnownEngine| engine.missing_until_ms.is_some_and(|ms| now_ms >= ms);
-        let missing = self.engines.iter().filter(|(_, engine)| over(engine));
+        let is_over = |engine: &KnownEngine| engine.missing_until_ms.is_some_and(|ms| now_ms >= ms);
+        let missing = self.engines.iter().filter(|(_, engine)| is_over(engine));
         missing.map(|(id, _)| id.clone()).collect()
     }
 
@@ -175,28 +175,28 @@
         departures: &[Departure],
         now_ms: u64,
     ) -> Vec<String> {
-        let mut news = Vec::new();
-        let missing = self.missing_starts();
+        let mut newly_departing = Vec::new();
+        let missing = self.missing_incarnations();
         for &departure in departures {
             if departure.revision <= self.list_revision && !missing.contains(&departure.start) {
                 continue;
             }
             if self.departures.merge(peer, departure, now_ms) {
-                let id = self.started(departure.start);
-                news.extend(id.map(|engine| engine.entry.incarnation.id.clone()));
+                let id = self.find_incarnation(departure.start);
+                newly_departing.extend(id.map(|engine| engine.entry.incarnation.id.clone()));
             }
         }
-        news
+        newly_departing
     }
 
-    fn started(&self, start: u32) -> Option<&KnownEngine> {
+    fn find_incarnation(&self, start: u32) -> Option<&KnownEngine> {
         let mut engines = self.engines.values();
         engines.find(|engine| engine.entry.incarnation.short_hash() == start)
     }
 
     /// Returns the incarnations that the list lacks. Peers may know more:
     /// whether the entry expired or the engine has left.
-    fn missing_starts(&self) -> Vec<u32> {
+    fn missing_incarnations(&self) -> Vec<u32> {
         let engines = self.engines.values();
         let missing = engines.filter(|engine| engine.missing_since_ms.is_some());
         missing
--- a/crates/core/tests/departures.rs
+++ b/crates/core/tests/departures.rs
@@ -138,17 +138,17 @@
 #[test]
 fn a_replaced_incarnation_gets_no_work() {
     let (mut sender, mut receiver) = two_tables();
-    let again = EngineEntry {
+    let restarted = EngineEntry {
         incarnation: Incarnation {
             id: "e1".to_owned(),
             born_ms: 2,
         },
         ..entry("e1", 4, false)
     };
-    sender.apply_entry(again.clone());
+    sender.apply_entry(restarted.clone());
     send_departures(&sender, &mut receiver, 0);
     assert!(!is_used(&receiver, "e1", LATER_MS));
-    receiver.apply_entry(again);
+    receiver.apply_entry(restarted);
     assert!(is_used(&receiver, "e1", LATER_MS));
 }
 
@@ -246,8 +246,8 @@
                     let reported = history.state(engine, reported_revision);
                     prop_assert!(!used || reported == State::Ready, "{id} was {reported:?}");
                     let known = history.state(engine, receiver_revision);
-                    let is_there = known == State::Ready && reported == State::Ready;
-                    prop_assert!(used || !is_there, "{id} is available but not used");
+                    let is_available = known == State::Ready && reported == State::Ready;
+                    prop_assert!(used || !is_available, "{id} is available but not used");
                 } else {
                     let known = history.state(engine, receiver_revision);
                     prop_assert_eq!(used, known == State::Ready);
--- a/crates/core/tests/full.rs
+++ b/crates/core/tests/full.rs
@@ -92,7 +92,7 @@
     let (settings, admit) = (ChoiceSettings::default(), AdmitSettings::default());
     let rate = PrefillRate::default();
     let mut result = Outcome::default();
-    let mut asked = 0.0;
+    let mut requests = 0.0;
     for now_ms in 0..10_000_u64 {
         let now = now_ms as f64;
         for engine in 0..ENGINES {
@@ -100,8 +100,8 @@
                 .ends
                 .extract_if(.., |end| end.0 <= now)
                 .collect();
-            for (_, at, load) in done {
-                known_engines[at][engine].own.remove(load);
+            for (_, instance, load) in done {
+                known_engines[instance][engine].own.remove(load);
             }
         }
         if now_ms % 200 == 0 {
@@ -110,19 +110,19 @@
         if !random.random_bool(per_s / 1_000.0) {
             continue;
         }
-        asked += 1.0;
-        let at = random.random_range(0..INSTANCES);
+        requests += 1.0;
+        let instance = random.random_range(0..INSTANCES);
         let session = random.random_range(0..SESSIONS);
         let requirements = requirements(session, now_ms);
         let chosen = match policy {
             Policy::LeastLoaded => {
-                let loads = known_engines[at].iter().enumerate();
+                let loads = known_engines[instance].iter().enumerate();
                 loads
                     .min_by_key(|(_, known)| known.load().requests)
                     .map(|(n, _)| n)
             }
             _ => {
-                let all = known_engines[at].iter();
+                let all = known_engines[instance].iter();
                 let draw = random.random();
                 let best = choose(
                     all,
@@ -139,17 +139,21 @@
                     result.refused += 1.0;
                     continue;
                 }
-                best.and_then(|best| known_engines[at].iter().position(|b| std::ptr::eq(b, best)))
+                best.and_then(|best| {
+                    known_engines[instance]
+                        .iter()
+                        .position(|b| std::ptr::eq(b, best))
+                })
             }
         };
         let engine = chosen.expect("all engines accept work");
-        let waited = read(&mut engines[engine], at, session, now);
+        let waited = read(&mut engines[engine], instance, session, now);
         let load = engines[engine]
             .ends
             .last()
             .expect("the request was just added")
             .2;
-        known_engines[at][engine].own.add(load);
+        known_engines[instance][engine].own.add(load);
         for known in &mut known_engines {
             known[engine].record_part(session, now_ms);
         }
@@ -157,15 +161,15 @@
         result.late += f64::from(u8::from(waited > TARGET_MS && waited <= DEADLINE_MS));
     }
     Outcome {
-        on_time: result.on_time / asked,
-        late: result.late / asked,
-        refused: result.refused / asked,
+        on_time: result.on_time / requests,
+        late: result.late / requests,
+        refused: result.refused / requests,
     }
 }
 
 /// Adds a prompt to the queue of an engine, and returns the time until its
 /// first event.
-fn read(engine: &mut Engine, at: usize, session: u64, now: f64) -> f64 {
+fn read(engine: &mut Engine, instance: usize, session: u64, now: f64) -> f64 {
     let is_cached = engine.parts.contains(&session);
     engine.parts.retain(|part| *part != session);
     engine.parts.push_back(session);
@@ -184,7 +188,7 @@
         prefill_tokens: tokens,
         must_finish: 1,
     };
-    engine.ends.push((engine.free_ms, at, load));
+    engine.ends.push((engine.free_ms, instance, load));
     engine.free_ms - now
 }
 
--- a/crates/core/tests/mixed.rs
+++ b/crates/core/tests/mixed.rs
@@ -74,12 +74,12 @@
 
 /// A request at an engine.
 struct Run {
-    at: usize,
+    instance: usize,
     load: Load,
     unread: u32,
     answer_left: u32,
-    asked_ms: f64,
-    begun_ms: Option<f64>,
+    sent_ms: f64,
+    first_token_ms: Option<f64>,
     is_long: bool,
 }
 
@@ -90,10 +90,10 @@
     parts: VecDeque<u64>,
 }
 
-/// What callers of one kind got: request counts, or shares of `asked`.
+/// What callers of one kind got: request counts, or shares of `requests`.
 #[derive(Debug, Default, Clone, Copy)]
 struct Outcome {
-    asked: f64,
+    requests: f64,
     on_time: f64,
     refused: f64,
     failed: f64,
@@ -144,19 +144,19 @@
     /// it is refused.
     fn send(&mut self, kind: &Kind, now_ms: u64, random: &mut SmallRng) {
         let is_long = !kind.is_first;
-        let at = random.random_range(0..INSTANCES);
+        let instance = random.random_range(0..INSTANCES);
         let session = random.random_range(0..kind.sessions) + if is_long { 10_000 } else { 0 };
         let requirements = requirements(kind, session, now_ms);
         self.prompt_length.record(requirements.prompt_tokens);
         let outcome = &mut self.outcome[usize::from(is_long)];
-        outcome.asked += 1.0;
+        outcome.requests += 1.0;
         let settings = ChoiceSettings {
             sample: self
                 .prompt_length
                 .sample_size(self.choice.sample, requirements.prompt_tokens),
             ..self.choice
         };
-        let all = self.known_engines[at].iter();
+        let all = self.known_engines[instance].iter();
         let (wanted, draw) = (Wanted::default(), random.random());
         let best = choose(
             all,
@@ -175,7 +175,7 @@
             outcome.refused += 1.0;
             return;
         }
-        let mut known_engines = self.known_engines[at].iter();
+        let mut known_engines = self.known_engines[instance].iter();
         let chosen = known_engines.position(|known| std::ptr::eq(known, best));
         let chosen = chosen.expect("the chosen engine is one of them");
         let is_cached = self.engines[chosen].parts.contains(&session);
@@ -186,7 +186,7 @@
             prefill_tokens: unread,
             must_finish: 0,
         };
-        self.known_engines[at][chosen].own.add(load);
+        self.known_engines[instance][chosen].own.add(load);
         for known in &mut self.known_engines {
             known[chosen].record_part(session, now_ms);
         }
@@ -201,12 +201,12 @@
         // Half of the answers are short, a few have the maximum length.
         let length: f64 = random.random();
         engine.runs.push(Run {
-            at,
+            instance,
             load,
             unread,
             answer_left: 1 + (f64::from(kind.max_answer_tokens) * length.powi(3)) as u32,
-            asked_ms: now_ms as f64,
-            begun_ms: None,
+            sent_ms: now_ms as f64,
+            first_token_ms: None,
             is_long,
         });
     }
@@ -232,24 +232,26 @@
         let until_ms = *busy_until_ms;
         for run in runs.iter_mut().filter(|run| run.unread == 0) {
             run.answer_left -= 1;
-            if run.begun_ms.is_none() {
-                run.begun_ms = Some(until_ms);
-                let own = &mut self.known_engines[run.at][engine].own;
+            if run.first_token_ms.is_none() {
+                run.first_token_ms = Some(until_ms);
+                let own = &mut self.known_engines[run.instance][engine].own;
                 own.prefill_tokens -= run.load.prefill_tokens;
                 run.load.prefill_tokens = 0;
             }
         }
         for run in runs.extract_if(.., |run| {
             let kind = if run.is_long { &LONG } else { &SHORT };
-            run.answer_left == 0 || until_ms > run.asked_ms + kind.deadline_ms
+            run.answer_left == 0 || until_ms > run.sent_ms + kind.deadline_ms
         }) {
-            self.known_engines[run.at][engine].own.remove(run.load);
+            self.known_engines[run.instance][engine]
+                .own
+                .remove(run.load);
             let kind = if run.is_long { &LONG } else { &SHORT };
             let outcome = &mut self.outcome[usize::from(run.is_long)];
-            let begun_ms = run.begun_ms.unwrap_or(f64::MAX);
+            let first_token_ms = run.first_token_ms.unwrap_or(f64::MAX);
             if run.answer_left > 0 {
                 outcome.failed += 1.0;
-            } else if begun_ms <= run.asked_ms + kind.target_ms {
+            } else if first_token_ms <= run.sent_ms + kind.target_ms {
                 outcome.on_time += 1.0;
             }
         }
@@ -279,17 +281,17 @@
             }
         }
         for (sum, outcome) in sum.iter_mut().zip(fleet.outcome) {
-            sum.asked += outcome.asked;
+            sum.requests += outcome.requests;
             sum.on_time += outcome.on_time;
             sum.refused += outcome.refused;
             sum.failed += outcome.failed;
         }
     }
     sum.map(|outcome| Outcome {
-        asked: outcome.asked,
-        on_time: outcome.on_time / outcome.asked,
-        refused: outcome.refused / outcome.asked,
-        failed: outcome.failed / outcome.asked,
+        requests: outcome.requests,
+        on_time: outcome.on_time / outcome.requests,
+        refused: outcome.refused / outcome.requests,
+        failed: outcome.failed / outcome.requests,
     })
 }
 
--- a/crates/core/tests/pool.rs
+++ b/crates/core/tests/pool.rs
@@ -245,9 +245,9 @@
     let engine = table.get_mut("e").expect("it is listed");
     engine.record_part(5, 100);
     engine.set_version("model", 4);
-    let mut again = entry("e", "a");
-    again.incarnation.born_ms = 2;
-    table.apply_entry(again);
+    let mut restarted = entry("e", "a");
+    restarted.incarnation.born_ms = 2;
+    table.apply_entry(restarted);
     let engine = table.get("e").expect("it is listed");
     assert!(!engine.has_cached(5, 10_000, 101));
     assert_eq!(engine.version("model"), 1);
@@ -335,9 +335,9 @@
             .collect()
     };
     assert_eq!(accepting(&receiver, 1_200), ["stays"]);
-    let mut again = entry("removed", "a");
-    again.incarnation.born_ms = 2;
-    receiver.apply_entry(again.clone());
+    let mut restarted = entry("removed", "a");
+    restarted.incarnation.born_ms = 2;
+    receiver.apply_entry(restarted.clone());
     receiver.merge_departures("peer", &sender.departures(known), 1_300);
     assert_eq!(accepting(&receiver, 1_300), ["removed", "stays"]);
     sender.apply_entry(EngineEntry {
