--- a/crates/core/src/pool/departures.rs
+++ b/crates/core/src/pool/departures.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Applies the report of a peer. Returns whether the departure of the
-    /// engine was unknown before.
+    /// Applies the report of a peer. Returns whether the engine was not known
+    /// to be departing before.
     pub(super) fn merge(&mut self, peer: &str, departure: Departure, now_ms: u64) -> bool {
         let known = self.reported.get(&departure.start);
         let known = known.map(|report| report.departure);
--- a/crates/core/src/pool/known_engine.rs
+++ b/crates/core/src/pool/known_engine.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// A time during which an engine gets no new work: its weights are about to
-/// change, or it has refused work.
+/// A time during which an engine gets new work only if no other engine is
+/// available: its weights are about to change, or it has refused work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkPause {
     /// Weights version that the engine will have; 0 after a refusal.
@@ -61,7 +61,7 @@
     pub health: Health,
     /// Weights version per model, from list entries, answers and orders.
     pub versions: HashMap<String, u64>,
-    /// Set while the engine gets no new work.
+    /// Set while new work is kept away from the engine.
     pub pause: Option<WorkPause>,
     /// Shared prompt parts that the engine has read, with the time of their
     /// last use.
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Returns whether the engine gets no new work for now.
+    /// Returns whether new work is kept away from the engine for now.
     pub fn is_paused(&self, now_ms: u64) -> bool {
         self.pause.is_some_and(|pause| now_ms < pause.until_ms)
     }
@@ -175,7 +175,7 @@
         self.health.record_connection();
     }
 
-    /// Pauses new work for a short time after the engine refused some, unless
+    /// Keeps new work away for `pause_ms` after the engine refused some, unless
     /// it is paused already.
     pub fn pause_after_refusal(&mut self, pause_ms: u64, now_ms: u64) {
         if !self.is_paused(now_ms) {
--- a/crates/core/src/pool/table.rs
+++ b/crates/core/src/pool/table.rs
@@ -168,7 +168,8 @@
     /// Applies the departures that a peer reported. The own list may be older,
     /// and the engines would get work after they left.
     ///
-    /// Returns the names of the engines whose departure was unknown before.
+    /// Returns the names of the engines that were not known to be departing
+    /// before.
     pub fn merge_departures(
         &mut self,
         peer: &str,
@@ -189,6 +190,7 @@
         newly_departing
     }
 
+    /// Returns the engine with a short hash of its incarnation.
     fn find_incarnation(&self, start: u32) -> Option<&KnownEngine> {
         let mut engines = self.engines.values();
         engines.find(|engine| engine.entry.incarnation.short_hash() == start)
