--- a/crates/core/src/config/delta.rs
+++ b/crates/core/src/config/delta.rs
@@ -14,7 +14,8 @@
     /// Whether every record is among the entries, so that a record that is
     /// missing was withdrawn. The sender knows no tombstones from before its
     /// own first list; an asker from before it needs the whole.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_full: bool,
     /// Records, withdrawn ones included.
     pub entries: Vec<ConfigEntry>,
 }
--- a/crates/core/src/config/entry.rs
+++ b/crates/core/src/config/entry.rs
@@ -18,7 +18,7 @@
     /// What is in force.
     pub state: EntryState,
     /// The newest readable write or withdrawal below a refused one.
-    pub last: Option<Write>,
+    pub last_readable: Option<Write>,
 }
 
 /// What of a record is in force.
@@ -34,7 +34,7 @@
         /// Why, and what would mend it.
         error: RecordError,
         /// The last readable write, unless there was none.
-        last: Option<Record>,
+        last_readable: Option<Record>,
     },
 }
 
@@ -44,7 +44,7 @@
         match self {
             EntryState::InForce(record) => Some(record),
             EntryState::Withdrawn => None,
-            EntryState::Refused { last, .. } => last.as_ref(),
+            EntryState::Refused { last_readable, .. } => last_readable.as_ref(),
         }
     }
 }
@@ -55,15 +55,15 @@
         Entry {
             version,
             body: body.map(str::to_owned),
-            state: read(kind, body),
-            last: None,
+            state: parse_body(kind, body),
+            last_readable: None,
         }
     }
 
     /// Returns the version of what is in force, 0 if nothing ever was.
     pub fn version_in_force(&self) -> u64 {
         match &self.state {
-            EntryState::Refused { .. } => self.last.as_ref().map_or(0, |w| w.version),
+            EntryState::Refused { .. } => self.last_readable.as_ref().map_or(0, |w| w.version),
             _ => self.version,
         }
     }
@@ -76,18 +76,18 @@
         if version == self.version || version <= self.version_in_force() {
             return MergeOutcome::Stale;
         }
-        self.fill_in(Entry::first(kind, version, body))
+        self.merge_older_readable(Entry::first(kind, version, body))
     }
 
     /// Takes a newer write. Below a refused one, what was in force stays.
     fn supersede(&mut self, newer: Entry) -> MergeOutcome {
         let older = std::mem::replace(self, newer);
-        let EntryState::Refused { last, .. } = &mut self.state else {
-            return MergeOutcome::Taken;
+        let EntryState::Refused { last_readable, .. } = &mut self.state else {
+            return MergeOutcome::Applied;
         };
-        *last = older.state.record().cloned();
-        self.last = match older.state {
-            EntryState::Refused { .. } => older.last,
+        *last_readable = older.state.record().cloned();
+        self.last_readable = match older.state {
+            EntryState::Refused { .. } => older.last_readable,
             _ => Some(Write {
                 version: older.version,
                 body: older.body,
@@ -97,23 +97,23 @@
     }
 
     /// Takes a readable write that is older than the refused one.
-    fn fill_in(&mut self, older: Entry) -> MergeOutcome {
-        let EntryState::Refused { last, .. } = &mut self.state else {
+    fn merge_older_readable(&mut self, older: Entry) -> MergeOutcome {
+        let EntryState::Refused { last_readable, .. } = &mut self.state else {
             return MergeOutcome::Stale;
         };
         if matches!(older.state, EntryState::Refused { .. }) {
             return MergeOutcome::Stale;
         }
-        *last = older.state.record().cloned();
-        self.last = Some(Write {
+        *last_readable = older.state.record().cloned();
+        self.last_readable = Some(Write {
             version: older.version,
             body: older.body,
         });
-        MergeOutcome::Taken
+        MergeOutcome::Applied
     }
 }
 
-fn read(kind: Kind, body: Option<&str>) -> EntryState {
+fn parse_body(kind: Kind, body: Option<&str>) -> EntryState {
     let Some(text) = body else {
         return EntryState::Withdrawn;
     };
@@ -124,6 +124,9 @@
         .and_then(|body| parse(kind, &body));
     match parsed {
         Ok(record) => EntryState::InForce(record),
-        Err(error) => EntryState::Refused { error, last: None },
+        Err(error) => EntryState::Refused {
+            error,
+            last_readable: None,
+        },
     }
 }
--- a/crates/core/src/config/freshness.rs
+++ b/crates/core/src/config/freshness.rs
@@ -15,7 +15,7 @@
 impl Freshness {
     /// Default of `limit_ms`: long enough for the minutes for which regions
     /// lose each other, short enough to bound the use of a withdrawn key.
-    pub const LIMIT_MS: u64 = 15 * 60 * 1_000;
+    pub const DEFAULT_LIMIT_MS: u64 = 15 * 60 * 1_000;
 
     /// Notes that the platform, or enough peers, answered.
     pub fn confirm(&mut self, now_ms: u64) {
@@ -33,8 +33,8 @@
     /// One peer is not enough: two instances that are cut off together would
     /// confirm each other for ever. At least half of those known do, which a
     /// small group that is cut off doesn't reach.
-    pub fn peers_confirm(heard: usize, known: usize) -> bool {
-        heard > 0 && heard * 2 >= known
+    pub fn peers_confirm(answered: usize, known: usize) -> bool {
+        answered > 0 && answered * 2 >= known
     }
 }
 
@@ -42,7 +42,7 @@
     fn default() -> Freshness {
         Freshness {
             confirmed_ms: None,
-            limit_ms: Freshness::LIMIT_MS,
+            limit_ms: Freshness::DEFAULT_LIMIT_MS,
         }
     }
 }
--- a/crates/core/src/config/store.rs
+++ b/crates/core/src/config/store.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
     /// The write was newer and is in force.
-    Taken,
+    Applied,
     /// The write was newer and was refused; the record before it stays.
     Refused,
     /// The write was not newer than what is held.
@@ -92,12 +92,12 @@
         let mut entry = Entry::first(kind, version, body);
         let outcome = match entry.state {
             EntryState::Refused { .. } => MergeOutcome::Refused,
-            _ => MergeOutcome::Taken,
+            _ => MergeOutcome::Applied,
         };
         if outcome == MergeOutcome::Refused && floor > 0 {
             // The record did not exist at the floor. Without this note a peer's
             // last readable write from before would count as in force.
-            entry.last = Some(Write {
+            entry.last_readable = Some(Write {
                 version: floor,
                 body: None,
             });
@@ -148,9 +148,9 @@
             let key = &object.key;
             seen.insert((key.kind.as_str(), key.name.as_str()));
             let outcome = self.merge_above(0, &key.kind, &key.name, object.version, Some(&text));
-            changed += usize::from(outcome == MergeOutcome::Taken);
+            changed += usize::from(outcome == MergeOutcome::Applied);
         }
-        changed + self.adopt_whole(list.revision, &seen)
+        changed + self.adopt_full(list.revision, &seen)
     }
 
     /// Takes the revision of a whole, and withdraws what the whole lacks.
@@ -158,7 +158,7 @@
     /// The tombstone gets the whole's revision as its version. The withdrawal
     /// came at or before it, so every write up to it is older than the
     /// withdrawal, and every later write is newer.
-    fn adopt_whole(&mut self, revision: u64, seen: &HashSet<(&str, &str)>) -> usize {
+    fn adopt_full(&mut self, revision: u64, seen: &HashSet<(&str, &str)>) -> usize {
         let mut changed = 0;
         for ((kind, name), entry) in &mut self.entries {
             let live = entry.state != EntryState::Withdrawn && entry.version <= revision;
@@ -189,11 +189,11 @@
         let (kind, name) = (entry.kind.as_str(), entry.name.as_str());
         let body = entry.body.as_deref();
         let outcome = self.merge_above(floor, kind, name, entry.version, body);
-        let Some(last) = &entry.last else {
+        let Some(last) = &entry.last_readable else {
             return outcome;
         };
         match self.merge_above(floor, kind, name, last.version, last.body.as_deref()) {
-            MergeOutcome::Taken => MergeOutcome::Taken,
+            MergeOutcome::Applied => MergeOutcome::Applied,
             _ => outcome,
         }
     }
@@ -204,8 +204,8 @@
     /// onto what is held. Taking it in any other case would skip the writes
     /// in the gap for good, because the next watch starts behind it.
     pub fn merge_delta(&mut self, delta: &Delta) -> usize {
-        let whole = delta.whole && delta.revision >= self.revision;
-        let floor = if whole { 0 } else { self.revision };
+        let is_full = delta.is_full && delta.revision >= self.revision;
+        let floor = if is_full { 0 } else { self.revision };
         let mut changed = 0;
         let mut seen = HashSet::new();
         for entry in &delta.entries {
@@ -215,12 +215,12 @@
                 seen.insert((entry.kind.as_str(), entry.name.as_str()));
             }
             let outcome = self.merge_peer_above(floor, entry);
-            changed += usize::from(outcome == MergeOutcome::Taken);
+            changed += usize::from(outcome == MergeOutcome::Applied);
         }
-        if whole {
-            return changed + self.adopt_whole(delta.revision, &seen);
+        if is_full {
+            return changed + self.adopt_full(delta.revision, &seen);
         }
-        if !delta.whole && delta.after <= self.revision {
+        if !delta.is_full && delta.after <= self.revision {
             self.advance(delta.revision);
         }
         changed
@@ -237,18 +237,20 @@
     /// Returns what the holder of a digest may lack; nothing if it holds the
     /// same.
     pub fn delta_for(&self, digest: &Digest) -> Delta {
-        let whole = digest.revision < self.tombstones_since;
+        let is_full = digest.revision < self.tombstones_since;
         let mut delta = Delta {
             after: digest.revision,
             revision: self.revision,
-            whole,
+            is_full,
             entries: Vec::new(),
         };
         if *digest != self.digest() {
             delta.entries = self
                 .entries
                 .iter()
-                .filter(|(_, e)| whole || e.version > digest.revision || e.last.is_some())
+                .filter(|(_, e)| {
+                    is_full || e.version > digest.revision || e.last_readable.is_some()
+                })
                 .map(|((kind, name), e)| wire_entry(*kind, name, e))
                 .collect();
         }
@@ -278,6 +280,6 @@
         name: name.to_owned(),
         version: entry.version,
         body: entry.body.clone(),
-        last: entry.last.clone(),
+        last_readable: entry.last_readable.clone(),
     }
 }
--- a/crates/core/src/membership/spread.rs
+++ b/crates/core/src/membership/addresses.rs
@@ -6,22 +6,22 @@
 
 /// Most addresses in one answer. A caller needs a few to fail over; the whole
 /// fleet in each answer would cost more than the requests.
-pub const MOST_ADDRESSES: usize = 8;
+pub const MAX_ADDRESSES: usize = 8;
 
 /// How long callers keep an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SpreadSettings {
+pub struct AnswerTtlSettings {
     /// Time for which an answer is kept in a fleet that is whole.
-    pub keep_ms: u64,
+    pub ttl_ms: u64,
     /// Time for which it is kept while instances start.
-    pub keep_starting_ms: u64,
+    pub starting_ttl_ms: u64,
 }
 
-impl Default for SpreadSettings {
-    fn default() -> SpreadSettings {
-        SpreadSettings {
-            keep_ms: 10_000,
-            keep_starting_ms: 1_000,
+impl Default for AnswerTtlSettings {
+    fn default() -> AnswerTtlSettings {
+        AnswerTtlSettings {
+            ttl_ms: 10_000,
+            starting_ttl_ms: 1_000,
         }
     }
 }
@@ -31,7 +31,7 @@
 ///
 /// Without the shuffle every caller would use the first one, and a fleet of
 /// seven would serve like one.
-pub fn spread(
+pub fn addresses_for_caller(
     instances: &[InstanceView],
     failure_domain: &str,
     caller_seed: u64,
@@ -47,11 +47,11 @@
     // The last place is kept for another failure domain, so that a caller
     // outlives its own.
     if !far.is_empty() {
-        near.truncate(MOST_ADDRESSES - 1);
+        near.truncate(MAX_ADDRESSES - 1);
     }
     near.iter()
         .chain(&far)
-        .take(MOST_ADDRESSES)
+        .take(MAX_ADDRESSES)
         .map(|i| i.caller_address)
         .collect()
 }
@@ -61,12 +61,12 @@
 /// After a restart of many, the first ones ready are all that the answer can
 /// name. Kept for the usual time, it would send every caller to them; kept
 /// for a moment, the callers spread as others become ready.
-pub fn keep_ms(settings: &SpreadSettings, instances: &[InstanceView]) -> u64 {
+pub fn answer_ttl_ms(settings: &AnswerTtlSettings, instances: &[InstanceView]) -> u64 {
     let usable = |i: &&InstanceView| i.ready && !i.departing && !i.suspected;
     let ready = instances.iter().filter(usable).count();
     let staying = instances.iter().filter(|i| !i.departing).count();
     if ready * 2 > staying {
-        return settings.keep_ms;
+        return settings.ttl_ms;
     }
-    settings.keep_starting_ms
+    settings.starting_ttl_ms
 }
--- a/crates/core/src/membership/instance.rs
+++ b/crates/core/src/membership/instance.rs
@@ -41,12 +41,12 @@
 /// A list may lag behind what peers have in force; a restarted instance that
 /// served from it would accept a key that the others refuse already. Peers
 /// that are all down must not keep it from serving, hence the bound.
-const COMPARE_MS: u64 = 1_500;
+const MAX_COMPARE_WAIT_MS: u64 = 1_500;
 
 impl Instance<Starting> {
     /// Returns an instance that starts.
     pub fn starting(now_ms: u64) -> Instance<Starting> {
-        Instance::at(now_ms)
+        Instance::entered_at(now_ms)
     }
 
     /// Becomes ready if the facts allow it.
@@ -60,23 +60,23 @@
         now_ms: u64,
     ) -> Result<Instance<Ready>, Instance<Starting>> {
         let waited_ms = now_ms.saturating_sub(self.since_ms);
-        let compared = facts.compared || !facts.knows_peers || waited_ms >= COMPARE_MS;
+        let compared = facts.compared || !facts.knows_peers || waited_ms >= MAX_COMPARE_WAIT_MS;
         if facts.has_records && compared {
-            return Ok(Instance::at(now_ms));
+            return Ok(Instance::entered_at(now_ms));
         }
         Err(self)
     }
 
     /// Leaves before it was ready.
     pub fn drain(self, now_ms: u64) -> Instance<Draining> {
-        Instance::at(now_ms)
+        Instance::entered_at(now_ms)
     }
 }
 
 impl Instance<Ready> {
     /// Leaves.
     pub fn drain(self, now_ms: u64) -> Instance<Draining> {
-        Instance::at(now_ms)
+        Instance::entered_at(now_ms)
     }
 }
 
@@ -94,14 +94,14 @@
     ) -> Result<Instance<Stopped>, Instance<Draining>> {
         let waited_ms = now_ms.saturating_sub(self.since_ms);
         if open_requests == 0 && waited_ms >= grace_ms {
-            return Ok(Instance::at(now_ms));
+            return Ok(Instance::entered_at(now_ms));
         }
         Err(self)
     }
 }
 
 impl<P> Instance<P> {
-    fn at(since_ms: u64) -> Instance<P> {
+    fn entered_at(since_ms: u64) -> Instance<P> {
         Instance {
             since_ms,
             phase: PhantomData,
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Watching {
     version: u64,
-    seen_ms: u64,
+    version_since_ms: u64,
 }
 
 /// This instance holds the lease.
@@ -52,7 +52,7 @@
     pub fn watching(settings: LeaseSettings, now_ms: u64) -> Lease<Watching> {
         let state = Watching {
             version: u64::MAX,
-            seen_ms: now_ms,
+            version_since_ms: now_ms,
         };
         Lease { settings, state }
     }
@@ -62,7 +62,7 @@
         if version != self.state.version {
             self.state = Watching {
                 version,
-                seen_ms: now_ms,
+                version_since_ms: now_ms,
             };
         }
     }
@@ -71,20 +71,20 @@
     ///
     /// A lease that was read once may just have been renewed: it is free only
     /// after its version stood still for its whole time.
-    pub fn free(&self, now_ms: u64) -> Option<u64> {
+    pub fn free_version(&self, now_ms: u64) -> Option<u64> {
         let wait_ms = self.settings.lease_ms + self.settings.allowance_ms;
-        let lapsed = now_ms.saturating_sub(self.state.seen_ms) >= wait_ms;
-        (self.state.version == 0 || (self.state.version != u64::MAX && lapsed))
+        let expired = now_ms.saturating_sub(self.state.version_since_ms) >= wait_ms;
+        (self.state.version == 0 || (self.state.version != u64::MAX && expired))
             .then_some(self.state.version)
     }
 
-    /// Takes the lease by a write that was sent at `asked_ms`.
-    pub fn taken(self, version: u64, asked_ms: u64) -> Lease<Held> {
+    /// Takes the lease by a write that was sent at `sent_ms`.
+    pub fn acquired(self, version: u64, sent_ms: u64) -> Lease<Held> {
         Lease {
             settings: self.settings,
             state: Held {
                 fencing: version,
-                until_ms: asked_ms + self.settings.lease_ms,
+                until_ms: sent_ms + self.settings.lease_ms,
             },
         }
     }
@@ -104,17 +104,17 @@
     }
 
     /// Returns whether to renew.
-    pub fn wants_renewal(&self, now_ms: u64) -> bool {
+    pub fn needs_renewal(&self, now_ms: u64) -> bool {
         now_ms + self.settings.renew_before_ms >= self.state.until_ms
     }
 
-    /// Renews by a write that was sent at `asked_ms`.
-    pub fn renewed(self, version: u64, asked_ms: u64) -> Lease<Held> {
+    /// Renews by a write that was sent at `sent_ms`.
+    pub fn renewed(self, version: u64, sent_ms: u64) -> Lease<Held> {
         Lease {
             settings: self.settings,
             state: Held {
                 fencing: version,
-                until_ms: asked_ms + self.settings.lease_ms,
+                until_ms: sent_ms + self.settings.lease_ms,
             },
         }
     }
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -6,11 +6,11 @@
     /// What is known of it.
     pub view: InstanceView,
     /// When it last answered, or was last said to be well.
-    pub heard_ms: u64,
+    pub last_alive_ms: u64,
     /// When it was first suspected, unless it is well.
     pub suspected_ms: Option<u64>,
     /// Messages that still carry the last change of it.
-    pub(super) tells: u32,
+    pub(super) transmissions_left: u32,
 }
 
 impl Member {
@@ -22,7 +22,7 @@
 
 /// Rank of what is said of an instance. What ranks higher is later: a new
 /// start, then the instance's own word, then its leave, then a suspicion.
-pub(super) fn rank(view: &InstanceView) -> (u64, u64, bool, bool) {
+pub(super) fn precedence(view: &InstanceView) -> (u64, u64, bool, bool) {
     (
         view.incarnation,
         view.heartbeat,
--- a/crates/core/src/membership/members.rs
+++ b/crates/core/src/membership/members.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Member, member::rank},
+    super::{Member, member::precedence},
     crate::peer::InstanceView,
     std::{collections::BTreeMap, net::SocketAddr},
 };
@@ -8,15 +8,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberSettings {
     /// Instances named in one message.
-    pub news: usize,
+    pub max_updates: usize,
     /// Messages that carry a change before it counts as known. Each message
     /// of a random pair doubles who knows, so three times the logarithm of
     /// the fleet's size reaches everyone but for a rest that later exchanges
     /// bring; 30 serves 1,000 instances.
-    pub tells: u32,
+    pub change_transmissions: u32,
     /// Messages that carry an instance heard of for the first time. After a
     /// restart all are new; they must not hold up the news of a death.
-    pub first_tells: u32,
+    pub join_transmissions: u32,
     /// Time for which an instance's own answer outweighs a suspicion.
     pub fresh_ms: u64,
     /// Time after which a suspected instance is forgotten.
@@ -26,9 +26,9 @@
 impl Default for MemberSettings {
     fn default() -> MemberSettings {
         MemberSettings {
-            news: 6,
-            tells: 30,
-            first_tells: 4,
+            max_updates: 6,
+            change_transmissions: 30,
+            join_transmissions: 4,
             fresh_ms: 1_000,
             forget_ms: 30 * 60 * 1_000,
         }
@@ -42,21 +42,21 @@
     members: BTreeMap<SocketAddr, Member>,
     /// Those that left and all were told of. One that has not heard it still
     /// tells that they are there.
-    left: BTreeMap<SocketAddr, Member>,
-    next: usize,
+    departed: BTreeMap<SocketAddr, Member>,
+    next_index: usize,
 }
 
 impl Members {
     /// Takes what a third instance says of one. What ranks lower than what is
     /// known is older news and dropped. Returns whether it was news.
-    pub fn hear(&mut self, view: &InstanceView, now_ms: u64) -> bool {
+    pub fn merge_indirect(&mut self, view: &InstanceView, now_ms: u64) -> bool {
         let known = self.members.get(&view.caller_address);
-        match known.or_else(|| self.left.get(&view.caller_address)) {
+        match known.or_else(|| self.departed.get(&view.caller_address)) {
             // Told on by those who still remember it, an instance that died
             // would never be forgotten.
             None if view.suspected => return false,
-            Some(held) if rank(view) <= rank(&held.view) => return false,
-            Some(held) if view.suspected && self.is_fresh(held, now_ms) => return false,
+            Some(known) if precedence(view) <= precedence(&known.view) => return false,
+            Some(known) if view.suspected && self.is_fresh(known, now_ms) => return false,
             _ => {}
         }
         self.insert(view, now_ms);
@@ -66,35 +66,39 @@
     /// Returns whether an instance was heard of so lately that a suspicion of
     /// it is the suspecting one's own trouble: one that was cut off suspects
     /// everyone, and tells so when it is back.
-    fn is_fresh(&self, held: &Member, now_ms: u64) -> bool {
-        !held.view.suspected && now_ms.saturating_sub(held.heard_ms) < self.settings.fresh_ms
+    fn is_fresh(&self, known: &Member, now_ms: u64) -> bool {
+        !known.view.suspected && now_ms.saturating_sub(known.last_alive_ms) < self.settings.fresh_ms
     }
 
     /// Takes what an instance says of itself. It counts whatever was known:
     /// an instance whose wall clock went back would otherwise be taken for
     /// the one before it, which is dead.
-    pub fn hear_direct(&mut self, view: &InstanceView, now_ms: u64) {
+    pub fn merge_direct(&mut self, view: &InstanceView, now_ms: u64) {
         match self.members.get_mut(&view.caller_address) {
-            Some(held) if held.view == *view => held.heard_ms = now_ms,
+            Some(known) if known.view == *view => known.last_alive_ms = now_ms,
             _ => self.insert(view, now_ms),
         }
     }
 
     fn insert(&mut self, view: &InstanceView, now_ms: u64) {
-        let held = self.members.get(&view.caller_address);
-        let since_ms = held.and_then(|m| m.suspected_ms).unwrap_or(now_ms);
-        let heard_ms = held.map_or(now_ms, |m| m.heard_ms);
+        let known = self.members.get(&view.caller_address);
+        let since_ms = known.and_then(|m| m.suspected_ms).unwrap_or(now_ms);
+        let last_alive_ms = known.map_or(now_ms, |m| m.last_alive_ms);
         let member = Member {
             view: view.clone(),
-            heard_ms: if view.suspected { heard_ms } else { now_ms },
+            last_alive_ms: if view.suspected {
+                last_alive_ms
+            } else {
+                now_ms
+            },
             suspected_ms: view.suspected.then_some(since_ms),
-            tells: if held.is_some() {
-                self.settings.tells
+            transmissions_left: if known.is_some() {
+                self.settings.change_transmissions
             } else {
-                self.settings.first_tells
+                self.settings.join_transmissions
             },
         };
-        self.left.remove(&view.caller_address);
+        self.departed.remove(&view.caller_address);
         self.members.insert(view.caller_address, member);
     }
 
@@ -114,30 +118,30 @@
 
     /// Returns the news for one message: changes first, the least told among
     /// them before others, and then the others in turn.
-    pub fn news(&mut self) -> Vec<InstanceView> {
+    pub fn next_updates(&mut self) -> Vec<InstanceView> {
         let mut changed: Vec<(u32, SocketAddr)> = self
             .members
             .iter()
-            .filter(|(_, m)| m.tells > 0)
-            .map(|(address, m)| (m.tells, *address))
+            .filter(|(_, m)| m.transmissions_left > 0)
+            .map(|(address, m)| (m.transmissions_left, *address))
             .collect();
         changed.sort_unstable_by(|a, b| b.cmp(a));
-        changed.truncate(self.settings.news);
+        changed.truncate(self.settings.max_updates);
         let mut named: Vec<SocketAddr> = changed.into_iter().map(|(_, a)| a).collect();
         let known: Vec<SocketAddr> = self.members.keys().copied().collect();
-        let rest = known.len().min(self.settings.news) - named.len();
+        let rest = known.len().min(self.settings.max_updates) - named.len();
         for _ in 0..rest {
-            self.next = (self.next + 1) % known.len();
-            if !named.contains(&known[self.next]) {
-                named.push(known[self.next]);
+            self.next_index = (self.next_index + 1) % known.len();
+            if !named.contains(&known[self.next_index]) {
+                named.push(known[self.next_index]);
             }
         }
-        named.iter().filter_map(|a| self.tell(a)).collect()
+        named.iter().filter_map(|a| self.transmit(a)).collect()
     }
 
-    fn tell(&mut self, address: &SocketAddr) -> Option<InstanceView> {
+    fn transmit(&mut self, address: &SocketAddr) -> Option<InstanceView> {
         let member = self.members.get_mut(address)?;
-        member.tells = member.tells.saturating_sub(1);
+        member.transmissions_left = member.transmissions_left.saturating_sub(1);
         Some(member.view.clone())
     }
 
@@ -148,12 +152,12 @@
 
     /// Returns the number of members that answered in this time, and the
     /// number of those known that did not say that they leave.
-    pub fn heard_within(&self, window_ms: u64, now_ms: u64) -> (usize, usize) {
+    pub fn count_alive_within(&self, window_ms: u64, now_ms: u64) -> (usize, usize) {
         let known = self.members.values().filter(|m| !m.view.departing);
-        let heard = known
+        let alive = known
             .clone()
-            .filter(|m| !m.view.suspected && now_ms.saturating_sub(m.heard_ms) < window_ms);
-        (heard.count(), known.count())
+            .filter(|m| !m.view.suspected && now_ms.saturating_sub(m.last_alive_ms) < window_ms);
+        (alive.count(), known.count())
     }
 
     /// Forgets instances that left, once all were told, and those suspected for
@@ -165,15 +169,17 @@
             quiet_ms < forget_ms
         };
         self.members.retain(|_, member| is_recent(member));
-        self.left.retain(|_, member| is_recent(member));
-        let has_left =
-            |member: &Member| member.view.departing && member.view.suspected && member.tells == 0;
+        self.departed.retain(|_, member| is_recent(member));
+        let has_departed = |member: &Member| {
+            member.view.departing && member.view.suspected && member.transmissions_left == 0
+        };
         let members = std::mem::take(&mut self.members);
-        let (left, members) = members
+        let (departed, members) = members
             .into_iter()
-            .partition(|(_, member)| has_left(member));
+            .partition(|(_, member)| has_departed(member));
         self.members = members;
-        self.left.extend::<BTreeMap<SocketAddr, Member>>(left);
+        self.departed
+            .extend::<BTreeMap<SocketAddr, Member>>(departed);
     }
 
     /// Keeps only the members that the filter accepts.
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -7,16 +7,16 @@
 //! node does not grow with the fleet, and a death is known after a number of
 //! periods that grows with the logarithm of its size.
 
+mod addresses;
 mod instance;
 mod lease;
 mod member;
 mod members;
-mod spread;
 
 pub use {
+    addresses::{AnswerTtlSettings, MAX_ADDRESSES, addresses_for_caller, answer_ttl_ms},
     instance::{Draining, Instance, Ready, Starting, StartingFacts, Stopped},
     lease::{Held, Lease, LeaseSettings, Watching},
     member::Member,
     members::{MemberSettings, Members},
-    spread::{MOST_ADDRESSES, SpreadSettings, keep_ms, spread},
 };
--- a/crates/core/src/mesh/heartbeat.rs
+++ b/crates/core/src/mesh/heartbeat.rs
@@ -20,7 +20,7 @@
 
 /// What the instance that orders weights tells of one engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderNote {
+pub struct OrderReport {
     /// The engine.
     pub engine: String,
     /// Model whose weights change.
@@ -35,7 +35,7 @@
 
 /// What an instance tells of one team's rate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TeamNote {
+pub struct TeamReport {
     /// The team.
     pub team: String,
     /// Tokens spent since the instance's start.
@@ -81,9 +81,11 @@
     pub loads: Vec<(String, Load)>,
     /// Shared parts that engines have read for it just now, and a short hash
     /// of each engine's name.
-    pub placed: Vec<(u64, u32)>,
+    #[serde(rename = "placed")]
+    pub placements: Vec<(u64, u32)>,
     /// Engines that don't answer it.
-    pub silent: Vec<String>,
+    #[serde(rename = "silent")]
+    pub silent_engines: Vec<String>,
     /// Revision of the store up to which it knows the list of engines; 0 before
     /// it has read it.
     pub engines_revision: u64,
@@ -98,13 +100,13 @@
     /// Time for which that count still holds.
     pub counted_for_ms: u32,
     /// What was asked for and spent, by team.
-    pub teams: Vec<TeamNote>,
+    pub teams: Vec<TeamReport>,
     /// Whether it holds the lease under which orders are given.
     pub holds_lease: bool,
     /// Time since its last order, where it gave one since its start.
     pub ordered_ago_ms: Option<u32>,
     /// Orders of the instance that holds the lease.
-    pub orders: Vec<OrderNote>,
+    pub orders: Vec<OrderReport>,
     /// Other instances that it hears, so that a new one is found by all.
     pub peers: Vec<SocketAddr>,
 }
--- a/crates/core/src/mesh/word.rs
+++ b/crates/core/src/mesh/message.rs
@@ -5,20 +5,23 @@
 
 /// How a heartbeat came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Way {
+pub enum Delivery {
     /// From its sender, for this instance alone.
     Direct,
     /// From its sender, to be passed on within the failure domain.
-    ToPassOn,
+    #[serde(rename = "ToPassOn")]
+    ToRelay,
     /// By way of another instance of the failure domain.
-    PassedOn,
+    #[serde(rename = "PassedOn")]
+    Relayed,
 }
 
 /// What travels in one datagram between instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct MeshMessage {
     /// How it comes.
-    pub way: Way,
+    #[serde(rename = "way")]
+    pub delivery: Delivery,
     /// What its sender tells.
     pub heartbeat: Heartbeat,
 }
--- a/crates/core/src/mesh/mod.rs
+++ b/crates/core/src/mesh/mod.rs
@@ -2,10 +2,10 @@
 
 mod heartbeat;
 mod members;
-mod word;
+mod message;
 
 pub use {
-    heartbeat::{Heartbeat, OrderNote, OrderPhase, TeamNote},
+    heartbeat::{Heartbeat, OrderPhase, OrderReport, TeamReport},
     members::{Member, MemberTable, MeshSettings, Targets},
-    word::{Way, Word},
+    message::{Delivery, MeshMessage},
 };
--- a/crates/core/src/peer/message.rs
+++ b/crates/core/src/peer/message.rs
@@ -17,7 +17,8 @@
         /// Records that the sender holds, in a constant size.
         digest: Digest,
         /// News of other instances, a bounded number.
-        news: Vec<InstanceView>,
+        #[serde(rename = "news")]
+        updates: Vec<InstanceView>,
         /// Crashes charged to requests.
         crashes: Vec<CrashSight>,
     },
@@ -54,7 +55,8 @@
         /// The answering instance, as it sees itself.
         from: InstanceView,
         /// News of other instances, a bounded number.
-        news: Vec<InstanceView>,
+        #[serde(rename = "news")]
+        updates: Vec<InstanceView>,
         /// Records that the asker may lack.
         delta: Delta,
         /// Crashes charged to requests.
@@ -90,7 +92,8 @@
     /// JSON text of the body; none if the record is withdrawn.
     pub body: Option<String>,
     /// The newest readable write below an unreadable one.
-    pub last: Option<Write>,
+    #[serde(rename = "last")]
+    pub last_readable: Option<Write>,
 }
 
 /// An instance as peers see it.
--- a/crates/core/src/status/refused.rs
+++ b/crates/core/src/status/refused.rs
@@ -24,7 +24,11 @@
         store
             .entries()
             .filter_map(|(kind, name, entry)| {
-                let EntryState::Refused { error, last } = &entry.state else {
+                let EntryState::Refused {
+                    error,
+                    last_readable,
+                } = &entry.state
+                else {
                     return None;
                 };
                 Some(RefusedRecord {
@@ -32,7 +36,7 @@
                     name: name.to_owned(),
                     version: entry.version,
                     why: error.to_string(),
-                    earlier_in_force: last.is_some(),
+                    earlier_in_force: last_readable.is_some(),
                 })
             })
             .collect()
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use {
     mangowalk_core::{
-        mesh::{Heartbeat, MemberTable, MeshSettings, TeamNote},
+        mesh::{Heartbeat, MemberTable, MeshSettings, TeamReport},
         pool::Load,
         retries::{RetryBudget, RetrySettings},
         routing::{Configuration, Denied, Repeat, Route, RouteTable, ServiceShare, Tenant},
@@ -153,10 +153,10 @@
         configuration_version: 1,
         versions: Vec::new(),
         loads: Vec::new(),
-        placed: Vec::new(),
+        placements: Vec::new(),
         engines_revision: 1,
         departures: Vec::new(),
-        silent: Vec::new(),
+        silent_engines: Vec::new(),
         crashes: Vec::new(),
         knows_rates: true,
         instances: 2,
@@ -172,11 +172,11 @@
 #[test]
 fn a_late_heartbeat_is_dropped() {
     let mut members = MemberTable::default();
-    assert!(members.hear(heartbeat("p", 2, 5), 0));
-    assert!(!members.hear(heartbeat("p", 2, 4), 1));
-    assert!(!members.hear(heartbeat("p", 1, 9), 1));
+    assert!(members.receive(heartbeat("p", 2, 5), 0));
+    assert!(!members.receive(heartbeat("p", 2, 4), 1));
+    assert!(!members.receive(heartbeat("p", 1, 9), 1));
     assert!(
-        members.hear(heartbeat("p", 3, 1), 1),
+        members.receive(heartbeat("p", 3, 1), 1),
         "a new start counts anew"
     );
 }
@@ -187,13 +187,16 @@
 fn a_silent_peer_is_not_named_but_counted() {
     let settings = MeshSettings::default();
     let mut members = MemberTable::default();
-    members.hear(heartbeat("p", 1, 1), 0);
-    let later_ms = settings.silent_ms + 1;
-    assert_eq!(members.heard(&settings, later_ms).count(), 0);
-    assert_eq!(members.is_heard("p", &settings, later_ms), Some(false));
+    members.receive(heartbeat("p", 1, 1), 0);
+    let later_ms = settings.silent_after_ms + 1;
+    assert_eq!(members.live(&settings, later_ms).count(), 0);
+    assert_eq!(members.is_live("p", &settings, later_ms), Some(false));
     assert!(members.expire(&settings, later_ms).is_empty());
-    assert_eq!(members.expire(&settings, settings.gone_ms + 1), ["p"]);
-    assert_eq!(members.is_heard("p", &settings, settings.gone_ms + 1), None);
+    assert_eq!(members.expire(&settings, settings.gone_after_ms + 1), ["p"]);
+    assert_eq!(
+        members.is_live("p", &settings, settings.gone_after_ms + 1),
+        None
+    );
 }
 
 /// Instances are replaced one after the other, each by one of another name. A
@@ -203,14 +206,14 @@
 fn a_peer_that_has_stopped_is_forgotten_at_once() {
     let settings = MeshSettings::default();
     let mut members = MemberTable::default();
-    members.hear(heartbeat("p", 1, 1), 0);
+    members.receive(heartbeat("p", 1, 1), 0);
     let last = Heartbeat {
         stopped: true,
         ready: false,
         ..heartbeat("p", 1, 2)
     };
-    assert!(members.hear(last, 10));
-    assert_eq!(members.is_heard("p", &settings, 11), None);
+    assert!(members.receive(last, 10));
+    assert_eq!(members.is_live("p", &settings, 11), None);
     assert_eq!(members.iter().count(), 0);
 }
 
@@ -224,22 +227,22 @@
         peers: Vec::new(),
         ..heartbeat("p", incarnation, sequence)
     };
-    members.hear(beat(1, 1), 0);
+    members.receive(beat(1, 1), 0);
     let stopped = Heartbeat {
         stopped: true,
         ..beat(1, 3)
     };
-    assert!(members.hear(stopped, 10));
-    assert!(!members.hear(beat(1, 2), 200));
+    assert!(members.receive(stopped, 10));
+    assert!(!members.receive(beat(1, 2), 200));
     let hearsay = Heartbeat {
         peer_address: "127.0.0.3:7600".parse().expect("an address"),
         peers: vec![beat(1, 2).peer_address],
         ..heartbeat("other", 1, 1)
     };
-    assert!(members.hear(hearsay, 210));
+    assert!(members.receive(hearsay, 210));
     let targets = members.targets("a", 1, &settings, 220);
     assert_eq!((members.expected(), targets.direct.len()), (1, 1));
-    assert!(members.hear(beat(2, 1), 300), "it started again");
+    assert!(members.receive(beat(2, 1), 300), "it started again");
     assert_eq!(members.iter().count(), 2);
 }
 
@@ -247,10 +250,10 @@
 fn addresses_that_never_answer_are_tried_for_a_while() {
     let settings = MeshSettings::default();
     let mut members = MemberTable::default();
-    members.hear(heartbeat("p", 1, 1), 0);
+    members.receive(heartbeat("p", 1, 1), 0);
     let targets = |now_ms| members.targets("a", 1, &settings, now_ms);
     assert_eq!(targets(10).direct.len(), 2);
-    assert_eq!(targets(settings.try_ms + 1).direct.len(), 1);
+    assert_eq!(targets(settings.candidate_ms + 1).direct.len(), 1);
     assert!(targets(10).relays.is_empty());
 }
 
@@ -271,7 +274,7 @@
     let mut tables: Vec<MemberTable> = (0..80).map(|_| MemberTable::default()).collect();
     for (own, table) in tables.iter_mut().enumerate() {
         for other in (0..80).filter(|other| *other != own) {
-            table.hear(beat(other, 1), 0);
+            table.receive(beat(other, 1), 0);
         }
     }
     let is_dead = |n: usize| n % 10 == 3;
@@ -286,11 +289,11 @@
                 let place = (0..80).find(|n| address(*n) == relay).expect("it is known");
                 if !is_dead(place) {
                     told.push(relay);
-                    told.extend(tables[place].within(domain(place)));
+                    told.extend(tables[place].in_domain(domain(place)));
                 }
             }
             for to in (0..80).filter(|n| *n != from && told.contains(&address(*n))) {
-                tables[to].hear(beat(from, sequence), now_ms);
+                tables[to].receive(beat(from, sequence), now_ms);
             }
         }
     }
@@ -298,7 +301,7 @@
     for (own, table) in tables.iter().enumerate().filter(|(n, _)| !is_dead(*n)) {
         let heard = table
             .iter()
-            .filter(|member| member.heard_ms >= 2_000)
+            .filter(|member| member.received_ms >= 2_000)
             .count();
         assert_eq!(heard, 71, "instance {own}");
     }
@@ -319,11 +322,11 @@
         beat.loads = (0..engines)
             .map(|n| (format!("i-{n:010x}"), load))
             .collect();
-        beat.placed = (0..placed)
+        beat.placements = (0..placed)
             .map(|n| (u64::MAX - n as u64, n as u32))
             .collect();
         beat.teams = (0..teams)
-            .map(|n| TeamNote {
+            .map(|n| TeamReport {
                 team: format!("team{n:03}"),
                 spent: 1e7,
                 level: 1e5,
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -3,7 +3,7 @@
 use {
     mangowalk_core::{
         config::Store,
-        membership::{Members, SpreadSettings, keep_ms, spread},
+        membership::{AnswerTtlSettings, Members, addresses_for_caller, answer_ttl_ms},
         peer::{InstanceView, PeerReply, PeerRequest},
         platform::{ListReply, Object, ObjectKey, WatchReply},
     },
@@ -13,7 +13,7 @@
 };
 
 /// Exchanges that one node starts in a second.
-const EXCHANGES_A_S: f64 = 2.0;
+const EXCHANGES_PER_S: f64 = 2.0;
 const FIRST_PORT: u16 = 10_000;
 const ROUND_MS: u64 = 500;
 
@@ -25,7 +25,7 @@
     alive: bool,
 }
 
-struct Net {
+struct SimulatedFleet {
     nodes: Vec<Node>,
     random: SmallRng,
     now_ms: u64,
@@ -45,8 +45,8 @@
     }
 }
 
-impl Net {
-    fn of(size: usize, records: usize) -> Net {
+impl SimulatedFleet {
+    fn of(size: usize, records: usize) -> SimulatedFleet {
         let object = |i: usize| Object {
             key: ObjectKey::new("team", &format!("team-{i}")),
             version: i as u64 + 1,
@@ -63,94 +63,97 @@
             bytes: 0,
             alive: true,
         });
-        let mut net = Net {
+        let mut fleet = SimulatedFleet {
             nodes: nodes.collect(),
             random: SmallRng::seed_from_u64(7),
             now_ms: 0,
         };
-        for node in &mut net.nodes {
+        for node in &mut fleet.nodes {
             node.store.merge_list(&list);
             for i in 0..size {
                 if view(i) != node.view {
-                    node.members.hear_direct(&view(i), 0);
+                    node.members.merge_direct(&view(i), 0);
                 }
             }
         }
-        net
+        fleet
     }
 
     fn round(&mut self) {
         self.now_ms += ROUND_MS;
-        for at in 0..self.nodes.len() {
-            let members = self.nodes[at].members.all().filter(|m| m.is_live());
+        for index in 0..self.nodes.len() {
+            let members = self.nodes[index].members.all().filter(|m| m.is_live());
             let live: Vec<usize> = members
                 .map(|m| usize::from(m.view.caller_address.port() - FIRST_PORT))
                 .collect();
-            if self.nodes[at].alive && !live.is_empty() {
+            if self.nodes[index].alive && !live.is_empty() {
                 let peer = live[self.random.random_range(0..live.len())];
-                self.exchange(at, peer);
+                self.exchange(index, peer);
             }
         }
     }
 
-    fn believes_live(&self, at: usize, other: usize) -> bool {
+    fn considers_live(&self, index: usize, other: usize) -> bool {
         let address = view(other).caller_address;
-        let members = &self.nodes[at].members;
+        let members = &self.nodes[index].members;
         members
             .all()
             .any(|m| m.view.caller_address == address && m.is_live())
     }
 
-    fn exchange(&mut self, at: usize, peer: usize) {
-        let digest = self.nodes[at].store.digest();
-        let news = self.nodes[at].members.news();
+    fn exchange(&mut self, index: usize, peer: usize) {
+        let digest = self.nodes[index].store.digest();
+        let updates = self.nodes[index].members.next_updates();
         let request = PeerRequest::Exchange {
-            from: self.nodes[at].view.clone(),
+            from: self.nodes[index].view.clone(),
             digest,
-            news: news.clone(),
+            updates: updates.clone(),
             crashes: Vec::new(),
         };
         let bytes = postcard::to_stdvec(&request).expect("a message").len();
-        self.nodes[at].bytes += bytes;
+        self.nodes[index].bytes += bytes;
         if !self.nodes[peer].alive {
             let address = view(peer).caller_address;
-            self.nodes[at].members.suspect(address, self.now_ms);
+            self.nodes[index].members.suspect(address, self.now_ms);
             return;
         }
         self.nodes[peer].bytes += bytes;
-        let from = self.nodes[at].view.clone();
-        self.hear(peer, &from, &news);
+        let from = self.nodes[index].view.clone();
+        self.receive(peer, &from, &updates);
         let reply = PeerReply::Exchange {
             from: self.nodes[peer].view.clone(),
-            news: self.nodes[peer].members.news(),
+            updates: self.nodes[peer].members.next_updates(),
             delta: self.nodes[peer].store.delta_for(&digest),
             crashes: Vec::new(),
         };
         let bytes = postcard::to_stdvec(&reply).expect("a message").len();
         self.nodes[peer].bytes += bytes;
-        self.nodes[at].bytes += bytes;
+        self.nodes[index].bytes += bytes;
         if let PeerReply::Exchange {
-            from, news, delta, ..
+            from,
+            updates,
+            delta,
+            ..
         } = reply
         {
-            self.hear(at, &from, &news);
-            self.nodes[at].store.merge_delta(&delta);
+            self.receive(index, &from, &updates);
+            self.nodes[index].store.merge_delta(&delta);
         }
     }
 
-    fn hear(&mut self, at: usize, from: &InstanceView, news: &[InstanceView]) {
+    fn receive(&mut self, index: usize, from: &InstanceView, updates: &[InstanceView]) {
         let now_ms = self.now_ms;
-        let node = &mut self.nodes[at];
-        node.members.hear_direct(from, now_ms);
-        for view in news
+        let node = &mut self.nodes[index];
+        node.members.merge_direct(from, now_ms);
+        for view in updates
             .iter()
             .filter(|v| v.caller_address != node.view.caller_address)
         {
-            node.members.hear(view, now_ms);
+            node.members.merge_indirect(view, now_ms);
         }
     }
 
-    fn rounds_until(&mut self, done: impl Fn(&Net) -> bool) -> u32 {
+    fn rounds_until(&mut self, done: impl Fn(&SimulatedFleet) -> bool) -> u32 {
         for round in 1..200 {
             self.round();
             if done(self) {
@@ -166,28 +169,29 @@
 fn table() -> String {
     let mut lines = vec!["nodes  bytes/s  death  change".to_owned()];
     for size in [7, 50, 150, 350] {
-        let mut net = Net::of(size, 200);
-        let warm = 100;
-        (0..warm).for_each(|_| net.round());
-        net.nodes.iter_mut().for_each(|n| n.bytes = 0);
+        let mut fleet = SimulatedFleet::of(size, 200);
+        let warmup_rounds = 100;
+        (0..warmup_rounds).for_each(|_| fleet.round());
+        fleet.nodes.iter_mut().for_each(|n| n.bytes = 0);
         let rounds = 20;
-        (0..rounds).for_each(|_| net.round());
-        let most = net.nodes.iter().map(|n| n.bytes).sum::<usize>() / size;
-        let bytes_a_s = most as f64 / f64::from(rounds) * EXCHANGES_A_S;
-        net.nodes[1].alive = false;
-        let death =
-            net.rounds_until(|n| (0..n.nodes.len()).all(|at| at == 1 || !n.believes_live(at, 1)));
+        (0..rounds).for_each(|_| fleet.round());
+        let mean_bytes = fleet.nodes.iter().map(|n| n.bytes).sum::<usize>() / size;
+        let bytes_per_s = mean_bytes as f64 / f64::from(rounds) * EXCHANGES_PER_S;
+        fleet.nodes[1].alive = false;
+        let death = fleet.rounds_until(|n| {
+            (0..n.nodes.len()).all(|index| index == 1 || !n.considers_live(index, 1))
+        });
         let written = WatchReply {
             revision: 300,
             ..WatchReply::default()
         };
-        net.nodes[0].store.merge_watch(&written);
-        let change = net.rounds_until(|n| {
+        fleet.nodes[0].store.merge_watch(&written);
+        let change = fleet.rounds_until(|n| {
             let alive = n.nodes.iter().filter(|n| n.alive);
             alive.clone().all(|n| n.store.revision() == 300)
         });
         lines.push(format!(
-            "{size:>5}  {bytes_a_s:>7.0}  {death:>5}  {change:>6}"
+            "{size:>5}  {bytes_per_s:>7.0}  {death:>5}  {change:>6}"
         ));
     }
     lines.join("\n")
@@ -204,22 +208,22 @@
 /// An instance that was cut off suspects everyone, and tells so. Those who
 /// heard from the suspected ones a moment ago don't believe it.
 #[test]
-fn a_suspicion_against_fresh_word_is_dropped() {
+fn a_suspicion_of_a_recently_alive_instance_is_dropped() {
     let mut members = Members::default();
-    members.hear_direct(&view(1), 1_000);
+    members.merge_direct(&view(1), 1_000);
     let suspicion = InstanceView {
         suspected: true,
         ..view(1)
     };
-    assert!(!members.hear(&suspicion, 1_500));
-    assert!(members.hear(&suspicion, 5_000));
+    assert!(!members.merge_indirect(&suspicion, 1_500));
+    assert!(members.merge_indirect(&suspicion, 5_000));
     let refuted = InstanceView {
         heartbeat: 2,
         ..view(1)
     };
-    assert!(members.hear(&refuted, 5_500));
+    assert!(members.merge_indirect(&refuted, 5_500));
     assert!(
-        !members.hear(&suspicion, 60_000),
+        !members.merge_indirect(&suspicion, 60_000),
         "older than the refutation"
     );
 }
@@ -227,47 +231,56 @@
 /// Seven instances restart at once and one is ready. Callers are told of it
 /// alone, for a moment only, so that they spread when the others are ready.
 #[test]
-fn callers_of_the_first_one_ready_come_back_soon() {
+fn answers_expire_soon_while_most_instances_start() {
     let mut instances: Vec<InstanceView> = (0..7).map(view).collect();
     instances[1..].iter_mut().for_each(|i| i.ready = false);
-    let settings = SpreadSettings::default();
-    assert_eq!(keep_ms(&settings, &instances), settings.keep_starting_ms);
-    assert_eq!(spread(&instances, "san-antonio-0", 1).len(), 1);
+    let settings = AnswerTtlSettings::default();
+    assert_eq!(
+        answer_ttl_ms(&settings, &instances),
+        settings.starting_ttl_ms
+    );
+    assert_eq!(
+        addresses_for_caller(&instances, "san-antonio-0", 1).len(),
+        1
+    );
     instances.iter_mut().for_each(|i| i.ready = true);
-    assert_eq!(keep_ms(&settings, &instances), settings.keep_ms);
+    assert_eq!(answer_ttl_ms(&settings, &instances), settings.ttl_ms);
 }
 
 /// Every failure domain but the caller's is named last, and one address of
 /// another domain is always among the eight.
 #[test]
-fn the_own_failure_domain_comes_first_and_not_alone() {
+fn addresses_start_with_the_own_failure_domain_and_end_with_another() {
     let instances: Vec<InstanceView> = (0..120).map(view).collect();
-    let named = spread(&instances, "san-antonio-0", 1);
+    let addresses = addresses_for_caller(&instances, "san-antonio-0", 1);
     let near = |a: &SocketAddr| (a.port() - FIRST_PORT).is_multiple_of(6);
-    let order: Vec<bool> = named.iter().map(near).collect();
+    let order: Vec<bool> = addresses.iter().map(near).collect();
     assert_eq!(order, [true, true, true, true, true, true, true, false]);
 }
 
 /// Guards against an instance that left and is told of as well by one that has not
 /// heard of it for long.
 #[test]
-fn an_instance_that_left_does_not_come_back_by_older_news() {
+fn a_departed_instance_is_not_restored_by_an_older_report() {
     let mut members = Members::default();
-    assert!(members.hear(&view(1), 0));
-    let left = InstanceView {
+    assert!(members.merge_indirect(&view(1), 0));
+    let departed = InstanceView {
         departing: true,
         suspected: true,
         ..view(1)
     };
-    assert!(members.hear(&left, 2_000));
+    assert!(members.merge_indirect(&departed, 2_000));
     while members.all().next().is_some() {
-        members.news();
+        members.next_updates();
         members.forget(60_000);
     }
-    assert!(!members.hear(&view(1), 61_000));
-    let again = InstanceView {
+    assert!(!members.merge_indirect(&view(1), 61_000));
+    let restarted = InstanceView {
         incarnation: view(1).incarnation + 1,
         ..view(1)
     };
-    assert!(members.hear(&again, 62_000), "it started again");
+    assert!(
+        members.merge_indirect(&restarted, 62_000),
+        "it started again"
+    );
 }
--- a/crates/gateway/src/instance/blackboard.rs
+++ b/crates/gateway/src/instance/blackboard.rs
@@ -2,7 +2,7 @@
     super::{Counters, Crashes, Drain, Following, GatewaySettings, Reload, reloaded},
     crate::clock::now_ms,
     mangowalk_core::{
-        mesh::{MemberTable, OrderNote},
+        mesh::{MemberTable, OrderReport},
         pool::{EngineTable, KeptParts, ReadRate, Turnover, UsualPrompt, short_hash},
         retries::RetryBudget,
         routing::{Configuration, RouteTable},
@@ -90,7 +90,7 @@
     /// When this instance gave its last order.
     pub ordered_ms: Cell<Option<u64>>,
     /// Orders that this instance gives, for its heartbeats.
-    pub orders: RefCell<Vec<OrderNote>>,
+    pub orders: RefCell<Vec<OrderReport>>,
     /// Counters for operators.
     pub counters: Counters,
     /// Requests that were read and not answered in full.
@@ -164,7 +164,7 @@
         let mut members = self.members.borrow_mut();
         for &seed in &machine.seeds {
             if seed != machine.peer_address {
-                members.try_address(seed, now_ms());
+                members.add_candidate(seed, now_ms());
             }
         }
     }
@@ -229,7 +229,7 @@
         let mesh = &self.settings.mesh;
         let mut shares = self.shares.borrow_mut();
         shares.set_expected(members.expected() + 1);
-        shares.peers(|name| members.is_heard(name, mesh, now_ms));
+        shares.peers(|name| members.is_live(name, mesh, now_ms));
     }
 
     /// Returns the instances that may be serving, this one included.
@@ -244,7 +244,8 @@
     pub fn freshness(&self, now_ms: u64) -> Freshness {
         let members = self.members.borrow();
         let own = &self.machine().name;
-        let before = members.before(own, |peer| peer.has_store, &self.settings.mesh, now_ms);
+        let before =
+            members.count_live_before(own, |peer| peer.has_store, &self.settings.mesh, now_ms);
         match before < self.settings.current_readers {
             true => Freshness::Current,
             false => Freshness::MayLag,
@@ -255,8 +256,8 @@
     pub fn is_behind(&self, now_ms: u64) -> bool {
         let own = self.routes.borrow().version();
         let members = self.members.borrow();
-        let mut heard = members.heard(&self.settings.mesh, now_ms);
-        heard.any(|member| member.last.configuration_version > own)
+        let mut heard = members.live(&self.settings.mesh, now_ms);
+        heard.any(|member| member.last_heartbeat.configuration_version > own)
     }
 
     /// Returns where callers may connect: this instance if it is ready, and
@@ -264,9 +265,9 @@
     pub fn caller_addresses(&self, now_ms: u64) -> Vec<SocketAddr> {
         let members = self.members.borrow();
         let mut addresses: Vec<SocketAddr> = members
-            .heard(&self.settings.mesh, now_ms)
-            .filter(|member| member.last.ready)
-            .map(|member| member.last.caller_address)
+            .live(&self.settings.mesh, now_ms)
+            .filter(|member| member.last_heartbeat.ready)
+            .map(|member| member.last_heartbeat.caller_address)
             .collect();
         if self.is_ready() {
             addresses.push(self.machine().caller_address);
--- a/crates/gateway/src/instance/heartbeats.rs
+++ b/crates/gateway/src/instance/heartbeats.rs
@@ -1,7 +1,7 @@
 use {
     super::Instance,
     mangowalk_core::{
-        mesh::{Heartbeat, OrderNote, OrderPhase},
+        mesh::{Heartbeat, OrderPhase, OrderReport},
         pool::Steering,
         share::{PeerReport, PeerSpending},
         weights::NamedAt,
@@ -24,7 +24,7 @@
             return;
         }
         let known = self.members.borrow().incarnation(&heartbeat.name).is_some();
-        if !self.members.borrow_mut().hear(heartbeat.clone(), now_ms) {
+        if !self.members.borrow_mut().receive(heartbeat.clone(), now_ms) {
             return;
         }
         if heartbeat.stopped {
@@ -46,18 +46,18 @@
     }
 
     fn apply_engine_reports(&self, heartbeat: &Heartbeat, now_ms: u64) {
-        for &(part, _) in &heartbeat.placed {
+        for &(part, _) in &heartbeat.placements {
             // The peer's engine was asked to send it; so none here needs to be.
             self.kept.borrow_mut().ask(part, now_ms);
         }
         let mut engines = self.engines.borrow_mut();
         engines.peer_load(&heartbeat.name, &heartbeat.loads);
-        engines.placed(&heartbeat.placed, now_ms);
+        engines.placed(&heartbeat.placements, now_ms);
         let (peer, departures) = (&heartbeat.name, &heartbeat.departures);
         for engine in engines.merge_departures(peer, departures, now_ms) {
             log::info!("event=engine_leaves engine={engine} peer={peer}");
         }
-        for engine in &heartbeat.silent {
+        for engine in &heartbeat.silent_engines {
             if let Some(belief) = engines.get_mut(engine) {
                 belief.report_silent(SILENCE_REPORT_MS, now_ms);
             }
@@ -79,7 +79,7 @@
     }
 
     /// Believes what the orderer tells of an engine's weights.
-    pub fn apply_order_note(&self, order: &OrderNote, now_ms: u64) {
+    pub fn apply_order_note(&self, order: &OrderReport, now_ms: u64) {
         let mut engines = self.engines.borrow_mut();
         let Some(belief) = engines.get_mut(&order.engine) else {
             return;
--- a/crates/gateway/src/mesh/exchange.rs
+++ b/crates/gateway/src/mesh/exchange.rs
@@ -4,7 +4,7 @@
         instance::{Drain, Instance},
     },
     mangowalk_core::{
-        mesh::{Heartbeat, TeamNote, Way, Word},
+        mesh::{Delivery, Heartbeat, MeshMessage, TeamReport},
         weights::NamedAt,
     },
     std::{cell::Cell, io, net::SocketAddr, rc::Rc, time::Duration},
@@ -12,17 +12,17 @@
 };
 
 /// Longest heartbeat that is read.
-const MOST_BYTES: usize = 16 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 
 /// Peers named in a heartbeat, others in each, so that new ones are found by all.
-const NAMED_PEERS: usize = 4;
+const PEERS_PER_HEARTBEAT: usize = 4;
 
 /// Opens the socket on which peers are heard.
 ///
 /// # Errors
 ///
 /// Fails where the address is in use.
-pub async fn open(address: SocketAddr) -> io::Result<UdpSocket> {
+pub async fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::bind(address).await
 }
 
@@ -31,23 +31,23 @@
     let sequence = Cell::new(0_u64);
     tokio::join!(
         send(&instance, &socket, &sequence),
-        listen(&instance, &socket)
+        receive(&instance, &socket)
     );
 }
 
-async fn listen(instance: &Instance, socket: &UdpSocket) {
-    let mut buffer = vec![0; MOST_BYTES];
+async fn receive(instance: &Instance, socket: &UdpSocket) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok(length) = socket.recv(&mut buffer).await else {
             // A port without a listener at the other end is told here too.
             continue;
         };
-        match postcard::from_bytes::<Word>(&buffer[..length]) {
-            Ok(word) => {
-                if word.way == Way::ToPassOn {
-                    pass_on(instance, socket, &word.heartbeat);
+        match postcard::from_bytes::<MeshMessage>(&buffer[..length]) {
+            Ok(message) => {
+                if message.delivery == Delivery::ToRelay {
+                    relay(instance, socket, &message.heartbeat);
                 }
-                instance.hear(word.heartbeat, now_ms());
+                instance.hear(message.heartbeat, now_ms());
             }
             Err(error) => log::warn!("event=heartbeat_refused error=\"{error}\""),
         }
@@ -55,35 +55,38 @@
 }
 
 /// Passes a heartbeat from another failure domain on within this one.
-fn pass_on(instance: &Instance, socket: &UdpSocket, heartbeat: &Heartbeat) {
-    let Some(bytes) = encode(Way::PassedOn, heartbeat.clone()) else {
+fn relay(instance: &Instance, socket: &UdpSocket, heartbeat: &Heartbeat) {
+    let Some(bytes) = encode(Delivery::Relayed, heartbeat.clone()) else {
         return;
     };
     let domain = instance.machine().domain.clone();
-    for peer in instance.members.borrow().within(&domain) {
-        give(socket, &bytes, peer);
+    for peer in instance.members.borrow().in_domain(&domain) {
+        send_datagram(socket, &bytes, peer);
     }
 }
 
 /// Sends a datagram without waiting. One that doesn't fit the socket's buffer is
 /// lost like any other, and the next heartbeat makes up for it.
-fn give(socket: &UdpSocket, bytes: &[u8], peer: SocketAddr) {
+fn send_datagram(socket: &UdpSocket, bytes: &[u8], peer: SocketAddr) {
     if let Err(error) = socket.try_send_to(bytes, peer) {
         log::debug!("event=heartbeat_lost peer={peer} error=\"{error}\"");
     }
 }
 
-fn encode(way: Way, heartbeat: Heartbeat) -> Option<Vec<u8>> {
-    postcard::to_allocvec(&Word { way, heartbeat })
-        .inspect_err(|error| log::warn!("event=heartbeat_unwritable error=\"{error}\""))
-        .ok()
+fn encode(delivery: Delivery, heartbeat: Heartbeat) -> Option<Vec<u8>> {
+    postcard::to_allocvec(&MeshMessage {
+        delivery,
+        heartbeat,
+    })
+    .inspect_err(|error| log::warn!("event=heartbeat_unwritable error=\"{error}\""))
+    .ok()
 }
 
 async fn send(instance: &Instance, socket: &UdpSocket, sequence: &Cell<u64>) {
     instance.try_seeds();
-    let period = Duration::from_millis(instance.settings.mesh.period_ms);
+    let period = Duration::from_millis(instance.settings.mesh.heartbeat_interval_ms);
     loop {
-        beat(instance, socket, sequence);
+        send_heartbeat(instance, socket, sequence);
         tokio::select! {
             () = sleep(period) => {}
             () = instance.notes.heartbeat.notified() => {}
@@ -91,7 +94,7 @@
     }
 }
 
-fn beat(instance: &Instance, socket: &UdpSocket, sequence: &Cell<u64>) {
+fn send_heartbeat(instance: &Instance, socket: &UdpSocket, sequence: &Cell<u64>) {
     let now_ms = now_ms();
     let mesh = &instance.settings.mesh;
     let gone = instance.members.borrow_mut().expire(mesh, now_ms);
@@ -109,15 +112,15 @@
         .targets(&domain, turn, mesh, now_ms);
     let heartbeat = heartbeat(instance, turn, now_ms);
     if !targets.relays.is_empty()
-        && let Some(bytes) = encode(Way::ToPassOn, heartbeat.clone())
+        && let Some(bytes) = encode(Delivery::ToRelay, heartbeat.clone())
     {
         for &relay in &targets.relays {
-            give(socket, &bytes, relay);
+            send_datagram(socket, &bytes, relay);
         }
     }
-    if let Some(bytes) = encode(Way::Direct, heartbeat) {
+    if let Some(bytes) = encode(Delivery::Direct, heartbeat) {
         for &peer in &targets.direct {
-            give(socket, &bytes, peer);
+            send_datagram(socket, &bytes, peer);
         }
     }
 }
@@ -125,8 +128,10 @@
 fn heartbeat(instance: &Instance, sequence: u64, now_ms: u64) -> Heartbeat {
     let machine = instance.machine();
     let members = instance.members.borrow();
-    let heard = members.heard(&instance.settings.mesh, now_ms);
-    let peers: Vec<SocketAddr> = heard.map(|member| member.last.peer_address).collect();
+    let live = members.live(&instance.settings.mesh, now_ms);
+    let peers: Vec<SocketAddr> = live
+        .map(|member| member.last_heartbeat.peer_address)
+        .collect();
     let count = peers.len();
     let (instances, counted_for_ms) = instance.shares.borrow().instances(now_ms);
     Heartbeat {
@@ -148,9 +153,9 @@
             .get()
             .map(|ordered_ms| now_ms.saturating_sub(ordered_ms) as u32),
         loads: instance.engines.borrow().own_loads(),
-        placed: instance.placed_lately(now_ms),
+        placements: instance.placed_lately(now_ms),
         crashes: instance.crashes.borrow().sights(now_ms),
-        silent: instance.engines.borrow().silent(),
+        silent_engines: instance.engines.borrow().silent(),
         engines_revision: instance.engines.borrow().known_revision(),
         departures: instance
             .engines
@@ -164,8 +169,8 @@
         peers: peers
             .into_iter()
             .cycle()
-            .skip(sequence as usize * NAMED_PEERS % count.max(1))
-            .take(count.min(NAMED_PEERS))
+            .skip(sequence as usize * PEERS_PER_HEARTBEAT % count.max(1))
+            .take(count.min(PEERS_PER_HEARTBEAT))
             .collect(),
     }
 }
@@ -185,13 +190,13 @@
     versions
 }
 
-fn teams(instance: &Instance, now_ms: u64) -> Vec<TeamNote> {
-    let spending = instance.shares.borrow().spending(now_ms);
-    let notes = spending.into_iter().map(|(team, told)| TeamNote {
+fn teams(instance: &Instance, now_ms: u64) -> Vec<TeamReport> {
+    let teams = instance.shares.borrow().spending(now_ms);
+    let reports = teams.into_iter().map(|(team, spending)| TeamReport {
         team,
-        spent: told.spent,
-        level: told.level as f32,
-        demand_per_s: told.demand_per_s as f32,
+        spent: spending.spent,
+        level: spending.level as f32,
+        demand_per_s: spending.demand_per_s as f32,
     });
-    notes.collect()
+    reports.collect()
 }
--- a/crates/gateway/src/mesh/mod.rs
+++ b/crates/gateway/src/mesh/mod.rs
@@ -2,4 +2,4 @@
 
 mod exchange;
 
-pub use exchange::{exchange, open};
+pub use exchange::{bind, exchange};
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -158,7 +158,7 @@
     let directory = listen(machine.directory_address).await?;
     let metrics = listen(machine.metrics_address).await?;
     let peer_address = machine.peer_address;
-    let peers = mesh::open(peer_address)
+    let peers = mesh::bind(peer_address)
         .await
         .map_err(|source| RunError::Listen {
             address: peer_address,
--- a/crates/gateway/src/store/client.rs
+++ b/crates/gateway/src/store/client.rs
@@ -10,10 +10,10 @@
 };
 
 /// Longest answer that is read. A list's page is at most about a megabyte.
-const MOST_BYTES: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// Connections kept for further calls.
-const MOST_IDLE: usize = 2;
+const MAX_IDLE_CONNECTIONS: usize = 2;
 
 /// Why a call has no answer.
 #[derive(Debug, Display, Error)]
@@ -43,16 +43,16 @@
 #[derive(Debug)]
 pub struct CallClient {
     address: SocketAddr,
-    connect_ms: u64,
+    connect_timeout_ms: u64,
     idle: RefCell<Vec<SendRequest<Full<Bytes>>>>,
 }
 
 impl CallClient {
     /// Returns a client without connections.
-    pub fn new(address: SocketAddr, connect_ms: u64) -> CallClient {
+    pub fn new(address: SocketAddr, connect_timeout_ms: u64) -> CallClient {
         CallClient {
             address,
-            connect_ms,
+            connect_timeout_ms,
             idle: RefCell::default(),
         }
     }
@@ -62,8 +62,8 @@
     /// # Errors
     ///
     /// Fails where no whole answer came within the time.
-    pub async fn call(&self, call: &Call, within_ms: u64) -> Result<(u16, Bytes), CallError> {
-        let answer = timeout(Duration::from_millis(within_ms), self.exchange(call)).await;
+    pub async fn call(&self, call: &Call, timeout_ms: u64) -> Result<(u16, Bytes), CallError> {
+        let answer = timeout(Duration::from_millis(timeout_ms), self.exchange(call)).await;
         answer.unwrap_or_else(|_| Err(self.no_answer(&"time ran out")))
     }
 
@@ -75,13 +75,13 @@
         let response = sender.send_request(request).await;
         let response = response.map_err(|error| self.no_answer(&error))?;
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), MOST_BYTES)
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await
             .map_err(|error| self.no_answer(&error))?
             .to_bytes();
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < MOST_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(sender);
         }
         Ok((status, body))
@@ -89,8 +89,8 @@
 
     async fn connection(&self) -> Result<SendRequest<Full<Bytes>>, CallError> {
         loop {
-            let kept = self.idle.borrow_mut().pop();
-            match kept {
+            let idle = self.idle.borrow_mut().pop();
+            match idle {
                 Some(sender) if sender.is_ready() => return Ok(sender),
                 Some(_) => {}
                 None => return self.connect().await,
@@ -99,7 +99,7 @@
     }
 
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, CallError> {
-        let limit = Duration::from_millis(self.connect_ms);
+        let limit = Duration::from_millis(self.connect_timeout_ms);
         let stream = timeout(limit, TcpStream::connect(self.address)).await;
         let stream = stream
             .unwrap_or_else(|_| Err(io::Error::from(io::ErrorKind::TimedOut)))
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CallClient, pause::Pauses},
+    super::{CallClient, backoff::Backoff},
     crate::{clock::now_ms, instance::Instance},
     mangowalk_platform::{
         Changes, Freshness, Kind, Page, StoreError, Stored, decode_changes, decode_page,
@@ -15,16 +15,16 @@
 pub(super) trait Follower {
     const KIND: Kind;
     /// Pause after changes, in which further ones gather.
-    fn gather_ms(&self) -> u64 {
+    fn batch_ms(&self) -> u64 {
         0
     }
     /// Takes over the whole kind as it is at a revision.
-    fn replace(&self, objects: &[Stored], revision: u64);
+    fn replace_all(&self, objects: &[Stored], revision: u64);
     /// Takes over changes up to a revision, of which there may be none; an object
     /// that is gone is `None`.
-    fn change(&self, changes: &[(String, Option<Stored>)], revision: u64);
+    fn apply_changes(&self, changes: &[(String, Option<Stored>)], revision: u64);
     /// Ends when peers know more than this instance's watch has told.
-    async fn behind(&self) {
+    async fn wait_until_behind(&self) {
         pending().await
     }
 }
@@ -33,7 +33,7 @@
 /// again when the history is gone, a call fails, or a peer knows more.
 pub(super) async fn follow<F: Follower>(instance: &Instance, store: &CallClient, follower: F) {
     loop {
-        let revision = read_until_it_can(instance, store, &follower).await;
+        let revision = read_with_retries(instance, store, &follower).await;
         instance.following.began();
         watch(instance, store, &follower, revision).await;
         instance.following.ended();
@@ -41,12 +41,12 @@
 }
 
 /// Reads a kind whole, as often as it takes, and returns the revision.
-async fn read_until_it_can<F: Follower>(
+async fn read_with_retries<F: Follower>(
     instance: &Instance,
     store: &CallClient,
     follower: &F,
 ) -> u64 {
-    let mut pauses = Pauses::default();
+    let mut backoff = Backoff::default();
     let mut lost = false;
     loop {
         let began_ms = now_ms();
@@ -63,7 +63,7 @@
             instance.counters.count("store_lost", "read");
             log::warn!("event=store_lost kind={}", F::KIND);
         }
-        pauses.pause().await;
+        backoff.wait().await;
     }
 }
 
@@ -77,8 +77,8 @@
 ) {
     loop {
         let changes = tokio::select! {
-            changes = wait::<F>(instance, store, revision) => changes,
-            () = follower.behind() => None,
+            changes = poll_changes::<F>(instance, store, revision) => changes,
+            () = follower.wait_until_behind() => None,
         };
         let Some(changes) = changes else {
             return;
@@ -92,9 +92,9 @@
         let mut changed = changes.changed;
         changed.retain(|(_, object)| is_new(object));
         revision = revision.max(changes.revision);
-        follower.change(&changed, revision);
-        if !changed.is_empty() && follower.gather_ms() > 0 {
-            sleep(Duration::from_millis(follower.gather_ms())).await;
+        follower.apply_changes(&changed, revision);
+        if !changed.is_empty() && follower.batch_ms() > 0 {
+            sleep(Duration::from_millis(follower.batch_ms())).await;
         }
     }
 }
@@ -116,20 +116,20 @@
             log::info!("event=store_refused kind={} status={status}", F::KIND);
             return None;
         }
-        let page = decoded::<F, _>(decode_page(&body))?;
+        let page = decoded_or_logged::<F, _>(decode_page(&body))?;
         // Changes between two pages are seen by the watch from the first on.
         revision = revision.or(Some(page.revision));
         let more = page.more && !page.objects.is_empty();
         objects.extend(page.objects);
         if !more {
-            follower.replace(&objects, revision.unwrap_or_default());
+            follower.replace_all(&objects, revision.unwrap_or_default());
             return revision;
         }
     }
 }
 
 /// Returns what was decoded. What can't be read is logged, and read again.
-fn decoded<F: Follower, T>(result: Result<T, StoreError>) -> Option<T> {
+fn decoded_or_logged<F: Follower, T>(result: Result<T, StoreError>) -> Option<T> {
     result
         .inspect_err(|error| {
             log::warn!("event=store_unreadable kind={} error=\"{error}\"", F::KIND)
@@ -137,7 +137,7 @@
         .ok()
 }
 
-async fn wait<F: Follower>(
+async fn poll_changes<F: Follower>(
     instance: &Instance,
     store: &CallClient,
     revision: u64,
@@ -152,7 +152,7 @@
         .call(&call, wait_ms + instance.settings.answer_ms)
         .await
     {
-        Ok((200, body)) => decoded::<F, _>(decode_changes(&body)),
+        Ok((200, body)) => decoded_or_logged::<F, _>(decode_changes(&body)),
         Ok((GONE, _)) => {
             log::info!("event=store_history_gone kind={}", F::KIND);
             None
--- a/crates/gateway/src/store/followers.rs
+++ b/crates/gateway/src/store/followers.rs
@@ -29,19 +29,19 @@
 impl Follower for ConfigurationFollower {
     const KIND: Kind = Kind::Configuration;
 
-    fn replace(&self, objects: &[Stored], _revision: u64) {
+    fn replace_all(&self, objects: &[Stored], _revision: u64) {
         for object in objects {
             self.apply(object);
         }
     }
 
-    fn change(&self, changes: &[(String, Option<Stored>)], _revision: u64) {
+    fn apply_changes(&self, changes: &[(String, Option<Stored>)], _revision: u64) {
         for object in changes.iter().filter_map(|(_, object)| object.as_ref()) {
             self.apply(object);
         }
     }
 
-    async fn behind(&self) {
+    async fn wait_until_behind(&self) {
         let instance = &self.0;
         loop {
             instance.notes.configuration.notified().await;
@@ -58,11 +58,11 @@
 struct WeightsFollower {
     instance: Rc<Instance>,
     /// When the store last told something of the kind, or that nothing changed.
-    heard_ms: Cell<Option<u64>>,
+    last_answer_ms: Cell<Option<u64>>,
 }
 
 impl WeightsFollower {
-    fn name(&self, object: &Stored, at: NamedAt) {
+    fn record_version(&self, object: &Stored, at: NamedAt) {
         match decode_newest_weights(&object.spec) {
             Some(newest) => {
                 self.instance
@@ -76,19 +76,22 @@
 impl Follower for WeightsFollower {
     const KIND: Kind = Kind::Weights;
 
-    fn replace(&self, objects: &[Stored], _revision: u64) {
-        let gap_ms = self.heard_ms.get().map(|heard_ms| now_ms() - heard_ms);
+    fn replace_all(&self, objects: &[Stored], _revision: u64) {
+        let gap_ms = self
+            .last_answer_ms
+            .get()
+            .map(|last_answer_ms| now_ms() - last_answer_ms);
         let at = NamedAt::after_gap(gap_ms);
-        self.heard_ms.set(Some(now_ms()));
+        self.last_answer_ms.set(Some(now_ms()));
         for object in objects {
-            self.name(object, at);
+            self.record_version(object, at);
         }
     }
 
-    fn change(&self, changes: &[(String, Option<Stored>)], _revision: u64) {
-        self.heard_ms.set(Some(now_ms()));
+    fn apply_changes(&self, changes: &[(String, Option<Stored>)], _revision: u64) {
+        self.last_answer_ms.set(Some(now_ms()));
         for object in changes.iter().filter_map(|(_, object)| object.as_ref()) {
-            self.name(object, NamedAt::Ago(0));
+            self.record_version(object, NamedAt::Ago(0));
         }
     }
 }
@@ -96,7 +99,7 @@
 struct EnginesFollower(Rc<Instance>);
 
 impl EnginesFollower {
-    fn list(&self, engines: &mut EngineTable, object: &Stored) {
+    fn apply_entry(&self, engines: &mut EngineTable, object: &Stored) {
         let (name, revision) = (&object.name, object.revision);
         match decode_engine(name, revision, &object.spec) {
             Ok(entry) => {
@@ -117,7 +120,7 @@
         }
     }
 
-    fn unlist(&self, engines: &mut EngineTable, name: &str, revision: u64, now_ms: u64) {
+    fn remove_entry(&self, engines: &mut EngineTable, name: &str, revision: u64, now_ms: u64) {
         let (lapsed_ms, settled_ms) = (self.0.settings.lapsed_ms, self.0.machine().settled_ms);
         let following = &self.0.following;
         let keep_until_ms = following.keep_missing_until_ms(lapsed_ms, settled_ms, now_ms);
@@ -136,19 +139,19 @@
 impl Follower for EnginesFollower {
     const KIND: Kind = Kind::Engines;
 
-    fn gather_ms(&self) -> u64 {
+    fn batch_ms(&self) -> u64 {
         self.0.settings.gather_ms
     }
 
-    fn replace(&self, objects: &[Stored], revision: u64) {
+    fn replace_all(&self, objects: &[Stored], revision: u64) {
         let now_ms = now_ms();
         let mut engines = self.0.engines.borrow_mut();
         let is_listed = |id: &str| objects.iter().any(|object| object.name == id);
         for name in engines.unlisted(is_listed) {
-            self.unlist(&mut engines, &name, revision, now_ms);
+            self.remove_entry(&mut engines, &name, revision, now_ms);
         }
         for object in objects {
-            self.list(&mut engines, object);
+            self.apply_entry(&mut engines, object);
         }
         engines.listed_up_to(revision, now_ms);
         if !self.0.engines_known.replace(true) {
@@ -157,13 +160,13 @@
         self.0.notes.orders.notify_one();
     }
 
-    fn change(&self, changes: &[(String, Option<Stored>)], revision: u64) {
+    fn apply_changes(&self, changes: &[(String, Option<Stored>)], revision: u64) {
         let now_ms = now_ms();
         let mut engines = self.0.engines.borrow_mut();
         for (name, object) in changes {
             match object {
-                Some(object) => self.list(&mut engines, object),
-                None => self.unlist(&mut engines, name, revision, now_ms),
+                Some(object) => self.apply_entry(&mut engines, object),
+                None => self.remove_entry(&mut engines, name, revision, now_ms),
             }
         }
         engines.listed_up_to(revision, now_ms);
@@ -182,7 +185,7 @@
 pub async fn watch_weights(instance: Rc<Instance>, store: Rc<CallClient>) {
     let follower = WeightsFollower {
         instance: instance.clone(),
-        heard_ms: Cell::new(None),
+        last_answer_ms: Cell::new(None),
     };
     follow(&instance, &store, follower).await;
 }
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -1,9 +1,9 @@
 //! The platform's store: one client, and what is followed there.
 
+mod backoff;
 mod client;
 mod follow;
 mod followers;
-mod pause;
 mod register;
 
 pub use {
--- a/crates/gateway/src/store/register.rs
+++ b/crates/gateway/src/store/register.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CallClient, pause::Pauses},
+    super::{CallClient, backoff::Backoff},
     crate::{clock::now_ms, instance::Instance},
     mangowalk_platform::{
         Kind, MemberRecord, Page, Stored, decode_object, decode_page, encode_create, encode_replace,
@@ -13,25 +13,25 @@
 /// Each instance writes before it reads, so of two that start together at
 /// least one finds the other, and its heartbeats make it known.
 pub async fn register(instance: Rc<Instance>, store: Rc<CallClient>) {
-    let mut pauses = Pauses::default();
-    while !write_and_read(&instance, &store).await {
-        pauses.pause().await;
+    let mut backoff = Backoff::default();
+    while !publish_and_read_peers(&instance, &store).await {
+        backoff.wait().await;
     }
 }
 
-async fn write_and_read(instance: &Instance, store: &CallClient) -> bool {
+async fn publish_and_read_peers(instance: &Instance, store: &CallClient) -> bool {
     let name = &instance.machine().name;
-    let within_ms = instance.settings.store_ms;
+    let timeout_ms = instance.settings.store_ms;
     let record = MemberRecord {
         peer_address: instance.machine().peer_address,
     };
     let create = encode_create(Kind::Members, name, &record);
-    match store.call(&create, within_ms).await {
+    match store.call(&create, timeout_ms).await {
         Ok((200 | 201, _)) => {}
         Ok((409, body)) => {
             if let Ok(before) = decode_object(&body) {
                 let replace = encode_replace(Kind::Members, name, before.revision, &record);
-                if !matches!(store.call(&replace, within_ms).await, Ok((200, _))) {
+                if !matches!(store.call(&replace, timeout_ms).await, Ok((200, _))) {
                     return false;
                 }
             }
@@ -39,7 +39,7 @@
         _ => return false,
     }
     let Ok((200, body)) = store
-        .call(&Page::call(Kind::Members, None), within_ms)
+        .call(&Page::call(Kind::Members, None), timeout_ms)
         .await
     else {
         return false;
@@ -49,7 +49,7 @@
     };
     for object in &page.objects {
         if let Some(address) = peer_address(object) {
-            try_peer(instance, address);
+            add_peer_address(instance, address);
         }
     }
     instance.notes.heartbeat.notify_one();
@@ -61,8 +61,11 @@
     Some(record.peer_address)
 }
 
-fn try_peer(instance: &Instance, address: SocketAddr) {
+fn add_peer_address(instance: &Instance, address: SocketAddr) {
     if address != instance.machine().peer_address {
-        instance.members.borrow_mut().try_address(address, now_ms());
+        instance
+            .members
+            .borrow_mut()
+            .add_candidate(address, now_ms());
     }
 }
--- a/crates/gateway/src/upstreams/kept.rs
+++ b/crates/gateway/src/upstreams/kept.rs
@@ -48,7 +48,7 @@
     let members = instance.members.borrow();
     let before = members
         .iter()
-        .filter(|member| member.last.name < instance.machine().name);
+        .filter(|member| member.last_heartbeat.name < instance.machine().name);
     before.count() < MOST_FOLLOWERS
 }
 
--- a/crates/gateway/src/weights/progress.rs
+++ b/crates/gateway/src/weights/progress.rs
@@ -1,7 +1,7 @@
 use {
     crate::{clock::now_ms, instance::Instance},
     mangowalk_core::{
-        mesh::{OrderNote, OrderPhase},
+        mesh::{OrderPhase, OrderReport},
         pool::{EngineEntry, Incarnation},
         weights::{LoadPace, Turn},
     },
@@ -258,7 +258,7 @@
     }
 
     /// Returns what the peers shall hear.
-    pub(super) fn notes(&mut self) -> Vec<OrderNote> {
+    pub(super) fn notes(&mut self) -> Vec<OrderReport> {
         let now_ms = now_ms();
         self.given.retain(|_, given| {
             given.phase != OrderPhase::Done || now_ms < given.since_ms + TELL_DONE_MS
@@ -270,8 +270,8 @@
     }
 }
 
-fn told(engine: &Incarnation, given: &Given, now_ms: u64) -> OrderNote {
-    OrderNote {
+fn told(engine: &Incarnation, given: &Given, now_ms: u64) -> OrderReport {
+    OrderReport {
         engine: engine.id.clone(),
         model: given.model.clone(),
         version: given.version,
--- a/crates/gateway/src/weights/right.rs
+++ b/crates/gateway/src/weights/right.rs
@@ -111,8 +111,8 @@
     /// Returns whether another instance says that it holds the lease.
     fn is_held_elsewhere(&self) -> bool {
         let members = self.instance.members.borrow();
-        let mut heard = members.heard(&self.instance.settings.mesh, now_ms());
-        heard.any(|member| member.last.holds_lease)
+        let mut heard = members.live(&self.instance.settings.mesh, now_ms());
+        heard.any(|member| member.last_heartbeat.holds_lease)
     }
 
     /// Returns whether it is this instance's turn to take the lease from
@@ -126,9 +126,14 @@
         let now_ms = now_ms();
         let own = (self.instance.incarnation, &self.instance.machine().name);
         let before = members
-            .heard(&self.instance.settings.mesh, now_ms)
-            .filter(|member| member.last.ready)
-            .filter(|member| (member.last.incarnation, &member.last.name) > own)
+            .live(&self.instance.settings.mesh, now_ms)
+            .filter(|member| member.last_heartbeat.ready)
+            .filter(|member| {
+                (
+                    member.last_heartbeat.incarnation,
+                    &member.last_heartbeat.name,
+                ) > own
+            })
             .count() as u64;
         now_ms >= since_ms + before * TURN_MS
     }
@@ -233,8 +238,8 @@
     fn told(&self, record: &LeaseRecord) -> Option<Told> {
         let members = self.instance.members.borrow();
         let mut members = members.iter();
-        let holder = members.find(|member| member.last.name == record.holder)?;
-        let last = &holder.last;
+        let holder = members.find(|member| member.last_heartbeat.name == record.holder)?;
+        let last = &holder.last_heartbeat;
         if last.holds_lease {
             return None;
         }
@@ -245,8 +250,8 @@
             _ => up_ms,
         };
         Some(Told {
-            quiet_since_ms: holder.heard_ms.saturating_sub(ago_ms),
-            heard_ms: holder.heard_ms,
+            quiet_since_ms: holder.received_ms.saturating_sub(ago_ms),
+            heard_ms: holder.received_ms,
             is_restarted,
         })
     }
--- a/crates/mangowalkd/examples/capacity/state.rs
+++ b/crates/mangowalkd/examples/capacity/state.rs
@@ -101,7 +101,7 @@
 fn answer_bytes(peers: &PeerBoard, from: InstanceView) -> usize {
     let reply = PeerReply::Exchange {
         from,
-        news: peers.news(),
+        updates: peers.news(),
         delta: Delta::default(),
         crashes: Vec::new(),
     };
--- a/crates/mangowalkd/src/board/peers.rs
+++ b/crates/mangowalkd/src/board/peers.rs
@@ -26,12 +26,12 @@
 impl PeerBoard {
     /// Takes news of an instance; older news than held is dropped.
     pub fn hear(&self, view: &InstanceView, now_ms: u64) {
-        lock(&self.members).hear(view, now_ms);
+        lock(&self.members).merge_indirect(view, now_ms);
     }
 
     /// Takes what an instance says of itself.
     pub fn hear_direct(&self, view: &InstanceView, now_ms: u64) {
-        lock(&self.members).hear_direct(view, now_ms);
+        lock(&self.members).merge_direct(view, now_ms);
     }
 
     /// Returns a copy of every sight of an instance that answers.
@@ -54,7 +54,7 @@
 
     /// Returns the news for one message.
     pub fn news(&self) -> Vec<InstanceView> {
-        lock(&self.members).news()
+        lock(&self.members).next_updates()
     }
 
     /// Notes that an instance gave no answer.
--- a/crates/mangowalkd/src/caller/addresses.rs
+++ b/crates/mangowalkd/src/caller/addresses.rs
@@ -2,7 +2,7 @@
     crate::serve::Router,
     mangowalk_core::{
         edge::Edges,
-        membership::{SpreadSettings, keep_ms, spread},
+        membership::{AnswerTtlSettings, addresses_for_caller, answer_ttl_ms},
         peer::InstanceView,
     },
     serde::Serialize,
@@ -34,8 +34,8 @@
         suspected: false,
     });
     let body = Addresses {
-        addresses: spread(&instances, &id.failure_domain, rand::random()),
-        keep_ms: keep_ms(&SpreadSettings::default(), &instances),
+        addresses: addresses_for_caller(&instances, &id.failure_domain, rand::random()),
+        keep_ms: answer_ttl_ms(&AnswerTtlSettings::default(), &instances),
     };
     serde_json::to_vec(&body).unwrap_or_default()
 }
--- a/crates/mangowalkd/src/cli/settings.rs
+++ b/crates/mangowalkd/src/cli/settings.rs
@@ -69,7 +69,7 @@
             favour: Favour::FirstToken,
             compute_block_us: 2_000,
             depart_grace_ms: 12_000,
-            stale_config_ms: Freshness::LIMIT_MS,
+            stale_config_ms: Freshness::DEFAULT_LIMIT_MS,
             operator_address: None,
             statsd_address: None,
         }
--- a/crates/mangowalkd/src/controller/gossip.rs
+++ b/crates/mangowalkd/src/controller/gossip.rs
@@ -88,14 +88,14 @@
         let request = PeerRequest::Exchange {
             from: own_view(board),
             digest: board.config.read(|s| s.digest()),
-            news: board.peers.news(),
+            updates: board.peers.news(),
             crashes: board.poison.sights(edges.clock().now_ms()),
         };
         for _ in 0..TRIES {
             let reply = edges.peers().ask(address, &request, ANSWER_TIMEOUT_MS);
             if let Ok(PeerReply::Exchange {
                 from,
-                news,
+                updates: news,
                 delta,
                 crashes,
             }) = reply
@@ -175,7 +175,9 @@
     let now_ms = edges.clock().now_ms();
     hear(board, from, news, now_ms);
     let window_ms = board.config.freshness().limit_ms;
-    let (heard, known) = board.peers.read(|m| m.heard_within(window_ms, now_ms));
+    let (heard, known) = board
+        .peers
+        .read(|m| m.count_alive_within(window_ms, now_ms));
     if Freshness::peers_confirm(heard, known) {
         board.config.confirm(now_ms);
     }
@@ -233,14 +235,14 @@
         PeerRequest::Exchange {
             from,
             digest,
-            news,
+            updates: news,
             crashes,
         } => {
             hear(board, from, news, now_ms);
             board.poison.merge(crashes, now_ms);
             PeerReply::Exchange {
                 from: own_view(board),
-                news: board.peers.news(),
+                updates: board.peers.news(),
                 delta: board.config.read(|s| s.delta_for(digest)),
                 crashes: board.poison.sights(now_ms),
             }
--- a/crates/mangowalkd/src/controller/lease_keeper.rs
+++ b/crates/mangowalkd/src/controller/lease_keeper.rs
@@ -52,7 +52,7 @@
                 info!("lease: {} lapsed.", self.name);
                 self.state = State::Watching(held.lost(now_ms));
             }
-            State::Held(held) if held.wants_renewal(now_ms) => {
+            State::Held(held) if held.needs_renewal(now_ms) => {
                 self.renew(edges, board, held, now_ms);
             }
             State::Held(_) => {}
@@ -101,7 +101,7 @@
         let now_ms = edges.clock().now_ms();
         watching.observe(object.map_or(0, |o| o.version), now_ms);
         self.state = State::Watching(watching);
-        let Some(version) = watching.free(now_ms) else {
+        let Some(version) = watching.free_version(now_ms) else {
             return;
         };
         let expect = match version {
@@ -110,7 +110,7 @@
         };
         if let Some(version) = self.write(edges, board, expect) {
             info!("lease: Holding {} with number {version}.", self.name);
-            self.state = State::Held(watching.taken(version, now_ms));
+            self.state = State::Held(watching.acquired(version, now_ms));
         }
     }
 
--- a/crates/mangowalkd/src/operator/status.rs
+++ b/crates/mangowalkd/src/operator/status.rs
@@ -100,7 +100,7 @@
         failure_domain: sight.view.failure_domain.clone(),
         ready: sight.view.ready,
         departing: sight.view.departing,
-        silent_ms: now_ms.saturating_sub(sight.heard_ms),
+        silent_ms: now_ms.saturating_sub(sight.last_alive_ms),
     }
 }
 
--- a/crates/mangowalkd/tests/membership.rs
+++ b/crates/mangowalkd/tests/membership.rs
@@ -132,7 +132,7 @@
     let request = PeerRequest::Exchange {
         from: view(1, 0, false),
         digest: Digest::default(),
-        news: vec![view(address.port(), 5, true)],
+        updates: vec![view(address.port(), 5, true)],
         crashes: Vec::new(),
     };
     let reply = answer(&LiveEdges::new(free_address()), &board, &request);
