--- a/crates/core/src/claim/judge.rs
+++ b/crates/core/src/claim/duplicate.rs
@@ -11,7 +11,7 @@
 
 /// What is known of a claim's holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Holder {
+pub enum HolderLiveness {
     /// It was heard of a moment ago.
     Alive,
     /// It was not, or another process has its address.
@@ -20,7 +20,7 @@
 
 /// What a caller gets whose request is claimed already.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum DuplicateResponse {
     /// The answer of the run.
     Replay(StoredReply),
     /// A refusal that says what is known.
@@ -30,18 +30,22 @@
 /// Decides what a caller gets whose request, of the given digest, meets a
 /// claim. It never runs again, whoever holds the claim: a silent holder may
 /// have sent it.
-pub fn judge(claim: &ClaimBody, request: &str, holder: Holder) -> Verdict {
+pub fn duplicate_response(
+    claim: &ClaimBody,
+    request: &str,
+    holder: HolderLiveness,
+) -> DuplicateResponse {
     if claim.request != request {
-        return Verdict::Refuse(Refusal::KeyReused);
+        return DuplicateResponse::Refuse(Refusal::KeyReused);
     }
     let refusal = match &claim.state {
-        ClaimState::Ran(reply) => return Verdict::Replay(reply.clone()),
+        ClaimState::Ran(reply) => return DuplicateResponse::Replay(reply.clone()),
         ClaimState::RanTooLong => Refusal::Claimed {
             detail: "This call ran, and its answer is too long to be kept; ask the service for it.",
             outcome: Outcome::Ran,
             retry_ms: UNKNOWN_RETRY_MS,
         },
-        ClaimState::Claimed if holder == Holder::Alive => Refusal::Claimed {
+        ClaimState::Claimed if holder == HolderLiveness::Alive => Refusal::Claimed {
             detail: "This call is running; send it again with the same Idempotency-Key for its answer.",
             outcome: Outcome::Unknown,
             retry_ms: CLAIMED_RETRY_MS,
@@ -52,5 +56,5 @@
             retry_ms: UNKNOWN_RETRY_MS,
         },
     };
-    Verdict::Refuse(refusal)
+    DuplicateResponse::Refuse(refusal)
 }
--- a/crates/core/src/claim/epoch.rs
+++ b/crates/core/src/claim/epoch.rs
@@ -1,11 +1,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Least time that one epoch takes.
-pub const EPOCH_MS: u64 = 600_000;
+pub const MIN_EPOCH_MS: u64 = 600_000;
 
 /// Epochs for which a claim is kept: 25 hours at least. A caller that sends
 /// again later than that is served anew.
-pub const KEPT_EPOCHS: u64 = 150;
+pub const CLAIM_RETENTION_EPOCHS: u64 = 150;
 
 /// Time for which an epoch that was read counts as the present one.
 const READ_COUNTS_MS: u64 = 1_800_000;
@@ -24,10 +24,10 @@
 /// A claim is deleted a day after it was made, but no instance may live a
 /// day, and wall clocks are not trusted: one a day ahead would delete claims
 /// of the same minute. So any instance that has itself watched an epoch for
-/// [`EPOCH_MS`] writes the next one, on condition that it is still the same.
+/// [`MIN_EPOCH_MS`] writes the next one, on condition that it is still the same.
 /// A hundred and fifty epochs took 25 hours, whoever wrote them.
 #[derive(Debug, Clone, Default)]
-pub struct EpochWatch {
+pub struct EpochTracker {
     seen: Option<Seen>,
 }
 
@@ -39,9 +39,9 @@
     last_ms: u64,
 }
 
-impl EpochWatch {
+impl EpochTracker {
     /// Notes what the platform holds, read or written by `now_ms`.
-    pub fn see(&mut self, version: u64, body: EpochBody, now_ms: u64) {
+    pub fn observe(&mut self, version: u64, body: EpochBody, now_ms: u64) {
         let first_ms = match &self.seen {
             Some(seen) if seen.version == version => seen.first_ms,
             _ => now_ms,
@@ -56,9 +56,9 @@
 
     /// Returns the version to write over and the next epoch, if this one has
     /// lasted.
-    pub fn next(&self, now_ms: u64) -> Option<(u64, EpochBody)> {
+    pub fn next_epoch(&self, now_ms: u64) -> Option<(u64, EpochBody)> {
         let seen = self.seen?;
-        let lasted = now_ms.saturating_sub(seen.first_ms) >= EPOCH_MS;
+        let lasted = now_ms.saturating_sub(seen.first_ms) >= MIN_EPOCH_MS;
         let body = EpochBody {
             schema: 1,
             number: seen.number + 1,
@@ -67,17 +67,17 @@
     }
 
     /// Returns the present epoch, if it was read lately.
-    pub fn number(&self, now_ms: u64) -> Option<u64> {
+    pub fn current_epoch(&self, now_ms: u64) -> Option<u64> {
         let seen = self.seen?;
         let fresh = now_ms.saturating_sub(seen.last_ms) < READ_COUNTS_MS;
         fresh.then_some(seen.number)
     }
 
     /// Returns whether a claim of an epoch may be deleted.
-    pub fn is_over(&self, claim_epoch: Option<u64>) -> bool {
+    pub fn is_expired(&self, claim_epoch: Option<u64>) -> bool {
         let (Some(seen), Some(epoch)) = (self.seen, claim_epoch) else {
             return false;
         };
-        seen.number > epoch.saturating_add(KEPT_EPOCHS)
+        seen.number > epoch.saturating_add(CLAIM_RETENTION_EPOCHS)
     }
 }
--- a/crates/core/src/claim/life.rs
+++ b/crates/core/src/claim/lifecycle.rs
@@ -47,7 +47,7 @@
 
 /// A claim that is too old to be sent under.
 #[derive(Debug)]
-pub struct ClaimedTooLong(
+pub struct ClaimTooOld(
     /// The claim, to be withdrawn.
     pub Box<Claim<Claimed>>,
 );
@@ -91,9 +91,9 @@
     /// # Errors
     ///
     /// Fails where the claim is so old that it may be gone.
-    pub fn send(self, now_ms: u64) -> Result<Claim<Sent>, ClaimedTooLong> {
+    pub fn send(self, now_ms: u64) -> Result<Claim<Sent>, ClaimTooOld> {
         if now_ms.saturating_sub(self.state.begun_ms) > LONGEST_UNSENT_MS {
-            return Err(ClaimedTooLong(Box::new(self)));
+            return Err(ClaimTooOld(Box::new(self)));
         }
         Ok(Claim {
             name: self.name,
@@ -122,12 +122,12 @@
 
     /// Notes the answer.
     pub fn ran(self, reply: &ServiceReply) -> Claim<Settled> {
-        let state = StoredReply::of(reply).map_or(ClaimState::RanTooLong, ClaimState::Ran);
+        let state = StoredReply::from_reply(reply).map_or(ClaimState::RanTooLong, ClaimState::Ran);
         self.settle(state)
     }
 
     /// Notes that the answer was lost.
-    pub fn lost(self) -> Claim<Settled> {
+    pub fn reply_lost(self) -> Claim<Settled> {
         self.settle(ClaimState::Unknown)
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Keeps the outcome and drops the answer, if memory is short.
-    pub fn without_reply(&mut self) {
+    pub fn drop_reply(&mut self) {
         if matches!(self.body.state, ClaimState::Ran(_)) {
             self.body.state = ClaimState::RanTooLong;
         }
--- a/crates/core/src/claim/mod.rs
+++ b/crates/core/src/claim/mod.rs
@@ -7,16 +7,16 @@
 
 mod body;
 mod digest;
+mod duplicate;
 mod epoch;
-mod judge;
-mod life;
+mod lifecycle;
 mod reply;
 
 pub use {
     body::{ClaimBody, ClaimState},
     digest::digest_of_parts,
-    epoch::{EPOCH_MS, EpochBody, EpochWatch, KEPT_EPOCHS},
-    judge::{CLAIMED_RETRY_MS, Holder, Verdict, judge},
-    life::{Claim, Claimed, ClaimedTooLong, Sent, Settled, Unclaimed},
-    reply::{LONGEST_REPLY_BYTES, ReplyBody, StoredReply},
+    duplicate::{CLAIMED_RETRY_MS, DuplicateResponse, HolderLiveness, duplicate_response},
+    epoch::{CLAIM_RETENTION_EPOCHS, EpochBody, EpochTracker, MIN_EPOCH_MS},
+    lifecycle::{Claim, ClaimTooOld, Claimed, Sent, Settled, Unclaimed},
+    reply::{MAX_STORED_REPLY_BYTES, ReplyBody, StoredReply},
 };
--- a/crates/core/src/claim/reply.rs
+++ b/crates/core/src/claim/reply.rs
@@ -5,7 +5,7 @@
 
 /// Longest answer that is kept in a claim. The platform holds values up to a
 /// megabyte, and bytes that are no text grow fourfold as JSON numbers.
-pub const LONGEST_REPLY_BYTES: usize = 200 << 10;
+pub const MAX_STORED_REPLY_BYTES: usize = 200 << 10;
 
 /// A service's answer as a claim keeps it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,8 +30,8 @@
 
 impl StoredReply {
     /// Returns an answer as it is kept; none if it is too long.
-    pub fn of(reply: &ServiceReply) -> Option<StoredReply> {
-        if reply.body.len() > LONGEST_REPLY_BYTES {
+    pub fn from_reply(reply: &ServiceReply) -> Option<StoredReply> {
+        if reply.body.len() > MAX_STORED_REPLY_BYTES {
             return None;
         }
         let body = match std::str::from_utf8(&reply.body) {
--- a/crates/core/src/pool/choice.rs
+++ b/crates/core/src/pool/choice.rs
@@ -1,6 +1,6 @@
 use {
     super::{Belief, HealthSettings, Need},
-    crate::weights::Wanted,
+    crate::weights::VersionBounds,
 };
 
 /// Weights of the choice among engines. All are in tokens of prompt, the unit
@@ -92,7 +92,7 @@
 pub fn choose<'a>(
     engines: impl Iterator<Item = &'a Belief> + Clone,
     need: &Need,
-    wanted: Wanted,
+    wanted: VersionBounds,
     memory_tokens: u64,
     settings: &ChoiceSettings,
     draw: u64,
@@ -106,7 +106,7 @@
     });
     let version = |belief: &Belief| need.model.as_ref().map_or(0, |model| belief.version(model));
     let open = |belief: &&Belief| {
-        !belief.is_barred(&settings.health, now_ms) && version(belief) >= wanted.least
+        !belief.is_barred(&settings.health, now_ms) && version(belief) >= wanted.min_allowed
     };
     let steady = |belief: &&Belief| open(belief) && !belief.is_steered(now_ms);
     let cheapest = |a: &&Belief, b: &&Belief| {
@@ -151,7 +151,7 @@
 fn cost_tokens(
     belief: &Belief,
     need: &Need,
-    wanted: Wanted,
+    wanted: VersionBounds,
     memory_tokens: u64,
     settings: &ChoiceSettings,
     home: Option<&str>,
@@ -176,7 +176,7 @@
     if belief.version(model) < wanted.newest {
         cost += settings.old_tokens;
     }
-    if belief.version(model) < wanted.due {
+    if belief.version(model) < wanted.min_preferred {
         cost += settings.due_tokens;
     }
     let kept = need
--- a/crates/core/src/rollout/facts.rs
+++ b/crates/core/src/rollout/facts.rs
@@ -1,6 +1,6 @@
 /// What is known of one engine of the model, as last read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EngineFacts<'a> {
+pub struct EngineSnapshot<'a> {
     /// Name of the record.
     pub name: &'a str,
     /// Weights version of the model that it serves; none if it does not
@@ -11,7 +11,7 @@
     /// Whether it loads weights.
     pub loading: bool,
     /// Requests that run or wait in it.
-    pub open: u32,
+    pub open_requests: u32,
     /// Whether it refuses orders with an old fencing number.
     pub checks_fencing: bool,
     /// Whether it has a drain mark.
@@ -20,7 +20,7 @@
     pub departing: bool,
 }
 
-impl EngineFacts<'_> {
+impl EngineSnapshot<'_> {
     /// Returns whether callers' requests are sent to it.
     pub fn serves(&self) -> bool {
         let has_model = self.version.is_some_and(|v| !v.is_empty());
--- a/crates/core/src/rollout/machine.rs
+++ b/crates/core/src/rollout/machine.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Action, EngineFacts, Failure, Plan, RolloutSettings, memory::Memory},
+    super::{Action, EngineSnapshot, Failure, Plan, RolloutSettings, memory::Memory},
     crate::engine::OrderReply,
     std::collections::BTreeMap,
 };
@@ -30,13 +30,18 @@
     }
 
     /// Takes the record in force.
-    pub fn aim(&mut self, target: &str, concurrent_loads: usize, engines: &[EngineFacts<'_>]) {
+    pub fn set_target(
+        &mut self,
+        target: &str,
+        concurrent_loads: usize,
+        engines: &[EngineSnapshot<'_>],
+    ) {
         self.settings.concurrent_loads = concurrent_loads;
-        self.plan.aim(target, engines);
+        self.plan.set_target(target, engines);
     }
 
     /// Returns what to do now.
-    pub fn decide<'a>(&mut self, engines: &[EngineFacts<'a>], now_ms: u64) -> Vec<Action<'a>> {
+    pub fn decide<'a>(&mut self, engines: &[EngineSnapshot<'a>], now_ms: u64) -> Vec<Action<'a>> {
         self.out
             .retain(|name, _| engines.iter().any(|e| e.name == name && e.drained));
         let mut loading = engines
@@ -56,7 +61,7 @@
 
     /// Notes the reply to an order, none if it was lost. A lost one may have
     /// been followed; the engine's state will tell.
-    pub fn ordered(
+    pub fn record_order_reply(
         &mut self,
         engine: &str,
         version: &str,
@@ -76,7 +81,14 @@
     }
 
     /// Notes how a probe ended.
-    pub fn probed(&mut self, engine: &str, incarnation: u64, version: &str, ok: bool, now_ms: u64) {
+    pub fn record_probe(
+        &mut self,
+        engine: &str,
+        incarnation: u64,
+        version: &str,
+        ok: bool,
+        now_ms: u64,
+    ) {
         let most = self.settings.most_probes;
         let memory = self.memory(engine, now_ms);
         if ok {
@@ -111,7 +123,7 @@
         }
     }
 
-    fn is_loading(&self, engine: &EngineFacts<'_>, now_ms: u64) -> bool {
+    fn is_loading(&self, engine: &EngineSnapshot<'_>, now_ms: u64) -> bool {
         let wanted = self.plan.wanted();
         let awaits = self
             .out
@@ -123,7 +135,7 @@
     /// Returns the next step of an engine that is out.
     fn advance<'a>(
         &mut self,
-        engine: &EngineFacts<'a>,
+        engine: &EngineSnapshot<'a>,
         loading: usize,
         now_ms: u64,
     ) -> Option<Action<'a>> {
@@ -168,7 +180,7 @@
 
     /// Puts an engine back that answered with the version it shall serve. An
     /// answer of the engine before its last restart does not count.
-    fn finish<'a>(&self, engine: &EngineFacts<'a>, wanted: String) -> Action<'a> {
+    fn finish<'a>(&self, engine: &EngineSnapshot<'a>, wanted: String) -> Action<'a> {
         let probed = self.out.get(engine.name).and_then(|m| m.probed.as_ref());
         if probed == Some(&(engine.incarnation, wanted.clone())) {
             return Action::Undrain {
@@ -183,7 +195,7 @@
 
     fn order<'a>(
         &mut self,
-        engine: &EngineFacts<'a>,
+        engine: &EngineSnapshot<'a>,
         wanted: String,
         loading: usize,
         now_ms: u64,
@@ -192,7 +204,7 @@
         let early = now_ms.saturating_sub(self.since_ms) < settings.unfenced_wait_ms;
         let memory = self.memory(engine.name, now_ms);
         let drained_ms = now_ms.saturating_sub(memory.drained_ms);
-        let idle = engine.open == 0 || drained_ms >= settings.drain_timeout_ms;
+        let idle = engine.open_requests == 0 || drained_ms >= settings.drain_timeout_ms;
         let waits = drained_ms < settings.settle_ms
             || !idle
             || memory.awaits(&wanted, settings.order_retry_ms, now_ms)
@@ -216,7 +228,7 @@
     }
 
     /// Returns the next engine to take out, if capacity allows it.
-    fn take_out<'a>(&self, engines: &[EngineFacts<'a>]) -> Option<Action<'a>> {
+    fn take_out<'a>(&self, engines: &[EngineSnapshot<'a>]) -> Option<Action<'a>> {
         let out = engines.iter().filter(|e| e.drained).count();
         if self.plan.failure.is_some() || out >= self.settings.concurrent_loads {
             return None;
@@ -241,7 +253,7 @@
 
     /// Notes that every engine that answers serves the target. One that is
     /// dead gets it when it comes back.
-    fn note_done(&mut self, engines: &[EngineFacts<'_>]) {
+    fn note_done(&mut self, engines: &[EngineSnapshot<'_>]) {
         let target = self.plan.target.as_str();
         let mut answering = engines
             .iter()
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -16,7 +16,7 @@
 
 pub use {
     action::Action,
-    facts::EngineFacts,
+    facts::EngineSnapshot,
     machine::Rollout,
     plan::{Failure, Plan},
     settings::RolloutSettings,
--- a/crates/core/src/rollout/plan.rs
+++ b/crates/core/src/rollout/plan.rs
@@ -1,5 +1,5 @@
 use {
-    super::EngineFacts,
+    super::EngineSnapshot,
     serde::{Deserialize, Serialize},
     std::collections::BTreeMap,
 };
@@ -34,7 +34,7 @@
     /// A record that changes while a rollout runs, or after it stopped, is a
     /// new decision of the operators: it starts anew, and what was good stays
     /// what to go back to.
-    pub fn aim(&mut self, target: &str, engines: &[EngineFacts<'_>]) {
+    pub fn set_target(&mut self, target: &str, engines: &[EngineSnapshot<'_>]) {
         if self.target == target {
             return self.find_good(engines);
         }
@@ -57,9 +57,9 @@
     /// Notes what engines served before, if no engine answered when the
     /// rollout began. Without it a failed engine would have nothing to go
     /// back to and stay out.
-    fn find_good(&mut self, engines: &[EngineFacts<'_>]) {
+    fn find_good(&mut self, engines: &[EngineSnapshot<'_>]) {
         if self.good.is_empty() {
-            let before = |e: &&EngineFacts<'_>| e.version != Some(self.target.as_str());
+            let before = |e: &&EngineSnapshot<'_>| e.version != Some(self.target.as_str());
             let before: Vec<_> = engines.iter().filter(before).copied().collect();
             self.good = most_served(&before);
         }
@@ -74,7 +74,7 @@
     }
 }
 
-fn most_served(engines: &[EngineFacts<'_>]) -> String {
+fn most_served(engines: &[EngineSnapshot<'_>]) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for version in engines.iter().filter_map(|e| e.version) {
         *counts.entry(version).or_default() += usize::from(!version.is_empty());
--- a/crates/core/src/weights/lease.rs
+++ b/crates/core/src/weights/lease.rs
@@ -2,17 +2,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseSettings {
     /// Time for which two instances may not both have given orders.
-    pub apart_ms: u64,
+    pub exclusion_ms: u64,
     /// Time after a renewal was sent within which orders may leave. Short:
     /// whoever takes over waits it out, and a renewal takes only one call.
     /// Long enough for a renewal that a slow store takes half a second for.
-    pub act_ms: u64,
+    pub valid_ms: u64,
     /// What an order may be on its way, and clocks may differ in speed.
     pub margin_ms: u64,
     /// Time for which a record must have been as it is before it is taken from
     /// a holder that says that it has left: three heartbeats, within which
     /// whoever has just written it is heard to hold the lease.
-    pub settle_ms: u64,
+    pub released_wait_ms: u64,
 }
 
 impl LeaseSettings {
@@ -22,18 +22,18 @@
     /// It may live behind a cut, waiting for the holder before it; taking the
     /// lease from it then would make everybody wait again. No time is lost by
     /// it: whoever takes over could not order sooner anyway.
-    pub fn unheard_ms(&self) -> u64 {
-        self.act_ms + self.apart_ms
+    pub fn silent_wait_ms(&self) -> u64 {
+        self.valid_ms + self.exclusion_ms
     }
 }
 
 impl Default for LeaseSettings {
     fn default() -> LeaseSettings {
         LeaseSettings {
-            apart_ms: 3_000,
-            act_ms: 900,
+            exclusion_ms: 3_000,
+            valid_ms: 900,
             margin_ms: 400,
-            settle_ms: 600,
+            released_wait_ms: 600,
         }
     }
 }
@@ -55,7 +55,7 @@
 
 /// What this instance saw of the record that another holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct ObservedRecord {
     /// Revision of the record.
     pub revision: u64,
     /// When it was first seen at this revision.
@@ -78,7 +78,7 @@
 
 /// What a record's holder says of itself: it doesn't hold the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Told {
+pub struct HolderReport {
     /// From when on it gave no order.
     pub quiet_since_ms: u64,
     /// When that was heard.
@@ -87,12 +87,12 @@
     pub is_restarted: bool,
 }
 
-impl Seen {
+impl ObservedRecord {
     /// Returns from when on the record's holder can give no order, if the
     /// record is still as it was seen: it may have renewed just before the
     /// record was seen at this revision, not later.
     pub fn quiet_since_ms(&self, settings: &LeaseSettings) -> u64 {
-        self.first_ms + settings.act_ms
+        self.first_ms + settings.valid_ms
     }
 
     /// Returns whether the record may be taken from its holder, and from when
@@ -102,17 +102,20 @@
     /// in a large fleet a heartbeat takes a second to reach everyone. Instances
     /// that believed it would take the lease from each other as fast as they
     /// can; each waits for the one before to be quiet, and nobody orders.
-    pub fn may_take(
+    pub fn check_takeover(
         &self,
-        told: Option<Told>,
+        told: Option<HolderReport>,
         settings: &LeaseSettings,
         now_ms: u64,
     ) -> Option<u64> {
         let told = told.filter(|told| told.is_restarted || told.heard_ms >= self.first_ms);
         let (settled_ms, quiet_since_ms) = match told {
-            Some(told) => (self.first_ms + settings.settle_ms, told.quiet_since_ms),
+            Some(told) => (
+                self.first_ms + settings.released_wait_ms,
+                told.quiet_since_ms,
+            ),
             None => (
-                self.first_ms + settings.unheard_ms(),
+                self.first_ms + settings.silent_wait_ms(),
                 self.quiet_since_ms(settings),
             ),
         };
@@ -143,7 +146,7 @@
     ) -> Lease<Held> {
         let settings = self.settings;
         let first_order_ms = quiet_since_ms.map_or(sent_ms, |quiet_since_ms| {
-            quiet_since_ms + settings.apart_ms + settings.margin_ms
+            quiet_since_ms + settings.exclusion_ms + settings.margin_ms
         });
         Lease {
             settings,
@@ -172,7 +175,8 @@
 
     /// Returns whether an order may leave now.
     pub fn may_order(&self, now_ms: u64) -> bool {
-        now_ms >= self.state.first_order_ms && now_ms < self.state.renewed_ms + self.settings.act_ms
+        now_ms >= self.state.first_order_ms
+            && now_ms < self.state.renewed_ms + self.settings.valid_ms
     }
 
     /// Returns whether orders have to wait for the holder before.
--- a/crates/core/src/weights/mod.rs
+++ b/crates/core/src/weights/mod.rs
@@ -6,8 +6,8 @@
 mod plan;
 
 pub use {
-    lease::{Held, Lease, LeaseSettings, Seen, Told, Vacant},
-    named::{NamedAt, NamedWeights, Wanted, WeightsSettings},
-    pace::LoadPace,
-    plan::{PlanSettings, Step, Turn, plan},
+    lease::{Held, HolderReport, Lease, LeaseSettings, ObservedRecord, Vacant},
+    named::{PublishedAt, VersionBounds, WeightsHistory, WeightsSettings},
+    pace::LoadConcurrency,
+    plan::{OutdatedEngine, PlanSettings, Step, plan},
 };
--- a/crates/core/src/weights/named.rs
+++ b/crates/core/src/weights/named.rs
@@ -6,7 +6,7 @@
 
 /// When a version was named.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NamedAt {
+pub enum PublishedAt {
     /// So many milliseconds ago; this instance or a peer saw it.
     Ago(u64),
     /// Before this instance began to follow the store.
@@ -17,17 +17,17 @@
 /// counts as named at its beginning.
 const MOST_GAP_MS: u64 = 1_000;
 
-impl NamedAt {
+impl PublishedAt {
     /// Returns when a version was named that a reading of the store shows for
     /// the first time, so long after the last word from the store.
     ///
     /// An instance that was frozen or cut off would take a version that was named
     /// meanwhile for a new one, and use old weights past their time. After a
     /// longer gap nothing is known; a peer that saw it tells better.
-    pub fn after_gap(gap_ms: Option<u64>) -> NamedAt {
+    pub fn after_gap(gap_ms: Option<u64>) -> PublishedAt {
         match gap_ms.filter(|gap_ms| *gap_ms <= MOST_GAP_MS) {
-            Some(gap_ms) => NamedAt::Ago(gap_ms),
-            None => NamedAt::Unknown,
+            Some(gap_ms) => PublishedAt::Ago(gap_ms),
+            None => PublishedAt::Unknown,
         }
     }
 }
@@ -41,52 +41,54 @@
 
 /// When versions of one model's weights were named.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct NamedWeights {
+pub struct WeightsHistory {
     /// Rising by version.
     history: VecDeque<Named>,
 }
 
 /// What weights a request should meet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Wanted {
+pub struct VersionBounds {
     /// The newest that were named.
     pub newest: u64,
     /// Older ones make an answer worth less.
-    pub due: u64,
+    pub min_preferred: u64,
     /// Older ones may not begin a request any more.
-    pub least: u64,
+    pub min_allowed: u64,
 }
 
 /// Ages from which on older weights are worth less, and are out of bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WeightsSettings {
     /// Age of a version from which on answers by older ones are worth less.
-    pub due_ms: u64,
+    pub penalty_after_ms: u64,
     /// Age of a version from which on no request is sent to older ones. It may
     /// wait in an engine's queue before it begins.
-    pub least_ms: u64,
+    pub dispatch_until_ms: u64,
     /// Age of a version from which on no request may begin on older ones; one
     /// that still waits is withdrawn.
-    pub last_ms: u64,
+    pub start_until_ms: u64,
     /// Time for which older weights are used at most if it isn't known when a
     /// version was named. All instances may have lost power just after, so
     /// that nobody knows; it may have been long before.
-    pub unknown_ms: u64,
+    pub unknown_age_grace_ms: u64,
 }
 
-impl NamedWeights {
+impl WeightsHistory {
     /// Notes that a version was named. Returns whether it is the newest.
-    pub fn name(
+    pub fn insert(
         &mut self,
         version: u64,
-        at: NamedAt,
+        at: PublishedAt,
         settings: &WeightsSettings,
         now_ms: u64,
     ) -> bool {
         let (named_ms, is_known) = match at {
-            NamedAt::Ago(age_ms) => (now_ms.saturating_sub(age_ms), true),
-            NamedAt::Unknown => {
-                let age_ms = settings.last_ms.saturating_sub(settings.unknown_ms);
+            PublishedAt::Ago(age_ms) => (now_ms.saturating_sub(age_ms), true),
+            PublishedAt::Unknown => {
+                let age_ms = settings
+                    .start_until_ms
+                    .saturating_sub(settings.unknown_age_grace_ms);
                 (now_ms.saturating_sub(age_ms), false)
             }
         };
@@ -122,18 +124,18 @@
     /// The newest alone is not enough. An instance that starts after a second
     /// version was named would take the first weights for replaced when the
     /// second was named, and send requests to them long after their time.
-    pub fn told(
+    pub fn publications(
         &self,
         settings: &WeightsSettings,
         now_ms: u64,
-    ) -> impl Iterator<Item = (u64, NamedAt)> {
+    ) -> impl Iterator<Item = (u64, PublishedAt)> {
         // All before the last one that is past its time are out of use anyway.
-        let is_past = |named: &Named| now_ms >= named.named_ms + settings.last_ms;
+        let is_past = |named: &Named| now_ms >= named.named_ms + settings.start_until_ms;
         let first = self.history.iter().rposition(is_past).unwrap_or(0);
         self.history.iter().skip(first).map(move |named| {
             let at = match named.is_known {
-                true => NamedAt::Ago(now_ms.saturating_sub(named.named_ms)),
-                false => NamedAt::Unknown,
+                true => PublishedAt::Ago(now_ms.saturating_sub(named.named_ms)),
+                false => PublishedAt::Unknown,
             };
             (named.version, at)
         })
@@ -141,22 +143,24 @@
 
     /// Returns when a request may no longer begin on a version, if newer ones
     /// were named.
-    pub fn bound_ms(&self, version: u64, settings: &WeightsSettings) -> Option<u64> {
+    pub fn start_deadline_ms(&self, version: u64, settings: &WeightsSettings) -> Option<u64> {
         let mut newer = self.history.iter().filter(|named| named.version > version);
-        newer.next().map(|named| named.named_ms + settings.last_ms)
+        newer
+            .next()
+            .map(|named| named.named_ms + settings.start_until_ms)
     }
 
     /// Returns what a request should meet now.
-    pub fn wanted(&self, settings: &WeightsSettings, now_ms: u64) -> Wanted {
+    pub fn version_bounds(&self, settings: &WeightsSettings, now_ms: u64) -> VersionBounds {
         let older_than = |age_ms: u64| {
             let named = self.history.iter().rev();
             let mut old = named.filter(|named| now_ms >= named.named_ms + age_ms);
             old.next().map_or(0, |named| named.version)
         };
-        Wanted {
+        VersionBounds {
             newest: self.newest(),
-            due: older_than(settings.due_ms),
-            least: older_than(settings.least_ms),
+            min_preferred: older_than(settings.penalty_after_ms),
+            min_allowed: older_than(settings.dispatch_until_ms),
         }
     }
 }
--- a/crates/core/src/weights/pace.rs
+++ b/crates/core/src/weights/pace.rs
@@ -22,7 +22,7 @@
 /// time, tries one more at a time, and goes back at the first load that was
 /// slowed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct LoadPace {
+pub struct LoadConcurrency {
     at_once: usize,
     most: usize,
     /// Most that were seen to load at full speed together.
@@ -31,9 +31,9 @@
     quick: u32,
 }
 
-impl Default for LoadPace {
-    fn default() -> LoadPace {
-        LoadPace {
+impl Default for LoadConcurrency {
+    fn default() -> LoadConcurrency {
+        LoadConcurrency {
             at_once: FIRST,
             most: usize::MAX,
             good: FIRST,
@@ -43,7 +43,7 @@
     }
 }
 
-impl LoadPace {
+impl LoadConcurrency {
     /// Returns how many engines may load at once now, where so many have to be
     /// through within a time.
     ///
--- a/crates/core/src/weights/plan.rs
+++ b/crates/core/src/weights/plan.rs
@@ -42,7 +42,7 @@
 
 /// One engine that lacks the newest weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Turn {
+pub struct OutdatedEngine {
     /// The engine.
     pub engine: String,
     /// When work began to be kept away; `None` if it isn't.
@@ -81,7 +81,7 @@
 /// Engines with the oldest weights go first, as requests there are worth the
 /// least; among them those with the least running, which are done soonest.
 pub fn plan(
-    turns: &[Turn],
+    turns: &[OutdatedEngine],
     engines: usize,
     requests: u32,
     at_once: usize,
@@ -95,7 +95,7 @@
         .iter()
         .filter(|turn| turn.is_ordered && turn.answers && turn.requests == 0)
         .count();
-    let mut due: Vec<(&Turn, u64)> = turns
+    let mut due: Vec<(&OutdatedEngine, u64)> = turns
         .iter()
         .filter(|turn| !turn.is_ordered)
         .filter_map(|turn| Some((turn, turn.steered_since_ms?)))
@@ -124,7 +124,7 @@
         .filter(|turn| turn.is_ordered || turn.steered_since_ms.is_some())
         .filter(|turn| turn.answers)
         .count();
-    let mut next: Vec<&Turn> = turns
+    let mut next: Vec<&OutdatedEngine> = turns
         .iter()
         .filter(|turn| !turn.is_ordered && turn.steered_since_ms.is_none())
         .collect();
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -2,8 +2,8 @@
 
 use mangowalk_core::{
     claim::{
-        ClaimBody, ClaimState, EPOCH_MS, EpochBody, EpochWatch, Holder, KEPT_EPOCHS, ReplyBody,
-        StoredReply, Verdict, digest_of_parts, judge,
+        CLAIM_RETENTION_EPOCHS, ClaimBody, ClaimState, DuplicateResponse, EpochBody, EpochTracker,
+        HolderLiveness, MIN_EPOCH_MS, ReplyBody, StoredReply, digest_of_parts, duplicate_response,
     },
     refusal::Refusal,
 };
@@ -20,10 +20,10 @@
     }
 }
 
-fn told(verdict: Verdict) -> String {
+fn told(verdict: DuplicateResponse) -> String {
     match verdict {
-        Verdict::Replay(reply) => format!("answer {} {:?}", reply.status, reply.body),
-        Verdict::Refuse(refusal) => told_refusal(&refusal),
+        DuplicateResponse::Replay(reply) => format!("answer {} {:?}", reply.status, reply.body),
+        DuplicateResponse::Refuse(refusal) => told_refusal(&refusal),
     }
 }
 
@@ -51,9 +51,9 @@
     ];
     let mut table = String::new();
     for state in states {
-        for holder in [Holder::Alive, Holder::Silent] {
+        for holder in [HolderLiveness::Alive, HolderLiveness::Silent] {
             for request in ["digest", "another"] {
-                let verdict = told(judge(&claim(state.clone()), request, holder));
+                let verdict = told(duplicate_response(&claim(state.clone()), request, holder));
                 table += &format!("{state:?} {holder:?} {request}: {verdict}\n");
             }
         }
@@ -73,30 +73,30 @@
             number: 1,
         },
     );
-    let mut watch = EpochWatch::default();
+    let mut watch = EpochTracker::default();
     for minute in 0..24 * 60 {
         let now_ms = minute * 60_000;
         if minute % 15 == 0 {
-            watch = EpochWatch::default();
+            watch = EpochTracker::default();
         }
-        watch.see(held.0, held.1, now_ms);
-        if let Some((version, next)) = watch.next(now_ms) {
+        watch.observe(held.0, held.1, now_ms);
+        if let Some((version, next)) = watch.next_epoch(now_ms) {
             assert_eq!(version, held.0);
             held = (version + 1, next);
         }
-        assert!(held.1.number <= now_ms / EPOCH_MS + 1);
-        assert!(!watch.is_over(Some(1)));
+        assert!(held.1.number <= now_ms / MIN_EPOCH_MS + 1);
+        assert!(!watch.is_expired(Some(1)));
     }
     assert!(held.1.number > 90);
-    watch.see(
+    watch.observe(
         9_999,
         EpochBody {
             schema: 1,
-            number: KEPT_EPOCHS + 2,
+            number: CLAIM_RETENTION_EPOCHS + 2,
         },
         0,
     );
-    assert!(watch.is_over(Some(1)) && !watch.is_over(Some(2)) && !watch.is_over(None));
+    assert!(watch.is_expired(Some(1)) && !watch.is_expired(Some(2)) && !watch.is_expired(None));
 }
 
 /// Team and key are told apart: no other split of the same letters meets the
--- a/crates/core/tests/full.rs
+++ b/crates/core/tests/full.rs
@@ -11,7 +11,7 @@
         pool::{
             AdmitSettings, Belief, ChoiceSettings, Load, Need, PromptPart, ReadRate, choose, refuse,
         },
-        weights::Wanted,
+        weights::VersionBounds,
     },
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::collections::VecDeque,
@@ -119,7 +119,7 @@
                 let best = choose(
                     all,
                     &need,
-                    Wanted::default(),
+                    VersionBounds::default(),
                     82_259,
                     &settings,
                     draw,
--- a/crates/core/tests/mixed.rs
+++ b/crates/core/tests/mixed.rs
@@ -13,7 +13,7 @@
             AdmitSettings, Belief, ChoiceSettings, Load, Need, PromptPart, ReadRate, UsualPrompt,
             choose, refuse,
         },
-        weights::Wanted,
+        weights::VersionBounds,
     },
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::collections::VecDeque,
@@ -150,7 +150,7 @@
             ..self.choice
         };
         let all = self.beliefs[at].iter();
-        let (wanted, draw) = (Wanted::default(), random.random());
+        let (wanted, draw) = (VersionBounds::default(), random.random());
         let best = choose(all, &need, wanted, MEMORY_TOKENS, &settings, draw, now_ms);
         let best = best.expect("all engines take work");
         let (rate, admit) = (ReadRate::default(), AdmitSettings::default());
--- a/crates/core/tests/pool.rs
+++ b/crates/core/tests/pool.rs
@@ -7,7 +7,7 @@
             HealthSettings, Incarnation, KeptParts, Load, ModelVersion, Need, PromptPart, ReadRate,
             Turnover, choose, holder, kept_key, refuse, short_hash,
         },
-        weights::Wanted,
+        weights::VersionBounds,
     },
     proptest::prelude::*,
     std::collections::BTreeMap,
@@ -50,7 +50,7 @@
     }
 }
 
-fn pick(engines: &[Belief], need: &Need, wanted: Wanted, draw: u64) -> Option<String> {
+fn pick(engines: &[Belief], need: &Need, wanted: VersionBounds, draw: u64) -> Option<String> {
     let settings = ChoiceSettings::default();
     let chosen = choose(engines.iter(), need, wanted, 82_259, &settings, draw, 1_000);
     chosen.map(|belief| belief.entry.incarnation.id.clone())
@@ -71,7 +71,7 @@
     for session in 0..240 {
         let need = need(session * 7_919);
         let chosen: Vec<_> = (0..5)
-            .map(|draw| pick(&engines, &need, Wanted::default(), draw))
+            .map(|draw| pick(&engines, &need, VersionBounds::default(), draw))
             .collect();
         assert!(
             chosen.windows(2).all(|pair| pair[0] == pair[1]),
@@ -92,7 +92,7 @@
 fn a_busy_home_is_left() {
     let mut engines = engines(4);
     let need = need(77);
-    let home = pick(&engines, &need, Wanted::default(), 1).expect("one is chosen");
+    let home = pick(&engines, &need, VersionBounds::default(), 1).expect("one is chosen");
     let busy = engines
         .iter_mut()
         .find(|belief| belief.entry.incarnation.id == home);
@@ -102,14 +102,17 @@
         prefill_tokens: 20_000,
         must_finish: 8,
     };
-    assert_ne!(pick(&engines, &need, Wanted::default(), 1), Some(home));
+    assert_ne!(
+        pick(&engines, &need, VersionBounds::default(), 1),
+        Some(home)
+    );
 }
 
 #[test]
 fn an_engine_that_keeps_the_prompt_is_worth_a_short_wait() {
     let mut engines = engines(4);
     let need = need(77);
-    let home = pick(&engines, &need, Wanted::default(), 1).expect("one is chosen");
+    let home = pick(&engines, &need, VersionBounds::default(), 1).expect("one is chosen");
     let other = engines
         .iter_mut()
         .find(|belief| belief.entry.incarnation.id != home);
@@ -117,7 +120,7 @@
     other.record_part(77, 900);
     other.own.prefill_tokens = 800;
     let id = other.entry.incarnation.id.clone();
-    assert_eq!(pick(&engines, &need, Wanted::default(), 1), Some(id));
+    assert_eq!(pick(&engines, &need, VersionBounds::default(), 1), Some(id));
 }
 
 /// Weights out of bounds are never used, whatever else speaks for an engine;
@@ -130,7 +133,7 @@
             belief.own.prefill_tokens = *load;
         }
         engines[1].set_version("model", 2);
-        let wanted = Wanted { newest: 2, due: 2, least: 2 };
+        let wanted = VersionBounds { newest: 2, min_preferred: 2, min_allowed: 2 };
         prop_assert_eq!(pick(&engines, &need(5), wanted, draw), Some("e01".to_owned()));
         engines[1].set_version("model", 1);
         prop_assert_eq!(pick(&engines, &need(5), wanted, draw), None);
@@ -141,20 +144,20 @@
 fn engines_that_change_their_weights_are_passed_over_while_others_serve() {
     let mut engines = engines(2);
     let need = need(5);
-    let home = pick(&engines, &need, Wanted::default(), 1).expect("one is chosen");
+    let home = pick(&engines, &need, VersionBounds::default(), 1).expect("one is chosen");
     let steered = engines
         .iter_mut()
         .find(|belief| belief.entry.incarnation.id == home);
     steered.expect("it is listed").refused(500, 900);
     assert_ne!(
-        pick(&engines, &need, Wanted::default(), 1),
+        pick(&engines, &need, VersionBounds::default(), 1),
         Some(home.clone())
     );
     for belief in &mut engines {
         belief.refused(500, 900);
     }
     assert!(
-        pick(&engines, &need, Wanted::default(), 1).is_some(),
+        pick(&engines, &need, VersionBounds::default(), 1).is_some(),
         "better late than never"
     );
 }
--- a/crates/core/tests/rollout.rs
+++ b/crates/core/tests/rollout.rs
@@ -4,7 +4,7 @@
 use {
     mangowalk_core::{
         engine::OrderReply,
-        rollout::{Action, EngineFacts, Plan, Rollout, RolloutSettings},
+        rollout::{Action, EngineSnapshot, Plan, Rollout, RolloutSettings},
     },
     proptest::prelude::*,
 };
@@ -56,13 +56,13 @@
 }
 
 impl Engine {
-    fn facts(&self) -> EngineFacts<'_> {
-        EngineFacts {
+    fn facts(&self) -> EngineSnapshot<'_> {
+        EngineSnapshot {
             name: &self.name,
             version: self.alive.then_some(self.version.as_str()),
             incarnation: self.incarnation,
             loading: self.alive && self.load.is_some(),
-            open: self.open,
+            open_requests: self.open,
             checks_fencing: true,
             drained: self.drained,
             departing: self.departing,
@@ -144,8 +144,8 @@
             }
         }
         let engines = self.engines.clone();
-        let facts: Vec<EngineFacts<'_>> = engines.iter().map(Engine::facts).collect();
-        self.rollout.aim(&self.target, 2, &facts);
+        let facts: Vec<EngineSnapshot<'_>> = engines.iter().map(Engine::facts).collect();
+        self.rollout.set_target(&self.target, 2, &facts);
         for action in self.rollout.decide(&facts, self.now_ms) {
             self.act(&action)?;
         }
@@ -176,7 +176,7 @@
                 let ok = *version != "mute" && self.engine(engine).alive;
                 let incarnation = self.engine(engine).incarnation;
                 self.rollout
-                    .probed(engine, incarnation, version, ok, now_ms);
+                    .record_probe(engine, incarnation, version, ok, now_ms);
             }
         }
         Ok(())
@@ -195,7 +195,8 @@
             OrderReply::Accepted
         };
         let reply = Some(reply).filter(|_| !lost);
-        self.rollout.ordered(name, version, reply.as_ref(), now_ms);
+        self.rollout
+            .record_order_reply(name, version, reply.as_ref(), now_ms);
     }
 
     fn engine(&mut self, name: &str) -> &mut Engine {
--- a/crates/core/tests/weights.rs
+++ b/crates/core/tests/weights.rs
@@ -2,17 +2,17 @@
 
 use {
     mangowalk_core::weights::{
-        Held, Lease, LeaseSettings, LoadPace, NamedAt, NamedWeights, PlanSettings, Seen, Step,
-        Told, Turn, Vacant, WeightsSettings, plan,
+        Held, HolderReport, Lease, LeaseSettings, LoadConcurrency, ObservedRecord, OutdatedEngine,
+        PlanSettings, PublishedAt, Step, Vacant, WeightsHistory, WeightsSettings, plan,
     },
     proptest::prelude::*,
 };
 
 const WEIGHTS: WeightsSettings = WeightsSettings {
-    due_ms: 1_300,
-    least_ms: 6_800,
-    last_ms: 7_700,
-    unknown_ms: 2_600,
+    penalty_after_ms: 1_300,
+    dispatch_until_ms: 6_800,
+    start_until_ms: 7_700,
+    unknown_age_grace_ms: 2_600,
 };
 
 const INSTANCES: usize = 3;
@@ -55,7 +55,7 @@
 
 struct Instance {
     hold: Hold,
-    seen: Option<Seen>,
+    seen: Option<ObservedRecord>,
 }
 
 /// The record, as the store holds it.
@@ -88,7 +88,7 @@
                     let instance = &mut instances[at];
                     let Hold::Vacant(vacant) = &instance.hold else { continue };
                     let seen = instance.seen.filter(|seen| seen.revision == record.revision);
-                    let seen = seen.unwrap_or(Seen { revision: record.revision, first_ms: now_ms });
+                    let seen = seen.unwrap_or(ObservedRecord { revision: record.revision, first_ms: now_ms });
                     instance.seen = Some(seen);
                     let is_own = record.holder == Some(at) && record.is_settled;
                     let is_other = record.holder.is_some() && !is_own;
@@ -135,7 +135,7 @@
         }
         for pair in orders.windows(2) {
             let (before, after) = (pair[0], pair[1]);
-            prop_assert!(before.0 == after.0 || after.2 - before.2 >= settings.apart_ms, "{pair:?}");
+            prop_assert!(before.0 == after.0 || after.2 - before.2 >= settings.exclusion_ms, "{pair:?}");
             prop_assert!(before.1 <= after.1, "{pair:?}");
         }
     });
@@ -148,8 +148,8 @@
     assert!(!lease.may_order(1_900), "a renewal is due");
 }
 
-fn turn(engine: &str, version: u64, requests: u32) -> Turn {
-    Turn {
+fn turn(engine: &str, version: u64, requests: u32) -> OutdatedEngine {
+    OutdatedEngine {
         engine: engine.to_owned(),
         steered_since_ms: None,
         is_ordered: false,
@@ -220,7 +220,7 @@
 
 #[test]
 fn busy_engines_are_left_in_more_places() {
-    let turns: Vec<Turn> = (0..12).map(|n| turn(&format!("e{n:02}"), 1, 1)).collect();
+    let turns: Vec<OutdatedEngine> = (0..12).map(|n| turn(&format!("e{n:02}"), 1, 1)).collect();
     let away = |requests| plan(&turns, 12, requests, 2, 100, &PlanSettings::default(), 0).len();
     insta::assert_debug_snapshot!((away(12), away(45), away(200)), @"
     (
@@ -235,8 +235,8 @@
 /// be slow and given up; where more do, more are used.
 #[test]
 fn the_number_that_load_at_once_is_found_by_trying() {
-    let mut narrow = LoadPace::default();
-    let mut wide = LoadPace::default();
+    let mut narrow = LoadConcurrency::default();
+    let mut wide = LoadConcurrency::default();
     for _ in 0..40 {
         let loading = narrow.at_once(0, 1);
         narrow.loaded(if loading > 2 { 900 } else { 500 }, loading);
@@ -249,17 +249,17 @@
 
 #[test]
 fn old_weights_are_bounded_by_the_first_newer_ones() {
-    let mut named = NamedWeights::default();
-    named.name(1, NamedAt::Ago(60_000), &WEIGHTS, 100_000);
-    named.name(2, NamedAt::Ago(0), &WEIGHTS, 100_000);
-    named.name(3, NamedAt::Ago(0), &WEIGHTS, 104_000);
-    assert_eq!(named.wanted(&WEIGHTS, 104_000).newest, 3);
-    assert_eq!(named.wanted(&WEIGHTS, 104_000).due, 2);
-    assert_eq!(named.wanted(&WEIGHTS, 104_000).least, 1);
-    assert_eq!(named.wanted(&WEIGHTS, 106_800).least, 2);
-    assert_eq!(named.bound_ms(1, &WEIGHTS), Some(107_700));
-    assert_eq!(named.bound_ms(2, &WEIGHTS), Some(111_700));
-    assert_eq!(named.bound_ms(3, &WEIGHTS), None);
+    let mut named = WeightsHistory::default();
+    named.insert(1, PublishedAt::Ago(60_000), &WEIGHTS, 100_000);
+    named.insert(2, PublishedAt::Ago(0), &WEIGHTS, 100_000);
+    named.insert(3, PublishedAt::Ago(0), &WEIGHTS, 104_000);
+    assert_eq!(named.version_bounds(&WEIGHTS, 104_000).newest, 3);
+    assert_eq!(named.version_bounds(&WEIGHTS, 104_000).min_preferred, 2);
+    assert_eq!(named.version_bounds(&WEIGHTS, 104_000).min_allowed, 1);
+    assert_eq!(named.version_bounds(&WEIGHTS, 106_800).min_allowed, 2);
+    assert_eq!(named.start_deadline_ms(1, &WEIGHTS), Some(107_700));
+    assert_eq!(named.start_deadline_ms(2, &WEIGHTS), Some(111_700));
+    assert_eq!(named.start_deadline_ms(3, &WEIGHTS), None);
 }
 
 /// All instances lose power right after new weights were named. None knows
@@ -267,22 +267,22 @@
 /// knows better than the guess, and the guess teaches nobody.
 #[test]
 fn a_version_of_unknown_age_counts_as_old() {
-    let mut named = NamedWeights::default();
-    named.name(4, NamedAt::Unknown, &WEIGHTS, 50_000);
-    assert_eq!(named.bound_ms(3, &WEIGHTS), Some(52_600));
-    let told: Vec<_> = named.told(&WEIGHTS, 50_000).collect();
-    assert_eq!(told, [(4, NamedAt::Unknown)]);
-    named.name(4, NamedAt::Ago(200), &WEIGHTS, 50_100);
-    assert_eq!(named.bound_ms(3, &WEIGHTS), Some(57_600));
-    named.name(4, NamedAt::Unknown, &WEIGHTS, 50_200);
-    assert_eq!(named.bound_ms(3, &WEIGHTS), Some(57_600));
+    let mut named = WeightsHistory::default();
+    named.insert(4, PublishedAt::Unknown, &WEIGHTS, 50_000);
+    assert_eq!(named.start_deadline_ms(3, &WEIGHTS), Some(52_600));
+    let publications: Vec<_> = named.publications(&WEIGHTS, 50_000).collect();
+    assert_eq!(publications, [(4, PublishedAt::Unknown)]);
+    named.insert(4, PublishedAt::Ago(200), &WEIGHTS, 50_100);
+    assert_eq!(named.start_deadline_ms(3, &WEIGHTS), Some(57_600));
+    named.insert(4, PublishedAt::Unknown, &WEIGHTS, 50_200);
+    assert_eq!(named.start_deadline_ms(3, &WEIGHTS), Some(57_600));
 }
 
 #[test]
 fn an_older_version_never_replaces_a_newer_one() {
-    let mut named = NamedWeights::default();
-    assert!(named.name(5, NamedAt::Ago(0), &WEIGHTS, 1_000));
-    assert!(!named.name(4, NamedAt::Ago(0), &WEIGHTS, 2_000));
+    let mut named = WeightsHistory::default();
+    assert!(named.insert(5, PublishedAt::Ago(0), &WEIGHTS, 1_000));
+    assert!(!named.insert(4, PublishedAt::Ago(0), &WEIGHTS, 2_000));
     assert_eq!(named.newest(), 5);
 }
 
@@ -292,32 +292,35 @@
 #[test]
 fn word_from_before_a_record_was_seen_is_not_believed() {
     let settings = LeaseSettings::default();
-    let seen = Seen {
+    let seen = ObservedRecord {
         revision: 7,
         first_ms: 10_000,
     };
-    let told = |heard_ms, is_restarted| {
-        Some(Told {
+    let report = |heard_ms, is_restarted| {
+        Some(HolderReport {
             quiet_since_ms: 9_000,
             heard_ms,
             is_restarted,
         })
     };
-    let old = told(9_900, false);
-    assert_eq!(seen.may_take(old, &settings, 10_700), None);
-    assert_eq!(seen.may_take(told(10_200, false), &settings, 10_500), None);
+    let old = report(9_900, false);
+    assert_eq!(seen.check_takeover(old, &settings, 10_700), None);
     assert_eq!(
-        seen.may_take(told(10_200, false), &settings, 10_700),
+        seen.check_takeover(report(10_200, false), &settings, 10_500),
+        None
+    );
+    assert_eq!(
+        seen.check_takeover(report(10_200, false), &settings, 10_700),
         Some(9_000)
     );
     assert_eq!(
-        seen.may_take(told(9_900, true), &settings, 10_700),
+        seen.check_takeover(report(9_900, true), &settings, 10_700),
         Some(9_000)
     );
     // Nothing is heard of the holder: it may wait, behind a cut, for the one
     // before it. The record is taken when it must have ordered or renewed.
-    assert_eq!(seen.may_take(None, &settings, 13_800), None);
-    assert_eq!(seen.may_take(None, &settings, 13_900), Some(10_900));
+    assert_eq!(seen.check_takeover(None, &settings, 13_800), None);
+    assert_eq!(seen.check_takeover(None, &settings, 13_900), Some(10_900));
 }
 
 /// A caller of an instance that has just started gets an answer made on weights
@@ -326,21 +329,24 @@
 /// out of bounds when 2 is too old, not when 3 is.
 #[test]
 fn a_new_instance_learns_when_the_first_newer_weights_were_named() {
-    let mut peer = NamedWeights::default();
-    peer.name(1, NamedAt::Ago(60_000), &WEIGHTS, 100_000);
-    peer.name(2, NamedAt::Ago(0), &WEIGHTS, 100_000);
-    peer.name(3, NamedAt::Ago(0), &WEIGHTS, 104_000);
-    let mut new = NamedWeights::default();
-    new.name(3, NamedAt::Unknown, &WEIGHTS, 105_000);
-    for (version, at) in peer.told(&WEIGHTS, 105_000) {
-        assert!(!new.name(version, at, &WEIGHTS, 105_000));
+    let mut peer = WeightsHistory::default();
+    peer.insert(1, PublishedAt::Ago(60_000), &WEIGHTS, 100_000);
+    peer.insert(2, PublishedAt::Ago(0), &WEIGHTS, 100_000);
+    peer.insert(3, PublishedAt::Ago(0), &WEIGHTS, 104_000);
+    let mut new = WeightsHistory::default();
+    new.insert(3, PublishedAt::Unknown, &WEIGHTS, 105_000);
+    for (version, at) in peer.publications(&WEIGHTS, 105_000) {
+        assert!(!new.insert(version, at, &WEIGHTS, 105_000));
     }
-    assert_eq!(new.bound_ms(1, &WEIGHTS), Some(107_700));
-    assert_eq!(new.wanted(&WEIGHTS, 106_800).least, 2);
+    assert_eq!(new.start_deadline_ms(1, &WEIGHTS), Some(107_700));
+    assert_eq!(new.version_bounds(&WEIGHTS, 106_800).min_allowed, 2);
     assert_eq!(new.newest(), 3);
     // Once 2 is past its time itself, what came before it need not be told.
-    let later: Vec<_> = peer.told(&WEIGHTS, 108_000).collect();
-    assert_eq!(later, [(2, NamedAt::Ago(8_000)), (3, NamedAt::Ago(4_000))]);
+    let later: Vec<_> = peer.publications(&WEIGHTS, 108_000).collect();
+    assert_eq!(
+        later,
+        [(2, PublishedAt::Ago(8_000)), (3, PublishedAt::Ago(4_000))]
+    );
 }
 
 /// Callers of a large fleet get answers on replaced weights, or are refused for
@@ -349,7 +355,7 @@
 /// to be through within 7 s. One more at a time took 17 s.
 #[test]
 fn a_large_fleet_is_through_in_time() {
-    let mut pace = LoadPace::default();
+    let mut pace = LoadConcurrency::default();
     let (mut left, mut passed_ms) = (90_usize, 0);
     while left > 0 {
         let loading = pace.at_once(90, 7_000).min(left);
@@ -371,7 +377,7 @@
 /// to about that many, not to the fewest.
 #[test]
 fn the_pace_goes_back_to_what_loads_at_full_speed() {
-    let mut pace = LoadPace::default();
+    let mut pace = LoadConcurrency::default();
     pace.loaded(1_000, 2);
     for _ in 0..20 {
         let loading = pace.at_once(60, 3_000);
@@ -391,7 +397,7 @@
 /// would get answers on old weights past their time.
 #[test]
 fn weights_that_were_named_during_a_gap_are_not_new() {
-    assert_eq!(NamedAt::after_gap(Some(300)), NamedAt::Ago(300));
-    assert_eq!(NamedAt::after_gap(Some(4_000)), NamedAt::Unknown);
-    assert_eq!(NamedAt::after_gap(None), NamedAt::Unknown);
+    assert_eq!(PublishedAt::after_gap(Some(300)), PublishedAt::Ago(300));
+    assert_eq!(PublishedAt::after_gap(Some(4_000)), PublishedAt::Unknown);
+    assert_eq!(PublishedAt::after_gap(None), PublishedAt::Unknown);
 }
--- a/crates/gateway/src/callers/request.rs
+++ b/crates/gateway/src/callers/request.rs
@@ -12,7 +12,7 @@
     mangowalk_core::{
         pool::Need,
         routing::{Denied, Route, Tenant},
-        weights::Wanted,
+        weights::VersionBounds,
     },
     mangowalk_platform::RequestHead,
     std::{rc::Rc, time::Duration},
@@ -84,11 +84,11 @@
     }
 
     /// Returns what weights the request should meet.
-    pub(super) fn wanted(&self, now_ms: u64) -> Wanted {
+    pub(super) fn wanted(&self, now_ms: u64) -> VersionBounds {
         let newest = self.instance.newest.borrow();
         let named = self.need.model.as_ref().and_then(|model| newest.get(model));
-        named.map_or(Wanted::default(), |named| {
-            named.wanted(&self.instance.settings.weights, now_ms)
+        named.map_or(VersionBounds::default(), |named| {
+            named.version_bounds(&self.instance.settings.weights, now_ms)
         })
     }
 
@@ -97,7 +97,7 @@
     pub(super) fn may_wait_ms(&self, version: u64, now_ms: u64) -> Option<u64> {
         let newest = self.instance.newest.borrow();
         let named = newest.get(self.need.model.as_ref()?)?;
-        let bound_ms = named.bound_ms(version, &self.instance.settings.weights)?;
+        let bound_ms = named.start_deadline_ms(version, &self.instance.settings.weights)?;
         Some(bound_ms.saturating_sub(now_ms))
     }
 
--- a/crates/gateway/src/instance/blackboard.rs
+++ b/crates/gateway/src/instance/blackboard.rs
@@ -7,7 +7,7 @@
         retries::RetryBudget,
         routing::{Configuration, RouteTable},
         share::{ShareSettings, ShareTable},
-        weights::{NamedAt, NamedWeights},
+        weights::{PublishedAt, WeightsHistory},
     },
     mangowalk_platform::{Freshness, MachineSettings},
     std::{
@@ -78,7 +78,7 @@
     /// The usual length of prompts.
     pub usual_prompt: Cell<UsualPrompt>,
     /// Newest weights by model.
-    pub newest: RefCell<BTreeMap<String, NamedWeights>>,
+    pub newest: RefCell<BTreeMap<String, WeightsHistory>>,
     /// Parts of teams' rates.
     pub shares: RefCell<ShareTable>,
     /// Repeats by service.
@@ -206,13 +206,13 @@
         &self,
         model: &str,
         version: u64,
-        at: NamedAt,
+        at: PublishedAt,
         source: &'static str,
     ) -> bool {
         let mut newest = self.newest.borrow_mut();
         let named = newest.entry(model.to_owned()).or_default();
         let before = named.newest();
-        if !named.name(version, at, &self.settings.weights, now_ms()) {
+        if !named.insert(version, at, &self.settings.weights, now_ms()) {
             return false;
         }
         log::info!(
--- a/crates/gateway/src/instance/heartbeats.rs
+++ b/crates/gateway/src/instance/heartbeats.rs
@@ -4,7 +4,7 @@
         mesh::{Heartbeat, OrderNote, OrderPhase},
         pool::Steering,
         share::{PeerReport, PeerSpending},
-        weights::NamedAt,
+        weights::PublishedAt,
     },
 };
 
@@ -73,7 +73,7 @@
             self.notes.configuration.notify_one();
         }
         for (model, version, age_ms) in &heartbeat.versions {
-            let at = age_ms.map_or(NamedAt::Unknown, |ms| NamedAt::Ago(u64::from(ms)));
+            let at = age_ms.map_or(PublishedAt::Unknown, |ms| PublishedAt::Ago(u64::from(ms)));
             self.name_weights(model, *version, at, "peer");
         }
     }
--- a/crates/gateway/src/mesh/exchange.rs
+++ b/crates/gateway/src/mesh/exchange.rs
@@ -5,7 +5,7 @@
     },
     mangowalk_core::{
         mesh::{Heartbeat, TeamNote, Way, Word},
-        weights::NamedAt,
+        weights::PublishedAt,
     },
     std::{cell::Cell, io, net::SocketAddr, rc::Rc, time::Duration},
     tokio::{net::UdpSocket, time::sleep},
@@ -174,10 +174,10 @@
     let newest = instance.newest.borrow();
     let mut versions = Vec::new();
     for (model, named) in newest.iter() {
-        for (version, at) in named.told(&instance.settings.weights, now_ms) {
+        for (version, at) in named.publications(&instance.settings.weights, now_ms) {
             let age_ms = match at {
-                NamedAt::Ago(age_ms) => Some(age_ms as u32),
-                NamedAt::Unknown => None,
+                PublishedAt::Ago(age_ms) => Some(age_ms as u32),
+                PublishedAt::Unknown => None,
             };
             versions.push((model.clone(), version, age_ms));
         }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -8,7 +8,7 @@
         store::{CallClient, register, watch_configuration, watch_engines, watch_weights},
         upstreams::{Pool, probe_silent, watch_kept},
         vital::VitalTasks,
-        weights::order_weights,
+        weights::run_weights_updater,
     },
     derive_more::{Display, Error},
     mangowalk_core::weights::{LeaseSettings, WeightsSettings},
@@ -139,13 +139,13 @@
 
 async fn serve(machine: MachineSettings, path: &Path) -> Result<(), RunError> {
     let lease = LeaseSettings {
-        apart_ms: machine.lease_ms,
+        exclusion_ms: machine.lease_ms,
         ..LeaseSettings::default()
     };
     let defaults = GatewaySettings::default();
     let weights = WeightsSettings {
-        least_ms: machine.weights_ms.saturating_sub(QUEUED_MS),
-        last_ms: machine.weights_ms.saturating_sub(WITHDRAW_MS),
+        dispatch_until_ms: machine.weights_ms.saturating_sub(QUEUED_MS),
+        start_until_ms: machine.weights_ms.saturating_sub(WITHDRAW_MS),
         ..defaults.weights
     };
     let settings = GatewaySettings {
@@ -183,7 +183,10 @@
     );
     tasks.start("engines", watch_engines(instance.clone(), store.clone()));
     tasks.start("weights", watch_weights(instance.clone(), store.clone()));
-    tasks.start("orders", order_weights(instance.clone(), store.clone()));
+    tasks.start(
+        "orders",
+        run_weights_updater(instance.clone(), store.clone()),
+    );
     tasks.start("readiness", serve_ready(instance.clone(), ready));
     tasks.start("directory", serve_directory(instance.clone(), directory));
     tasks.start("metrics", serve_metrics(instance.clone(), metrics));
--- a/crates/gateway/src/store/followers.rs
+++ b/crates/gateway/src/store/followers.rs
@@ -4,7 +4,7 @@
         follow::{Follower, follow},
     },
     crate::{clock::now_ms, instance::Instance},
-    mangowalk_core::{pool::EngineTable, weights::NamedAt},
+    mangowalk_core::{pool::EngineTable, weights::PublishedAt},
     mangowalk_platform::{
         Kind, Stored, decode_configuration, decode_engine, decode_newest_weights,
     },
@@ -62,7 +62,7 @@
 }
 
 impl WeightsFollower {
-    fn name(&self, object: &Stored, at: NamedAt) {
+    fn name(&self, object: &Stored, at: PublishedAt) {
         match decode_newest_weights(&object.spec) {
             Some(newest) => {
                 self.instance
@@ -78,7 +78,7 @@
 
     fn replace(&self, objects: &[Stored], _revision: u64) {
         let gap_ms = self.heard_ms.get().map(|heard_ms| now_ms() - heard_ms);
-        let at = NamedAt::after_gap(gap_ms);
+        let at = PublishedAt::after_gap(gap_ms);
         self.heard_ms.set(Some(now_ms()));
         for object in objects {
             self.name(object, at);
@@ -88,7 +88,7 @@
     fn change(&self, changes: &[(String, Option<Stored>)], _revision: u64) {
         self.heard_ms.set(Some(now_ms()));
         for object in changes.iter().filter_map(|(_, object)| object.as_ref()) {
-            self.name(object, NamedAt::Ago(0));
+            self.name(object, PublishedAt::Ago(0));
         }
     }
 }
--- a/crates/gateway/src/weights/mod.rs
+++ b/crates/gateway/src/weights/mod.rs
@@ -5,4 +5,4 @@
 mod progress;
 mod right;
 
-pub use orderer::order_weights;
+pub use orderer::run_weights_updater;
--- a/crates/gateway/src/weights/orderer.rs
+++ b/crates/gateway/src/weights/orderer.rs
@@ -8,7 +8,7 @@
     mangowalk_core::{
         mesh::OrderPhase,
         pool::EngineEntry,
-        weights::{Step, Turn, plan},
+        weights::{OutdatedEngine, Step, plan},
     },
     mangowalk_platform::{EngineReport, OrderAnswer, WeightsOrder},
     std::{rc::Rc, time::Duration},
@@ -44,7 +44,7 @@
 }
 
 /// Gives orders to engines whenever some lack the newest weights.
-pub async fn order_weights(instance: Rc<Instance>, store: Rc<CallClient>) {
+pub async fn run_weights_updater(instance: Rc<Instance>, store: Rc<CallClient>) {
     let (tell, heard) = unbounded_channel();
     let mut orderer = Orderer {
         right: Right::new(instance.clone(), store),
@@ -213,7 +213,7 @@
         for model in models {
             let of_model: Vec<&Lagging> =
                 lagging.iter().filter(|one| one.model == *model).collect();
-            let turns: Vec<Turn> = of_model
+            let turns: Vec<OutdatedEngine> = of_model
                 .iter()
                 .map(|one| self.progress.turn(one, now_ms))
                 .collect();
--- a/crates/gateway/src/weights/progress.rs
+++ b/crates/gateway/src/weights/progress.rs
@@ -3,7 +3,7 @@
     mangowalk_core::{
         mesh::{OrderNote, OrderPhase},
         pool::{EngineEntry, Incarnation},
-        weights::{LoadPace, Turn},
+        weights::{LoadConcurrency, OutdatedEngine},
     },
     mangowalk_platform::{EngineReport, OrderAnswer},
     std::{collections::HashMap, rc::Rc},
@@ -55,7 +55,7 @@
     given: HashMap<Incarnation, Given>,
     /// Orders that each engine has accepted, as far as known.
     accepted: HashMap<Incarnation, u64>,
-    pace: LoadPace,
+    pace: LoadConcurrency,
 }
 
 impl Progress {
@@ -64,7 +64,7 @@
             instance,
             given: HashMap::new(),
             accepted: HashMap::new(),
-            pace: LoadPace::default(),
+            pace: LoadConcurrency::default(),
         }
     }
 
@@ -82,7 +82,7 @@
     /// Returns how many engines may load at once, of so many.
     pub(super) fn at_once(&self, engines: usize) -> usize {
         let settings = &self.instance.settings;
-        let within_ms = settings.weights.least_ms as f64 * settings.plan.within_part;
+        let within_ms = settings.weights.dispatch_until_ms as f64 * settings.plan.within_part;
         self.pace.at_once(engines, within_ms as u64)
     }
 
@@ -113,14 +113,14 @@
     }
 
     /// Returns what the plan has to know of an engine.
-    pub(super) fn turn(&self, one: &Lagging, now_ms: u64) -> Turn {
+    pub(super) fn turn(&self, one: &Lagging, now_ms: u64) -> OutdatedEngine {
         let engines = self.instance.engines.borrow();
         let belief = engines.get(&one.entry.incarnation.id);
         let health = &self.instance.settings.choice.health;
         let given = self.given.get(&one.entry.incarnation);
         let ordered = given.filter(|given| given.phase == OrderPhase::Sent);
         let planned = given.filter(|given| given.phase == OrderPhase::Planned);
-        Turn {
+        OutdatedEngine {
             engine: one.entry.incarnation.id.clone(),
             steered_since_ms: planned.map(|given| given.since_ms),
             is_ordered: ordered.is_some_and(|given| now_ms < given.since_ms + AGAIN_MS),
--- a/crates/gateway/src/weights/right.rs
+++ b/crates/gateway/src/weights/right.rs
@@ -4,7 +4,7 @@
         instance::{Drain, Instance},
         store::CallClient,
     },
-    mangowalk_core::weights::{Held, Lease, Seen, Told, Vacant},
+    mangowalk_core::weights::{Held, HolderReport, Lease, ObservedRecord, Vacant},
     mangowalk_platform::{
         Call, Kind, LeaseRecord, Stored, decode_object, encode_create, encode_replace,
         path_of_object,
@@ -52,7 +52,7 @@
     instance: Rc<Instance>,
     store: Rc<CallClient>,
     hold: Hold,
-    seen: Option<Seen>,
+    seen: Option<ObservedRecord>,
     /// Until then this instance leaves the lease to others.
     unable_until_ms: u64,
     failing_since_ms: Option<u64>,
@@ -205,7 +205,7 @@
     /// Returns whose a record is.
     fn before(&mut self, stored: &Stored, now_ms: u64) -> Before {
         let seen = self.seen.filter(|seen| seen.revision == stored.revision);
-        let seen = seen.unwrap_or(Seen {
+        let seen = seen.unwrap_or(ObservedRecord {
             revision: stored.revision,
             first_ms: now_ms,
         });
@@ -223,14 +223,14 @@
             .filter(|_| !is_own)
             .and_then(|record| self.told(&record));
         let settings = &self.instance.settings.lease;
-        let quiet_since_ms = seen.may_take(told, settings, now_ms);
+        let quiet_since_ms = seen.check_takeover(told, settings, now_ms);
         quiet_since_ms.map_or(Before::Fresh, Before::Left)
     }
 
     /// Returns when the holder of a record gave its last order, if that can be
     /// told: it has left the lease and says when, or it has started again,
     /// and what ordered before it did so is gone.
-    fn told(&self, record: &LeaseRecord) -> Option<Told> {
+    fn told(&self, record: &LeaseRecord) -> Option<HolderReport> {
         let members = self.instance.members.borrow();
         let mut members = members.iter();
         let holder = members.find(|member| member.last.name == record.holder)?;
@@ -244,7 +244,7 @@
             Some(ago_ms) if !is_restarted => u64::from(ago_ms),
             _ => up_ms,
         };
-        Some(Told {
+        Some(HolderReport {
             quiet_since_ms: holder.heard_ms.saturating_sub(ago_ms),
             heard_ms: holder.heard_ms,
             is_restarted,
--- a/crates/mangowalkd/src/board/claims.rs
+++ b/crates/mangowalkd/src/board/claims.rs
@@ -2,7 +2,7 @@
     super::lock,
     flume::{Receiver, Sender},
     mangowalk_core::{
-        claim::{Claim, Claimed, EpochBody, EpochWatch, Settled},
+        claim::{Claim, Claimed, EpochBody, EpochTracker, Settled},
         platform::{Expect, ObjectKey},
     },
     serde_json::Value,
@@ -55,7 +55,7 @@
 pub struct ClaimBoard {
     sender: Sender<ClaimWrite>,
     receiver: Receiver<ClaimWrite>,
-    epoch: Mutex<EpochWatch>,
+    epoch: Mutex<EpochTracker>,
 }
 
 impl Default for ClaimBoard {
@@ -74,7 +74,7 @@
     /// later callers are then told that it is unknown, which is true.
     pub fn settle(&self, mut claim: Claim<Settled>) {
         if self.sender.len() > MOST_WITH_REPLY {
-            claim.without_reply();
+            claim.drop_reply();
         }
         let write = ClaimWrite::Settle {
             key: claim.key(),
@@ -120,16 +120,16 @@
 
     /// Notes the epoch that the platform holds.
     pub fn see_epoch(&self, version: u64, body: EpochBody, now_ms: u64) {
-        lock(&self.epoch).see(version, body, now_ms);
+        lock(&self.epoch).observe(version, body, now_ms);
     }
 
     /// Returns the present epoch, if it is known.
     pub fn epoch(&self, now_ms: u64) -> Option<u64> {
-        lock(&self.epoch).number(now_ms)
+        lock(&self.epoch).current_epoch(now_ms)
     }
 
     /// Returns a copy of what is known of epochs.
-    pub fn epoch_watch(&self) -> EpochWatch {
+    pub fn epoch_watch(&self) -> EpochTracker {
         lock(&self.epoch).clone()
     }
 }
--- a/crates/mangowalkd/src/controller/claim_keeper.rs
+++ b/crates/mangowalkd/src/controller/claim_keeper.rs
@@ -3,7 +3,7 @@
     crate::board::{Board, ClaimWrite},
     log::{info, warn},
     mangowalk_core::{
-        claim::{ClaimBody, EPOCH_MS, EpochBody},
+        claim::{ClaimBody, EpochBody, MIN_EPOCH_MS},
         edge::{Clock, Edges, Platform, PlatformError},
         platform::{Expect, Object, ObjectKey, own_kind},
     },
@@ -41,14 +41,14 @@
         if now_ms < self.next_epoch_ms {
             return;
         }
-        self.next_epoch_ms = now_ms + EPOCH_MS / 2 + rand::random_range(0..EPOCH_MS / 2);
+        self.next_epoch_ms = now_ms + MIN_EPOCH_MS / 2 + rand::random_range(0..MIN_EPOCH_MS / 2);
         if let Err(error) = read_epoch(edges, board) {
             warn!("claims: The epoch was not read. {error}");
             self.next_epoch_ms = now_ms + RETRY_MS * 5;
             return;
         }
         let now_ms = edges.clock().now_ms();
-        let Some((version, body)) = board.claims.epoch_watch().next(now_ms) else {
+        let Some((version, body)) = board.claims.epoch_watch().next_epoch(now_ms) else {
             return;
         };
         let value = serde_json::to_value(body).unwrap_or_default();
@@ -166,7 +166,7 @@
     let over = list
         .objects
         .iter()
-        .filter(|o| body_of(o).is_some_and(|b| watch.is_over(b.epoch)));
+        .filter(|o| body_of(o).is_some_and(|b| watch.is_expired(b.epoch)));
     let mut deleted = 0;
     for object in over {
         let expect = Expect::Version(object.version);
--- a/crates/mangowalkd/src/controller/model_rollout.rs
+++ b/crates/mangowalkd/src/controller/model_rollout.rs
@@ -7,7 +7,7 @@
         edge::{Clock, Edges, Engines, Platform, PlatformError},
         engine::{EngineState, Order, OrderReply},
         platform::{Expect, ObjectKey, own_kind},
-        rollout::{Action, EngineFacts, Plan, Rollout, RolloutSettings},
+        rollout::{Action, EngineSnapshot, Plan, Rollout, RolloutSettings},
     },
     serde_json::json,
     std::{
@@ -88,7 +88,7 @@
         let engines = self.engines(view);
         let facts = facts(&self.model, &engines, &states, &work.marks);
         let loads = record.concurrent_loads as usize;
-        work.rollout.aim(&record.version, loads, &facts);
+        work.rollout.set_target(&record.version, loads, &facts);
         let now_ms = edges.clock().now_ms();
         let actions = work.rollout.decide(&facts, now_ms);
         self.save(edges, &mut work)?;
@@ -197,7 +197,7 @@
                 let ok = probe(edges, record, version, incarnation);
                 let now_ms = edges.clock().now_ms();
                 work.rollout
-                    .probed(engine, incarnation, version, ok, now_ms);
+                    .record_probe(engine, incarnation, version, ok, now_ms);
                 Ok(())
             }
         }
@@ -244,7 +244,7 @@
         }
         let now_ms = edges.clock().now_ms();
         work.rollout
-            .ordered(&engine.name, version, reply.ok().as_ref(), now_ms);
+            .record_order_reply(&engine.name, version, reply.ok().as_ref(), now_ms);
     }
 }
 
@@ -253,16 +253,16 @@
     engines: &[&'a EngineRecord],
     states: &'a BTreeMap<String, Option<EngineState>>,
     marks: &BTreeSet<String>,
-) -> Vec<EngineFacts<'a>> {
+) -> Vec<EngineSnapshot<'a>> {
     let of = |engine: &&'a EngineRecord| {
         let state = states.get(&engine.name).and_then(Option::as_ref);
         let version = |s: &'a EngineState| if s.model == model { &s.version } else { "" };
-        EngineFacts {
+        EngineSnapshot {
             name: &engine.name,
             version: state.map(version),
             incarnation: state.map_or(0, |s| s.incarnation),
             loading: state.is_some_and(|s| s.loading),
-            open: state.map_or(0, |s| s.load.running + s.load.waiting),
+            open_requests: state.map_or(0, |s| s.load.running + s.load.waiting),
             checks_fencing: engine.checks_fencing,
             drained: marks.contains(&engine.name),
             departing: engine.departing,
--- a/crates/mangowalkd/src/serve/claim.rs
+++ b/crates/mangowalkd/src/serve/claim.rs
@@ -2,8 +2,8 @@
     super::{Router, ServiceRequest},
     mangowalk_core::{
         claim::{
-            CLAIMED_RETRY_MS, Claim, ClaimBody, ClaimState, Claimed, Holder, Unclaimed, Verdict,
-            digest_of_parts, judge,
+            CLAIMED_RETRY_MS, Claim, ClaimBody, ClaimState, Claimed, DuplicateResponse,
+            HolderLiveness, Unclaimed, digest_of_parts, duplicate_response,
         },
         edge::{Clock, Edges, Platform, PlatformError},
         platform::{Expect, Object},
@@ -19,7 +19,7 @@
     /// This request may be sent.
     Won(Claim<Claimed>),
     /// It may not; the caller gets this.
-    Met(Verdict),
+    Met(DuplicateResponse),
 }
 
 impl<E: Edges> Router<E> {
@@ -29,7 +29,7 @@
     /// after this one died, would have its deposit taken twice.
     pub(super) fn claim(&self, request: &ServiceRequest) -> Claiming {
         let Some(key) = &request.idempotency_key else {
-            return Claiming::Met(Verdict::Refuse(Refusal::Malformed {
+            return Claiming::Met(DuplicateResponse::Refuse(Refusal::Malformed {
                 detail: "This call may run only once; send an Idempotency-Key.".to_owned(),
             }));
         };
@@ -86,7 +86,7 @@
 
     fn meet(&self, claim: Claim<Unclaimed>, begun_ms: u64, object: &Object) -> Claiming {
         let Ok(held) = serde_json::from_value::<ClaimBody>(object.body.clone()) else {
-            return Claiming::Met(Verdict::Refuse(Refusal::Claimed {
+            return Claiming::Met(DuplicateResponse::Refuse(Refusal::Claimed {
                 detail: "A call with this Idempotency-Key was claimed by a newer version of the router; send it again.",
                 outcome: Outcome::Unknown,
                 retry_ms: CLAIMED_RETRY_MS,
@@ -96,23 +96,27 @@
             return Claiming::Won(claim.created(object.version, begun_ms));
         }
         let holder = self.holder_of(&held);
-        Claiming::Met(judge(&held, &claim.body().request, holder))
+        Claiming::Met(duplicate_response(&held, &claim.body().request, holder))
     }
 
-    fn holder_of(&self, claim: &ClaimBody) -> Holder {
+    fn holder_of(&self, claim: &ClaimBody) -> HolderLiveness {
         let identity = &self.board.identity;
         if claim.incarnation == identity.incarnation {
-            return Holder::Alive;
+            return HolderLiveness::Alive;
         }
         let heard = self.board.peers.sights().iter().any(|peer| {
             peer.view.caller_address == claim.holder && peer.view.incarnation == claim.incarnation
         });
-        if heard { Holder::Alive } else { Holder::Silent }
+        if heard {
+            HolderLiveness::Alive
+        } else {
+            HolderLiveness::Silent
+        }
     }
 }
 
-fn unrecorded() -> Verdict {
-    Verdict::Refuse(Refusal::Unavailable {
+fn unrecorded() -> DuplicateResponse {
+    DuplicateResponse::Refuse(Refusal::Unavailable {
         reason: "The platform can't record that this call runs once, so it was not sent",
         retry_ms: CLAIMED_RETRY_MS,
     })
--- a/crates/mangowalkd/src/serve/service.rs
+++ b/crates/mangowalkd/src/serve/service.rs
@@ -1,7 +1,7 @@
 use {
     super::{Router, ServiceRequest, claim::Claiming, poison::identity_of_call},
     mangowalk_core::{
-        claim::{Claim, Claimed, ClaimedTooLong, Verdict},
+        claim::{Claim, ClaimTooOld, Claimed, DuplicateResponse},
         config::ServiceRecord,
         edge::{Clock, Edges, SendError, ServiceCall, ServiceReply, Services},
         refusal::{Outcome, Refusal},
@@ -73,8 +73,8 @@
     ) -> Result<ServiceReply, Refusal> {
         match self.claim(request) {
             Claiming::Won(claim) => self.send_claimed(request, instances, claim),
-            Claiming::Met(Verdict::Replay(reply)) => Ok(reply.into_reply()),
-            Claiming::Met(Verdict::Refuse(refusal)) => Err(refusal),
+            Claiming::Met(DuplicateResponse::Replay(reply)) => Ok(reply.into_reply()),
+            Claiming::Met(DuplicateResponse::Refuse(refusal)) => Err(refusal),
         }
     }
 
@@ -89,7 +89,7 @@
         for service in instances {
             let sent = match claim.send(self.edges.clock().now_ms()) {
                 Ok(sent) => sent,
-                Err(ClaimedTooLong(unsent)) => {
+                Err(ClaimTooOld(unsent)) => {
                     claims.withdraw(&unsent);
                     return Err(unreached());
                 }
@@ -101,7 +101,7 @@
                 }
                 Err(error) if states_not_run(error) => claim = sent.not_sent(),
                 Err(_) => {
-                    claims.settle(sent.lost());
+                    claims.settle(sent.reply_lost());
                     return Err(lost());
                 }
             }
