--- a/crates/core/examples/limits_skew/fleet.rs
+++ b/crates/core/examples/limits_skew/fleet.rs
@@ -1,7 +1,7 @@
 use {
     crate::load::Request,
     mangowalk_core::{
-        limits::{Ledger, Reservation, SLOTS, Scarcity, homes_of},
+        limits::{Ledger, Reservation, SLOTS, ShortageTracker, team_slots},
         record::Rate,
     },
     rand::{SeedableRng, rngs::StdRng, seq::SliceRandom},
@@ -26,20 +26,20 @@
 enum Event {
     End(usize),
     Arrive(usize),
-    Again(usize),
+    Retry(usize),
 }
 
 /// Instances that share one team's rate.
 pub(crate) struct Fleet {
     ledgers: Vec<Ledger>,
-    scarcity: Vec<Scarcity>,
+    shortage_trackers: Vec<ShortageTracker>,
     rate: Rate,
     policy: Policy,
     rng: StdRng,
     /// Questions to peers.
-    pub(crate) asked: u64,
+    pub(crate) peer_requests: u64,
     /// Tokens that requests used.
-    pub(crate) used: u64,
+    pub(crate) used_tokens: u64,
 }
 
 impl Fleet {
@@ -53,13 +53,13 @@
             ledger.tokens(TEAM, rate, 0);
         }
         Fleet {
-            scarcity: vec![Scarcity::default(); instances],
+            shortage_trackers: vec![ShortageTracker::default(); instances],
             ledgers,
             rate: rate.clone(),
             policy,
             rng: StdRng::seed_from_u64(1),
-            asked: 0,
-            used: 0,
+            peer_requests: 0,
+            used_tokens: 0,
         }
     }
 
@@ -73,61 +73,62 @@
         let mut waiting = vec![0; requests.len()];
         let mut served = vec![false; requests.len()];
         while let Some(Reverse((now_ms, event))) = events.pop() {
-            let (Event::End(i) | Event::Arrive(i) | Event::Again(i)) = event;
+            let (Event::End(i) | Event::Arrive(i) | Event::Retry(i)) = event;
             let request = &requests[i];
-            let at = self.at(request);
+            let instance = self.instance_of(request);
             let mut gathered = held[i].take().unwrap_or_else(|| Reservation::empty(TEAM));
             if event == Event::End(i) {
-                self.settle(at, &gathered, request.used);
-                self.used += request.used;
+                self.settle(instance, &gathered, request.used_tokens);
+                self.used_tokens += request.used_tokens;
                 continue;
             }
             let may_wait = event == Event::Arrive(i) && self.policy == Policy::MovesAndWait;
-            if event == Event::Arrive(i) && self.hopeless(request, now_ms) {
+            if event == Event::Arrive(i) && self.lacks_tokens(request, now_ms) {
                 continue;
             }
-            if let Event::Again(_) = event {
-                self.scarcity[at].end_wait(TEAM, waiting[i]);
+            if let Event::Retry(_) = event {
+                self.shortage_trackers[instance].end_wait(TEAM, waiting[i]);
             }
             let elsewhere = self.reserve(request, &mut gathered, now_ms);
             let found = gathered.tokens + elsewhere;
             if gathered.tokens == request.tokens {
                 served[i] = true;
                 held[i] = Some(gathered);
-                events.push(Reverse((now_ms + request.lasts_ms, Event::End(i))));
+                events.push(Reverse((now_ms + request.duration_ms, Event::End(i))));
                 continue;
             }
             let short = request.tokens.saturating_sub(found);
-            let wait_ms = self.scarcity[at].wait_ms(TEAM, &self.rate, short, now_ms);
+            let wait_ms = self.shortage_trackers[instance].wait_ms(TEAM, &self.rate, short, now_ms);
             if let Some(wait_ms) = wait_ms.filter(|_| may_wait) {
                 held[i] = Some(gathered);
                 waiting[i] = short;
-                self.scarcity[at].begin_wait(TEAM, short);
-                events.push(Reverse((now_ms + wait_ms + 2, Event::Again(i))));
+                self.shortage_trackers[instance].begin_wait(TEAM, short);
+                events.push(Reverse((now_ms + wait_ms + 2, Event::Retry(i))));
             } else {
-                self.scarcity[at].note(TEAM, found, now_ms);
-                self.settle(at, &gathered, 0);
+                self.shortage_trackers[instance].record_shortage(TEAM, found, now_ms);
+                self.settle(instance, &gathered, 0);
             }
         }
         served
     }
 
-    fn at(&self, request: &Request) -> usize {
+    fn instance_of(&self, request: &Request) -> usize {
         request.instance % self.ledgers.len()
     }
 
-    fn hopeless(&self, request: &Request, now_ms: u64) -> bool {
-        let scarcity = &self.scarcity[self.at(request)];
-        let short = scarcity.hopeless(TEAM, &self.rate, request.tokens, now_ms);
+    fn lacks_tokens(&self, request: &Request, now_ms: u64) -> bool {
+        let shortage_tracker = &self.shortage_trackers[self.instance_of(request)];
+        let short = shortage_tracker.missing_tokens(TEAM, &self.rate, request.tokens, now_ms);
         short.is_some()
     }
 
     /// Adds what is missing to what a request has gathered, as the router
     /// does; returns what peers have left.
     fn reserve(&mut self, request: &Request, gathered: &mut Reservation, now_ms: u64) -> u64 {
-        let (at, rate, tokens) = (self.at(request), self.rate.clone(), request.tokens);
+        let (instance, rate, tokens) =
+            (self.instance_of(request), self.rate.clone(), request.tokens);
         let whole = (gathered.tokens == 0)
-            .then(|| self.ledgers[at].take(TEAM, &rate, tokens, now_ms))
+            .then(|| self.ledgers[instance].take(TEAM, &rate, tokens, now_ms))
             .flatten();
         if let Some(whole) = whole {
             *gathered = whole;
@@ -137,9 +138,9 @@
             return 0;
         }
         let missing = tokens - gathered.tokens;
-        self.ledgers[at].draw(gathered, &rate, missing, now_ms);
+        self.ledgers[instance].take_up_to(gathered, &rate, missing, now_ms);
         let mut left = Vec::new();
-        for peer in self.peers(at) {
+        for peer in self.peers(instance) {
             let missing = tokens - gathered.tokens;
             if missing == 0 {
                 return 0;
@@ -162,25 +163,25 @@
         if tokens == 0 {
             return 0;
         }
-        self.asked += 1;
+        self.peer_requests += 1;
         let grant = self.ledgers[peer].grant(TEAM, &self.rate, tokens, now_ms);
-        gathered.add(address_of(peer), &grant);
+        gathered.add_grant(address_of(peer), &grant);
         grant.left_tokens
     }
 
-    fn settle(&mut self, at: usize, reservation: &Reservation, used: u64) {
-        for moved in self.ledgers[at].settle(reservation, used) {
-            let peer = usize::from(moved.peer.port());
-            self.ledgers[peer].take_back(TEAM, moved.part, moved.tokens);
+    fn settle(&mut self, instance: usize, reservation: &Reservation, used_tokens: u64) {
+        for grant in self.ledgers[instance].settle(reservation, used_tokens) {
+            let peer = usize::from(grant.peer.port());
+            self.ledgers[peer].take_back(TEAM, grant.grant_id, grant.tokens);
         }
     }
 
-    fn peers(&mut self, but: usize) -> Vec<usize> {
+    fn peers(&mut self, excluded: usize) -> Vec<usize> {
         let instances = self.ledgers.len();
-        let mut peers: Vec<usize> = homes_of(TEAM)
+        let mut peers: Vec<usize> = team_slots(TEAM)
             .iter()
             .map(|slot| *slot as usize * instances / SLOTS as usize)
-            .filter(|peer| *peer != but)
+            .filter(|peer| *peer != excluded)
             .collect();
         peers.sort_unstable();
         peers.dedup();
--- a/crates/core/examples/limits_skew/load.rs
+++ b/crates/core/examples/limits_skew/load.rs
@@ -6,7 +6,7 @@
 const SEED: u64 = 20_261_202;
 
 /// Fewest and most tokens that a request reserves.
-const RESERVED: std::ops::Range<u64> = 200..4_000;
+const RESERVED_TOKENS: std::ops::Range<u64> = 200..4_000;
 
 /// What callers of one team send.
 pub(crate) struct Load {
@@ -41,23 +41,23 @@
     pub(crate) instance: usize,
     /// Tokens reserved: the prompt and the longest answer allowed.
     pub(crate) tokens: u64,
-    pub(crate) used: u64,
-    pub(crate) lasts_ms: u64,
+    pub(crate) used_tokens: u64,
+    pub(crate) duration_ms: u64,
 }
 
 /// Returns requests at random times, with the same numbers each time.
 pub(crate) fn arrivals(load: &Load) -> Vec<Request> {
     let mut rng = StdRng::seed_from_u64(SEED);
-    let mean_used = (RESERVED.start + RESERVED.end) as f64 / 2.0 * 0.75;
+    let mean_used = (RESERVED_TOKENS.start + RESERVED_TOKENS.end) as f64 / 2.0 * 0.75;
     let per_ms =
         load.rate.tokens_per_s as f64 * load.offered_percent as f64 / 100_000.0 / mean_used;
     let mut at_ms = 5_000.0;
     let mut requests = Vec::new();
     while at_ms < (load.span_ms + 5_000) as f64 {
         at_ms -= (1.0 - rng.random::<f64>()).ln() / per_ms;
-        let tokens = rng.random_range(RESERVED);
-        let hot = rng.random_ratio(load.skew_percent, 100);
-        let instance = if hot {
+        let tokens = rng.random_range(RESERVED_TOKENS);
+        let is_skewed = rng.random_ratio(load.skew_percent, 100);
+        let instance = if is_skewed {
             0
         } else {
             rng.random_range(0..load.instances)
@@ -66,8 +66,8 @@
             at_ms: at_ms as u64,
             instance,
             tokens,
-            used: tokens * rng.random_range(50..=100) / 100,
-            lasts_ms: rng.random_range(500..8_000),
+            used_tokens: tokens * rng.random_range(50..=100) / 100,
+            duration_ms: rng.random_range(500..8_000),
         });
     }
     requests
--- a/crates/core/examples/limits_skew/main.rs
+++ b/crates/core/examples/limits_skew/main.rs
@@ -22,7 +22,7 @@
     for instances in [7, 50, 350] {
         for (offered_percent, skew_percent) in [(60, 0), (80, 0), (80, 50), (80, 100), (300, 50)] {
             for policy in [Policy::Static, Policy::Moves, Policy::MovesAndWait] {
-                row(
+                print_row(
                     &Load {
                         instances,
                         offered_percent,
@@ -37,7 +37,7 @@
     }
 }
 
-fn row(load: &Load, policy: Policy) {
+fn print_row(load: &Load, policy: Policy) {
     let requests = arrivals(load);
     let ideal = Fleet::new(1, &load.rate, Policy::Static).run(&requests);
     let mut fleet = Fleet::new(load.instances, &load.rate, policy);
@@ -49,7 +49,7 @@
         .filter(|(real, ideal)| !**real && **ideal)
         .count();
     let percent = |part: usize| part as f64 * 100.0 / requests.len() as f64;
-    let most = load.rate.tokens_per_s * load.span_ms / 1_000;
+    let refilled_tokens = load.rate.tokens_per_s * load.span_ms / 1_000;
     println!(
         "| {} | {} % | {} % | {policy:?} | {} | {:.1} % | {:.1} % | {:.2} a request | {:.0} % |",
         load.instances,
@@ -58,7 +58,7 @@
         requests.len(),
         percent(refused),
         percent(wrongful),
-        fleet.asked as f64 / requests.len() as f64,
-        fleet.used as f64 * 100.0 / most as f64,
+        fleet.peer_requests as f64 / requests.len() as f64,
+        fleet.used_tokens as f64 * 100.0 / refilled_tokens as f64,
     );
 }
--- a/crates/core/src/admission/dispatcher.rs
+++ b/crates/core/src/admission/dispatcher.rs
@@ -1,21 +1,21 @@
 use {
-    super::{AdmissionSettings, FairQueue, Full, Job},
+    super::{AdmissionSettings, FairQueue, Job, QueueRefusal},
     crate::placement::{Ask, Choice, Placement},
 };
 
 /// Teams asked for a request that has room, each time room appears.
-const TRIES: usize = 8;
+const MAX_TEAMS_TRIED: usize = 8;
 
 /// Time between two looks at who waits in vain.
-const REVIEW_MS: u64 = 100;
+const REVIEW_INTERVAL_MS: u64 = 100;
 
 /// Tells whether an engine may get one more request, by its breaker and its
 /// limit.
-pub type Fit<'a> = dyn Fn(&str) -> bool + 'a;
+pub type EngineFilter<'a> = dyn Fn(&str) -> bool + 'a;
 
 /// What becomes of a request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     /// It is sent now.
     Send {
         /// Number of the request.
@@ -28,7 +28,7 @@
         /// Number of the request.
         id: u64,
         /// When to come back.
-        full: Full,
+        refusal: QueueRefusal,
     },
 }
 
@@ -37,7 +37,7 @@
 pub struct Dispatcher {
     placement: Placement,
     queue: FairQueue,
-    review_ms: u64,
+    next_review_ms: u64,
 }
 
 impl Dispatcher {
@@ -46,7 +46,7 @@
         Dispatcher {
             placement,
             queue: FairQueue::new(settings, seed),
-            review_ms: 0,
+            next_review_ms: 0,
         }
     }
 
@@ -67,57 +67,60 @@
 
     /// Takes a new request. It is sent, waits, or is refused at once; verdicts
     /// for it and for others that can go now are returned.
-    pub fn arrive(&mut self, job: Job, fit: &Fit<'_>, now_ms: u64) -> Vec<Verdict> {
+    pub fn submit(&mut self, job: Job, fit: &EngineFilter<'_>, now_ms: u64) -> Vec<Decision> {
         let id = job.id;
         if self.queue.is_empty()
             && let Some(choice) = Self::place(&mut self.placement, fit, &job, 0, now_ms)
         {
             self.queue.charge(&job);
-            return vec![Verdict::Send { id, choice }];
+            return vec![Decision::Send { id, choice }];
         }
-        match self.queue.enter(job, now_ms) {
-            Ok(()) => self.pump(fit, now_ms),
-            Err(full) => vec![Verdict::Refuse { id, full }],
+        match self.queue.push(job, now_ms) {
+            Ok(()) => self.dispatch_queued(fit, now_ms),
+            Err(refusal) => vec![Decision::Refuse { id, refusal }],
         }
     }
 
     /// Sends what has room now, and refuses what has waited too long.
-    pub fn pump(&mut self, fit: &Fit<'_>, now_ms: u64) -> Vec<Verdict> {
-        let mut verdicts = Vec::new();
-        for (job, wait_ms) in self.review(now_ms) {
-            let full = self.queue.full(wait_ms);
-            verdicts.push(Verdict::Refuse { id: job.id, full });
+    pub fn dispatch_queued(&mut self, fit: &EngineFilter<'_>, now_ms: u64) -> Vec<Decision> {
+        let mut decisions = Vec::new();
+        for (job, wait_ms) in self.take_overdue(now_ms) {
+            let refusal = self.queue.refusal(wait_ms);
+            decisions.push(Decision::Refuse {
+                id: job.id,
+                refusal,
+            });
         }
         let placement = &mut self.placement;
         loop {
             let queued = self.queue.len();
-            let next = self.queue.next(now_ms, TRIES, |job| {
+            let next = self.queue.take_next(now_ms, MAX_TEAMS_TRIED, |job| {
                 Self::place(placement, fit, job, queued, now_ms)
             });
             let Some((job, choice)) = next else {
-                return verdicts;
+                return decisions;
             };
-            verdicts.push(Verdict::Send { id: job.id, choice });
+            decisions.push(Decision::Send { id: job.id, choice });
         }
     }
 
     /// Looks now and then whether those who wait do so in vain.
-    fn review(&mut self, now_ms: u64) -> Vec<(Job, u64)> {
-        if now_ms < self.review_ms {
+    fn take_overdue(&mut self, now_ms: u64) -> Vec<(Job, u64)> {
+        if now_ms < self.next_review_ms {
             return Vec::new();
         }
-        self.review_ms = now_ms + REVIEW_MS;
-        self.queue.hopeless(now_ms)
+        self.next_review_ms = now_ms + REVIEW_INTERVAL_MS;
+        self.queue.take_overdue(now_ms)
     }
 
     /// Takes out a request whose caller has gone.
-    pub fn leave(&mut self, id: u64) {
-        self.queue.leave(id);
+    pub fn remove(&mut self, id: u64) {
+        self.queue.remove(id);
     }
 
     fn place(
         placement: &mut Placement,
-        fit: &Fit<'_>,
+        fit: &EngineFilter<'_>,
         job: &Job,
         queued: usize,
         now_ms: u64,
@@ -126,7 +129,7 @@
             model: &job.model,
             version: &job.version,
             chain: &job.chain,
-            kept_blocks: job.kept_blocks,
+            kept_blocks: job.stored_blocks,
             avoid: &job.avoid,
             fit,
             waited_ms: now_ms.saturating_sub(job.arrived_ms),
--- a/crates/core/src/admission/fair_queue.rs
+++ b/crates/core/src/admission/fair_queue.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AdmissionSettings, Job, drain::Drain, team_queue::TeamQueue},
+    super::{AdmissionSettings, Job, drain_rate::DrainRate, team_queue::TeamQueue},
     derive_more::{Display, Error},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::collections::BTreeMap,
@@ -7,16 +7,16 @@
 
 /// Requests of a team that are asked for one that has room. The first may
 /// wait for the engine that holds its prompt while others could go.
-const JOBS_TRIED: usize = 8;
+const MAX_JOBS_TRIED: usize = 8;
 
 /// Factor by which a request must be expected to miss its time before it is
 /// given up while it waits.
-const CLEAR_MISS: f64 = 1.5;
+const OVERDUE_FACTOR: f64 = 1.5;
 
 /// Why a request may not wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("The request would wait {wait_ms} ms; send it again in {retry_ms} ms.")]
-pub struct Full {
+pub struct QueueRefusal {
     /// Predicted wait.
     pub wait_ms: u64,
     /// When to come back. Spread, so that refused callers do not return
@@ -38,7 +38,7 @@
     teams: BTreeMap<String, TeamQueue>,
     virtual_time: f64,
     queued: usize,
-    drain: Drain,
+    drain_rate: DrainRate,
     rng: SmallRng,
 }
 
@@ -50,7 +50,7 @@
             teams: BTreeMap::new(),
             virtual_time: 0.0,
             queued: 0,
-            drain: Drain::default(),
+            drain_rate: DrainRate::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -70,56 +70,56 @@
     /// # Errors
     ///
     /// Refuses at once what would not be served in time, or is one too many.
-    pub fn enter(&mut self, job: Job, now_ms: u64) -> Result<(), Full> {
+    pub fn push(&mut self, job: Job, now_ms: u64) -> Result<(), QueueRefusal> {
         let wait_ms = self.predicted_wait_ms(&job, now_ms);
-        if wait_ms > self.most_wait_ms(&job) || self.queued >= self.settings.most_queued {
-            return Err(self.full(wait_ms));
+        if wait_ms > self.max_wait_ms(&job) || self.queued >= self.settings.max_queued {
+            return Err(self.refusal(wait_ms));
         }
-        self.drain.backlogged(now_ms);
+        self.drain_rate.record_backlog(now_ms);
         self.queued += 1;
         self.teams.entry(job.team.clone()).or_default().push(job);
         Ok(())
     }
 
-    fn most_wait_ms(&self, job: &Job) -> u64 {
-        let most_ms = self.settings.most_wait_ms;
+    fn max_wait_ms(&self, job: &Job) -> u64 {
+        let max_wait_ms = self.settings.max_wait_ms;
         job.deadline_ms
-            .map_or(most_ms, |deadline_ms| deadline_ms.min(most_ms))
+            .map_or(max_wait_ms, |deadline_ms| deadline_ms.min(max_wait_ms))
     }
 
     /// Returns the refusal of a request with a predicted wait.
-    pub fn full(&mut self, wait_ms: u64) -> Full {
-        let excess_ms = wait_ms.saturating_sub(self.settings.most_wait_ms);
-        let base_ms = excess_ms.max(self.settings.least_retry_ms);
+    pub fn refusal(&mut self, wait_ms: u64) -> QueueRefusal {
+        let excess_ms = wait_ms.saturating_sub(self.settings.max_wait_ms);
+        let base_ms = excess_ms.max(self.settings.min_retry_ms);
         // Spread over as long again: the queue drains base_ms worth of work
         // in that time, so it takes those who return one after another.
         let retry_ms = base_ms + self.rng.random_range(0..=base_ms);
-        Full { wait_ms, retry_ms }
+        QueueRefusal { wait_ms, retry_ms }
     }
 
     /// Returns how long a request would wait: its team's work ahead of it at
     /// the team's share of the measured drain, or all work at the whole drain
     /// where that is less.
     pub fn predicted_wait_ms(&self, job: &Job, now_ms: u64) -> u64 {
-        let Some(drain) = self.drain.tokens_per_ms(now_ms) else {
+        let Some(tokens_per_ms) = self.drain_rate.tokens_per_ms(now_ms) else {
             return 0;
         };
         let own = self.teams.get(&job.team);
         let ahead = own.map_or(0.0, |team| {
-            self.used_tokens(team, job.weight) + team.tokens_ahead(job.tokens) as f64
+            self.overserved_tokens(team, job.weight) + team.tokens_ahead(job.tokens) as f64
         });
         let share = self.share(&job.team, job.weight);
         let all: u64 = self.teams.values().map(|t| t.queued_tokens).sum();
-        let fair_ms = ahead / (drain * share);
-        let whole_ms = all as f64 / drain;
+        let fair_ms = ahead / (tokens_per_ms * share);
+        let whole_ms = all as f64 / tokens_per_ms;
         fair_ms.min(whole_ms) as u64
     }
 
     /// Returns the tokens that a team was served ahead of its turn. The next
     /// request of a team that used less than its share starts at once, however
     /// small the share is.
-    fn used_tokens(&self, team: &TeamQueue, weight: f64) -> f64 {
-        (team.finish - self.virtual_time).max(0.0) * weight
+    fn overserved_tokens(&self, team: &TeamQueue, weight: f64) -> f64 {
+        (team.finish_tag - self.virtual_time).max(0.0) * weight
     }
 
     /// Returns the part of the drain that a team gets beside those that wait.
@@ -135,12 +135,12 @@
     }
 
     /// Takes the next request for which `send` returns something. At most
-    /// `tries` teams are asked, so that one request without room does not
+    /// `max_teams` teams are asked, so that one request without room does not
     /// hold up the others.
-    pub fn next<T>(
+    pub fn take_next<T>(
         &mut self,
         now_ms: u64,
-        tries: usize,
+        max_teams: usize,
         mut send: impl FnMut(&Job) -> Option<T>,
     ) -> Option<(Job, T)> {
         let mut order: Vec<(u64, f64, &String)> = self
@@ -148,46 +148,47 @@
             .iter()
             .filter(|(_, team)| !team.jobs.is_empty())
             .map(|(name, team)| {
-                let start = team.finish.max(self.virtual_time);
-                (team.class(&self.settings, now_ms), start, name)
+                let start = team.finish_tag.max(self.virtual_time);
+                (team.effective_priority(&self.settings, now_ms), start, name)
             })
             .collect();
         order.sort_unstable_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(b.2)));
-        let (name, at, sent) = order.into_iter().take(tries).find_map(|(_, _, name)| {
+        let (name, index, sent) = order.into_iter().take(max_teams).find_map(|(_, _, name)| {
             let team = self.teams.get(name)?;
-            let order = team.order(&self.settings, now_ms);
-            order.into_iter().take(JOBS_TRIED).find_map(|at| {
-                let sent = send(&team.jobs[at])?;
-                Some((name.clone(), at, sent))
+            let order = team.serving_order(&self.settings, now_ms);
+            order.into_iter().take(MAX_JOBS_TRIED).find_map(|index| {
+                let sent = send(&team.jobs[index])?;
+                Some((name.clone(), index, sent))
             })
         })?;
-        let job = self.take(&name, at)?;
+        let job = self.take(&name, index)?;
         self.charge(&job);
-        self.drain.sent(job.tokens, self.queued > 0, now_ms);
+        self.drain_rate
+            .record_sent(job.tokens, self.queued > 0, now_ms);
         Some((job, sent))
     }
 
     /// Charges a team for a request that is served.
     pub fn charge(&mut self, job: &Job) {
         let team = self.teams.entry(job.team.clone()).or_default();
-        let start = team.finish.max(self.virtual_time);
-        team.finish = start + job.tokens as f64 / job.weight.max(f64::MIN_POSITIVE);
+        let start = team.finish_tag.max(self.virtual_time);
+        team.finish_tag = start + job.tokens as f64 / job.weight.max(f64::MIN_POSITIVE);
         self.virtual_time = self.virtual_time.max(start);
     }
 
-    fn take(&mut self, team: &str, at: usize) -> Option<Job> {
+    fn take(&mut self, team: &str, index: usize) -> Option<Job> {
         let team = self.teams.get_mut(team)?;
         self.queued -= 1;
-        Some(team.remove(at))
+        Some(team.remove(index))
     }
 
     /// Takes out a request that no longer waits, as when its caller has gone.
-    pub fn leave(&mut self, id: u64) -> Option<Job> {
-        let (name, at) = self.teams.iter().find_map(|(name, team)| {
-            let at = team.jobs.iter().position(|j| j.id == id)?;
-            Some((name.clone(), at))
+    pub fn remove(&mut self, id: u64) -> Option<Job> {
+        let (name, index) = self.teams.iter().find_map(|(name, team)| {
+            let index = team.jobs.iter().position(|j| j.id == id)?;
+            Some((name.clone(), index))
         })?;
-        self.take(&name, at)
+        self.take(&name, index)
     }
 
     /// Takes out every request that won't be served in time any more, with its
@@ -197,50 +198,58 @@
     /// more urgent team comes. Who waits in vain is told so as soon as that is
     /// known, while there is time to go elsewhere. It takes a clear miss, as a
     /// prediction wavers.
-    pub fn hopeless(&mut self, now_ms: u64) -> Vec<(Job, u64)> {
-        let drain = self.drain.tokens_per_ms(now_ms);
-        let names: Vec<String> = self.teams.keys().cloned().collect();
-        let mut given_up = Vec::new();
-        for name in names {
-            given_up.extend(self.hopeless_of(&name, drain, now_ms));
+    pub fn take_overdue(&mut self, now_ms: u64) -> Vec<(Job, u64)> {
+        let tokens_per_ms = self.drain_rate.tokens_per_ms(now_ms);
+        let teams: Vec<String> = self.teams.keys().cloned().collect();
+        let mut overdue = Vec::new();
+        for name in teams {
+            overdue.extend(self.take_overdue_of_team(&name, tokens_per_ms, now_ms));
         }
-        self.queued -= given_up.len();
-        given_up
+        self.queued -= overdue.len();
+        overdue
     }
 
-    fn hopeless_of(&mut self, name: &str, drain: Option<f64>, now_ms: u64) -> Vec<(Job, u64)> {
+    fn take_overdue_of_team(
+        &mut self,
+        name: &str,
+        tokens_per_ms: Option<f64>,
+        now_ms: u64,
+    ) -> Vec<(Job, u64)> {
         let weight = self.teams.get(name).and_then(|t| t.jobs.first());
         let Some(weight) = weight.map(|j| j.weight) else {
             return Vec::new();
         };
-        let team_drain = drain.map(|drain| drain * self.share(name, weight));
+        let team_tokens_per_ms = tokens_per_ms.map(|rate| rate * self.share(name, weight));
         let settings = self.settings.clone();
-        let used = self.teams.get(name).map(|t| self.used_tokens(t, weight));
+        let overserved = self
+            .teams
+            .get(name)
+            .map(|t| self.overserved_tokens(t, weight));
         let Some(team) = self.teams.get_mut(name) else {
             return Vec::new();
         };
-        let mut ahead_tokens = used.unwrap_or_default();
-        let mut given_up: Vec<(u64, u64)> = Vec::new();
-        for at in team.order(&settings, now_ms) {
-            let job = &team.jobs[at];
-            let most_ms = job
+        let mut ahead_tokens = overserved.unwrap_or_default();
+        let mut overdue: Vec<(u64, u64)> = Vec::new();
+        for index in team.serving_order(&settings, now_ms) {
+            let job = &team.jobs[index];
+            let max_wait_ms = job
                 .deadline_ms
                 .unwrap_or(u64::MAX)
-                .min(settings.most_wait_ms);
+                .min(settings.max_wait_ms);
             let waited_ms = now_ms.saturating_sub(job.arrived_ms);
-            let left_ms = team_drain.map_or(0.0, |d| ahead_tokens / d);
+            let left_ms = team_tokens_per_ms.map_or(0.0, |d| ahead_tokens / d);
             let total_ms = waited_ms as f64 + left_ms;
-            if waited_ms > most_ms || total_ms > most_ms as f64 * CLEAR_MISS {
-                given_up.push((job.id, total_ms as u64));
+            if waited_ms > max_wait_ms || total_ms > max_wait_ms as f64 * OVERDUE_FACTOR {
+                overdue.push((job.id, total_ms as u64));
             } else {
                 ahead_tokens += job.tokens as f64;
             }
         }
-        given_up
+        overdue
             .into_iter()
             .filter_map(|(id, wait_ms)| {
-                let at = team.jobs.iter().position(|j| j.id == id)?;
-                Some((team.remove(at), wait_ms))
+                let index = team.jobs.iter().position(|j| j.id == id)?;
+                Some((team.remove(index), wait_ms))
             })
             .collect()
     }
--- a/crates/core/src/admission/job.rs
+++ b/crates/core/src/admission/job.rs
@@ -27,5 +27,5 @@
     /// Engines that must not run it, as they run another suspect of a crash.
     pub avoid: HashSet<String>,
     /// Blocks that the store of kept pieces is known to hold.
-    pub kept_blocks: usize,
+    pub stored_blocks: usize,
 }
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -7,15 +7,15 @@
 //! is refused at once, as not run. See docs/admission.md.
 
 mod dispatcher;
-mod drain;
+mod drain_rate;
 mod fair_queue;
 mod job;
 mod settings;
 mod team_queue;
 
 pub use {
-    dispatcher::{Dispatcher, Fit, Verdict},
-    fair_queue::{FairQueue, Full},
+    dispatcher::{Decision, Dispatcher, EngineFilter},
+    fair_queue::{FairQueue, QueueRefusal},
     job::Job,
-    settings::{AdmissionSettings, Favour},
+    settings::{AdmissionProfile, AdmissionSettings},
 };
--- a/crates/core/src/admission/settings.rs
+++ b/crates/core/src/admission/settings.rs
@@ -2,7 +2,7 @@
 
 /// What the deployment weighs most when it is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display)]
-pub enum Favour {
+pub enum AdmissionProfile {
     /// The tail of the time to first token: a customer stands at the counter,
     /// and an answer that comes late is worth no more than a refusal.
     #[default]
@@ -17,16 +17,16 @@
 /// A profile that is not known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("No such profile; give first-token or worst-team.")]
-pub struct UnknownFavour;
+pub struct UnknownProfile;
 
-impl std::str::FromStr for Favour {
-    type Err = UnknownFavour;
+impl std::str::FromStr for AdmissionProfile {
+    type Err = UnknownProfile;
 
-    fn from_str(text: &str) -> Result<Favour, UnknownFavour> {
+    fn from_str(text: &str) -> Result<AdmissionProfile, UnknownProfile> {
         match text {
-            "first-token" => Ok(Favour::FirstToken),
-            "worst-team" => Ok(Favour::WorstTeam),
-            _ => Err(UnknownFavour),
+            "first-token" => Ok(AdmissionProfile::FirstToken),
+            "worst-team" => Ok(AdmissionProfile::WorstTeam),
+            _ => Err(UnknownProfile),
         }
     }
 }
@@ -35,24 +35,24 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionSettings {
     /// Longest time to first token that a caller is held for.
-    pub most_wait_ms: u64,
+    pub max_wait_ms: u64,
     /// Most requests that wait at once.
-    pub most_queued: usize,
+    pub max_queued: usize,
     /// Time waited that makes up for this many tokens of a longer request.
     pub aging_tokens_per_ms: f64,
     /// Time waited that lifts a request by one priority.
     pub priority_step_ms: u64,
     /// Shortest time after which a refused caller is told to come back.
-    pub least_retry_ms: u64,
+    pub min_retry_ms: u64,
 }
 
 impl AdmissionSettings {
     /// Returns the settings of a profile.
-    pub fn of(favour: Favour) -> AdmissionSettings {
-        match favour {
-            Favour::FirstToken => AdmissionSettings::default(),
-            Favour::WorstTeam => AdmissionSettings {
-                most_wait_ms: 8_000,
+    pub fn for_profile(profile: AdmissionProfile) -> AdmissionSettings {
+        match profile {
+            AdmissionProfile::FirstToken => AdmissionSettings::default(),
+            AdmissionProfile::WorstTeam => AdmissionSettings {
+                max_wait_ms: 8_000,
                 aging_tokens_per_ms: 8.0,
                 ..AdmissionSettings::default()
             },
@@ -63,11 +63,11 @@
 impl Default for AdmissionSettings {
     fn default() -> AdmissionSettings {
         AdmissionSettings {
-            most_wait_ms: 2_000,
-            most_queued: 512,
+            max_wait_ms: 2_000,
+            max_queued: 512,
             aging_tokens_per_ms: 4.0,
             priority_step_ms: 2_000,
-            least_retry_ms: 500,
+            min_retry_ms: 500,
         }
     }
 }
--- a/crates/core/src/admission/team_queue.rs
+++ b/crates/core/src/admission/team_queue.rs
@@ -5,7 +5,7 @@
 pub(super) struct TeamQueue {
     pub(super) jobs: Vec<Job>,
     /// Virtual time at which the team's last request ends.
-    pub(super) finish: f64,
+    pub(super) finish_tag: f64,
     pub(super) queued_tokens: u64,
 }
 
@@ -15,8 +15,8 @@
         self.jobs.push(job);
     }
 
-    pub(super) fn remove(&mut self, at: usize) -> Job {
-        let job = self.jobs.swap_remove(at);
+    pub(super) fn remove(&mut self, index: usize) -> Job {
+        let job = self.jobs.swap_remove(index);
         self.queued_tokens -= job.tokens;
         job
     }
@@ -25,17 +25,17 @@
     /// before long, and each millisecond waited takes some of the length off,
     /// so that a long one is passed only by what came within a bounded time
     /// after it.
-    pub(super) fn order(&self, settings: &AdmissionSettings, now_ms: u64) -> Vec<usize> {
+    pub(super) fn serving_order(&self, settings: &AdmissionSettings, now_ms: u64) -> Vec<usize> {
         let key = |job: &Job| {
             let waited_ms = now_ms.saturating_sub(job.arrived_ms) as f64;
             job.tokens as f64 - waited_ms * settings.aging_tokens_per_ms
         };
-        let mut order: Vec<usize> = (0..self.jobs.len()).collect();
-        order.sort_unstable_by(|a, b| {
+        let mut serving_order: Vec<usize> = (0..self.jobs.len()).collect();
+        serving_order.sort_unstable_by(|a, b| {
             let (a, b) = (&self.jobs[*a], &self.jobs[*b]);
             key(a).total_cmp(&key(b)).then(a.id.cmp(&b.id))
         });
-        order
+        serving_order
     }
 
     /// Returns tokens that would be served before a request of a length.
@@ -48,11 +48,15 @@
     }
 
     /// Returns the most urgent priority, time waited counted in.
-    pub(super) fn class(&self, settings: &AdmissionSettings, now_ms: u64) -> u64 {
-        let class = |job: &Job| {
+    pub(super) fn effective_priority(&self, settings: &AdmissionSettings, now_ms: u64) -> u64 {
+        let effective_priority = |job: &Job| {
             let waited_ms = now_ms.saturating_sub(job.arrived_ms);
             u64::from(job.priority).saturating_sub(waited_ms / settings.priority_step_ms.max(1))
         };
-        self.jobs.iter().map(class).min().unwrap_or(u64::MAX)
+        self.jobs
+            .iter()
+            .map(effective_priority)
+            .min()
+            .unwrap_or(u64::MAX)
     }
 }
--- a/crates/core/src/limits/bucket.rs
+++ b/crates/core/src/limits/bucket.rs
@@ -1,4 +1,4 @@
-use {super::HOMES, crate::record::Rate, std::collections::BTreeMap};
+use {super::SLOTS_PER_TEAM, crate::record::Rate, std::collections::BTreeMap};
 
 const MICRO: u128 = 1_000_000;
 const MS_PER_S: u128 = 1_000;
@@ -15,10 +15,10 @@
 pub struct Bucket {
     rate: Rate,
     level_micro: u128,
-    rooms_micro: BTreeMap<u64, u128>,
-    all_rooms_micro: u128,
+    refundable_micro: BTreeMap<u64, u128>,
+    total_refundable_micro: u128,
     debt_micro: u128,
-    minted_ms: u64,
+    refilled_ms: u64,
 }
 
 impl Bucket {
@@ -31,10 +31,10 @@
         Bucket {
             rate: rate.clone(),
             level_micro: 0,
-            rooms_micro: BTreeMap::new(),
-            all_rooms_micro: 0,
+            refundable_micro: BTreeMap::new(),
+            total_refundable_micro: 0,
             debt_micro: 0,
-            minted_ms: now_ms,
+            refilled_ms: now_ms,
         }
     }
 
@@ -42,27 +42,27 @@
     ///
     /// A lease that has ended mints up to its end and lends no capacity any
     /// more: its next holder has that share of the burst.
-    pub fn mint(&mut self, lease_ends_ms: impl Iterator<Item = u64>, now_ms: u64) {
-        let mut live_slots = 0;
+    pub fn refill(&mut self, lease_ends_ms: impl Iterator<Item = u64>, now_ms: u64) {
+        let mut held_slots = 0;
         let mut elapsed_ms: u128 = 0;
         for end_ms in lease_ends_ms {
-            live_slots += u64::from(end_ms > now_ms);
-            elapsed_ms += u128::from(end_ms.min(now_ms).saturating_sub(self.minted_ms));
+            held_slots += u64::from(end_ms > now_ms);
+            elapsed_ms += u128::from(end_ms.min(now_ms).saturating_sub(self.refilled_ms));
         }
-        self.minted_ms = self.minted_ms.max(now_ms);
+        self.refilled_ms = self.refilled_ms.max(now_ms);
         let micro_per_ms = u128::from(self.rate.tokens_per_s) * MICRO / MS_PER_S;
-        let minted = micro_per_ms.saturating_mul(elapsed_ms) / HOMES as u128;
-        let paid = minted.min(self.debt_micro);
-        self.debt_micro -= paid;
-        self.level_micro = self.level_micro.saturating_add(minted - paid);
-        self.cut(live_slots);
+        let refilled = micro_per_ms.saturating_mul(elapsed_ms) / SLOTS_PER_TEAM as u128;
+        let repaid = refilled.min(self.debt_micro);
+        self.debt_micro -= repaid;
+        self.level_micro = self.level_micro.saturating_add(refilled - repaid);
+        self.limit_to_capacity(held_slots);
     }
 
     /// Takes a changed rate over.
     ///
     /// The time since the last mint is paid at the lower of both rates: when
     /// the record changed within it is not known here.
-    pub fn change_rate(&mut self, rate: &Rate) {
+    pub fn set_rate(&mut self, rate: &Rate) {
         self.rate = rate.clone();
     }
 
@@ -73,61 +73,61 @@
 
     /// Returns the whole tokens held.
     pub fn tokens(&self) -> u64 {
-        whole(self.level_micro)
+        whole_tokens(self.level_micro)
     }
 
     /// Takes tokens out as a part of a reservation, all or none.
-    pub fn take(&mut self, tokens: u64, part: u64) -> bool {
-        let wanted = micro(tokens);
-        if wanted > self.level_micro {
+    pub fn take(&mut self, tokens: u64, debit_id: u64) -> bool {
+        let requested = to_micro(tokens);
+        if requested > self.level_micro {
             return false;
         }
-        self.level_micro -= wanted;
-        self.keep_room(wanted, part);
+        self.level_micro -= requested;
+        self.add_refundable(requested, debit_id);
         true
     }
 
     /// Takes up to so many tokens out as a part of a reservation, and returns
     /// how many.
-    pub fn draw(&mut self, tokens: u64, part: u64) -> u64 {
-        let drawn = tokens.min(self.tokens());
-        self.take(drawn, part);
-        drawn
+    pub fn take_up_to(&mut self, tokens: u64, debit_id: u64) -> u64 {
+        let taken = tokens.min(self.tokens());
+        self.take(taken, debit_id);
+        taken
     }
 
     /// Ends a part and puts its unused tokens back as far as it still has
     /// room; returns how many did not fit. A reservation that is put back
     /// after a long answer would otherwise stand on top of a full burst.
-    pub fn put_back(&mut self, tokens: u64, part: u64) -> u64 {
-        let room = self.rooms_micro.remove(&part).unwrap_or_default();
-        let back = micro(tokens).min(room);
-        self.all_rooms_micro -= room;
-        self.level_micro += back;
-        tokens - whole(back)
+    pub fn refund(&mut self, tokens: u64, debit_id: u64) -> u64 {
+        let refundable = self.refundable_micro.remove(&debit_id).unwrap_or_default();
+        let refunded = to_micro(tokens).min(refundable);
+        self.total_refundable_micro -= refundable;
+        self.level_micro += refunded;
+        tokens - whole_tokens(refunded)
     }
 
     /// Charges what a request used beyond its reservation: an engine may count
     /// more tokens in a prompt than the estimate. What is minted next pays.
     pub fn charge(&mut self, tokens: u64) {
-        self.debt_micro += micro(tokens);
+        self.debt_micro += to_micro(tokens);
     }
 
-    fn keep_room(&mut self, room_micro: u128, part: u64) {
-        *self.rooms_micro.entry(part).or_default() += room_micro;
-        self.all_rooms_micro += room_micro;
+    fn add_refundable(&mut self, tokens_micro: u128, debit_id: u64) {
+        *self.refundable_micro.entry(debit_id).or_default() += tokens_micro;
+        self.total_refundable_micro += tokens_micro;
     }
 
     /// Cuts level and rooms to the capacity. Minting takes the room of the
     /// oldest part first: taking it from a young one would let the old one
     /// put back, in a later span of time, what that span has minted already.
-    fn cut(&mut self, live_slots: u64) {
-        let capacity = self.capacity(live_slots);
+    fn limit_to_capacity(&mut self, held_slots: u64) {
+        let capacity = self.capacity(held_slots);
         self.level_micro = self.level_micro.min(capacity);
         let mut over = self
-            .all_rooms_micro
+            .total_refundable_micro
             .saturating_sub(capacity - self.level_micro);
-        self.all_rooms_micro -= over;
-        while let Some(mut oldest) = self.rooms_micro.first_entry() {
+        self.total_refundable_micro -= over;
+        while let Some(mut oldest) = self.refundable_micro.first_entry() {
             if over < *oldest.get() {
                 *oldest.get_mut() -= over;
                 return;
@@ -137,14 +137,14 @@
     }
 
     fn capacity(&self, slots: u64) -> u128 {
-        micro(self.rate.burst_tokens) * u128::from(slots) / HOMES as u128
+        to_micro(self.rate.burst_tokens) * u128::from(slots) / SLOTS_PER_TEAM as u128
     }
 }
 
-fn micro(tokens: u64) -> u128 {
+fn to_micro(tokens: u64) -> u128 {
     u128::from(tokens) * MICRO
 }
 
-fn whole(micro: u128) -> u64 {
+fn whole_tokens(micro: u128) -> u64 {
     u64::try_from(micro / MICRO).unwrap_or(u64::MAX)
 }
--- a/crates/core/src/limits/grant.rs
+++ b/crates/core/src/limits/grant.rs
@@ -6,5 +6,5 @@
     /// Tokens that are left.
     pub left_tokens: u64,
     /// Number under which unused tokens may come back, once.
-    pub part: u64,
+    pub id: u64,
 }
--- a/crates/core/src/limits/holding.rs
+++ b/crates/core/src/limits/instance_limits.rs
@@ -9,17 +9,17 @@
 /// The table says what the platform knows, the ledger what may be spent. Both
 /// change together here, the ledger always first where something is given up.
 #[derive(Debug, Clone)]
-pub struct Holding {
+pub struct InstanceLimits {
     table: SlotTable,
     ledger: Ledger,
 }
 
-impl Holding {
+impl InstanceLimits {
     /// Returns the holding of an instance that starts: nothing.
-    pub fn new(address: SocketAddr, incarnation: u64) -> Holding {
-        Holding {
+    pub fn new(address: SocketAddr, incarnation: u64) -> InstanceLimits {
+        InstanceLimits {
             table: SlotTable::new(address, incarnation),
-            ledger: Ledger::numbered_from(incarnation),
+            ledger: Ledger::with_debit_ids_after(incarnation),
         }
     }
 
@@ -48,12 +48,12 @@
         self.table.body(slot, nonce)
     }
 
-    /// Returns the next writes, at most `most`, with so many instances live.
-    pub fn plan(&self, live_instances: u32, most: usize, now_ms: u64) -> Vec<SlotWrite> {
+    /// Returns the next writes, at most `max_writes`, with so many instances live.
+    pub fn plan(&self, live_instances: u32, max_writes: usize, now_ms: u64) -> Vec<SlotWrite> {
         if self.is_closed() {
             return Vec::new();
         }
-        self.table.plan(live_instances, most, now_ms)
+        self.table.plan(live_instances, max_writes, now_ms)
     }
 
     /// Gives everything up for good, and returns the writes that let others
@@ -65,8 +65,8 @@
 
     /// Takes a list of every slot; what turns out not to be held mints no
     /// more.
-    pub fn see(&mut self, list: &SlotList, now_ms: u64) {
-        for slot in self.table.see(list, now_ms) {
+    pub fn apply_list(&mut self, list: &SlotList, now_ms: u64) {
+        for slot in self.table.apply_list(list, now_ms) {
             self.ledger.release(slot, now_ms);
         }
     }
@@ -77,7 +77,7 @@
     /// A reply that was lost has been read back: [`PlatformError::Lost`] says
     /// that it is still open whether the write took effect. Then an older
     /// lease goes on to its own end and no further.
-    pub fn written(
+    pub fn apply_write_result(
         &mut self,
         slot: u32,
         begun_ms: u64,
@@ -86,11 +86,11 @@
     ) -> ControlFlow<()> {
         match result {
             Ok(version) => {
-                let end_ms = self.table.wrote(slot, *version, begun_ms);
+                let end_ms = self.table.record_write(slot, *version, begun_ms);
                 self.ledger.hold(slot, end_ms, now_ms);
                 return ControlFlow::Continue(());
             }
-            Err(PlatformError::Conflict { .. }) => self.lose(slot, now_ms),
+            Err(PlatformError::Conflict { .. }) => self.drop_slot(slot, now_ms),
             Err(_) => {}
         }
         ControlFlow::Break(())
@@ -98,13 +98,13 @@
 
     /// Stops to mint on a slot, before its release is sent: its next holder
     /// may mint from the moment of that write on.
-    pub fn stop_minting(&mut self, slot: u32, now_ms: u64) {
+    pub fn stop_refill(&mut self, slot: u32, now_ms: u64) {
         self.ledger.release(slot, now_ms);
     }
 
     /// Takes the result of releasing a slot, and returns whether to go on
     /// with the next write.
-    pub fn released(
+    pub fn apply_release_result(
         &mut self,
         slot: u32,
         result: &Result<u64, PlatformError>,
@@ -112,25 +112,27 @@
     ) -> ControlFlow<()> {
         match result {
             Ok(_) => {
-                self.table.released(slot);
+                self.table.record_release(slot);
                 return ControlFlow::Continue(());
             }
             Err(PlatformError::Unreached | PlatformError::Refused { .. }) => {
-                self.mint_again(slot, now_ms);
+                self.resume_refill(slot, now_ms);
+            }
+            Err(PlatformError::Lost | PlatformError::Conflict { .. }) => {
+                self.drop_slot(slot, now_ms)
             }
-            Err(PlatformError::Lost | PlatformError::Conflict { .. }) => self.lose(slot, now_ms),
         }
         ControlFlow::Break(())
     }
 
-    fn mint_again(&mut self, slot: u32, now_ms: u64) {
+    fn resume_refill(&mut self, slot: u32, now_ms: u64) {
         if let Some(end_ms) = self.table.lease_end_ms(slot) {
             self.ledger.hold(slot, end_ms, now_ms);
         }
     }
 
-    fn lose(&mut self, slot: u32, now_ms: u64) {
+    fn drop_slot(&mut self, slot: u32, now_ms: u64) {
         self.ledger.release(slot, now_ms);
-        self.table.lost(slot);
+        self.table.record_loss(slot);
     }
 }
--- a/crates/core/src/limits/ledger.rs
+++ b/crates/core/src/limits/ledger.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Bucket, Grant, HOMES, Moved, Reservation, SLOTS, homes_of},
+    super::{Bucket, Grant, PeerGrant, Reservation, SLOTS, SLOTS_PER_TEAM, team_slots},
     crate::record::Rate,
     std::collections::{BTreeMap, HashMap},
 };
@@ -7,7 +7,7 @@
 /// A team's tokens, and the slots that mint them.
 #[derive(Debug, Clone)]
 struct Team {
-    homes: [u32; HOMES],
+    slots: [u32; SLOTS_PER_TEAM],
     bucket: Bucket,
 }
 
@@ -17,17 +17,17 @@
 pub struct Ledger {
     lease_ends_ms: BTreeMap<u32, u64>,
     teams: HashMap<String, Team>,
-    closed: bool,
-    next_part: u64,
+    is_closed: bool,
+    next_debit_id: u64,
 }
 
 impl Ledger {
     /// Returns an empty ledger that numbers its parts from the given number
     /// on. It is drawn at random: a part of a predecessor on the same address
     /// must not be taken for one of this process.
-    pub fn numbered_from(part: u64) -> Ledger {
+    pub fn with_debit_ids_after(debit_id: u64) -> Ledger {
         Ledger {
-            next_part: part,
+            next_debit_id: debit_id,
             ..Ledger::default()
         }
     }
@@ -35,10 +35,10 @@
     /// Notes that a slot is held until a time. What was minted before is
     /// settled first, so that the slot mints nothing for the time before.
     pub fn hold(&mut self, slot: u32, lease_end_ms: u64, now_ms: u64) {
-        if self.closed {
+        if self.is_closed {
             return;
         }
-        self.mint_all(now_ms);
+        self.refill_all(now_ms);
         let end_ms = self.lease_ends_ms.entry(slot).or_default();
         *end_ms = lease_end_ms.max(*end_ms);
     }
@@ -46,23 +46,23 @@
     /// Notes that a slot is no longer held. It is called before the release
     /// is sent: its next holder may mint from the moment of the write on.
     pub fn release(&mut self, slot: u32, now_ms: u64) {
-        self.mint_all(now_ms);
+        self.refill_all(now_ms);
         self.lease_ends_ms.remove(&slot);
-        self.mint_all(now_ms);
+        self.refill_all(now_ms);
     }
 
     /// Gives everything up for good. A process that ends closes its ledger
     /// before it closes its listener, since a successor on its address takes
     /// its slots over at once.
     pub fn close(&mut self) {
-        self.closed = true;
+        self.is_closed = true;
         self.lease_ends_ms.clear();
         self.teams.clear();
     }
 
     /// Returns whether everything was given up.
     pub fn is_closed(&self) -> bool {
-        self.closed
+        self.is_closed
     }
 
     /// Returns how many slots are held at a time.
@@ -81,44 +81,54 @@
         tokens: u64,
         now_ms: u64,
     ) -> Option<Reservation> {
-        let part = self.part();
-        let taken = self.bucket(team, rate, now_ms).take(tokens, part);
+        let debit_id = self.next_id();
+        let taken = self.bucket(team, rate, now_ms).take(tokens, debit_id);
         taken.then(|| Reservation {
             team: team.to_owned(),
             tokens,
-            parts: vec![part],
-            moved: Vec::new(),
+            debit_ids: vec![debit_id],
+            peer_grants: Vec::new(),
         })
     }
 
     /// Adds up to so many tokens to a reservation, which asks peers for the
     /// rest.
-    pub fn draw(&mut self, reservation: &mut Reservation, rate: &Rate, tokens: u64, now_ms: u64) {
-        let part = self.part();
+    pub fn take_up_to(
+        &mut self,
+        reservation: &mut Reservation,
+        rate: &Rate,
+        tokens: u64,
+        now_ms: u64,
+    ) {
+        let debit_id = self.next_id();
         let bucket = self.bucket(&reservation.team, rate, now_ms);
-        let drawn = bucket.draw(tokens, part);
-        reservation.tokens += drawn;
-        reservation.parts.push(part);
+        let taken = bucket.take_up_to(tokens, debit_id);
+        reservation.tokens += taken;
+        reservation.debit_ids.push(debit_id);
     }
 
     /// Takes tokens of a team out for a peer that asks, all or none. Room is
     /// kept here for what the peer sends back.
     pub fn grant(&mut self, team: &str, rate: &Rate, tokens: u64, now_ms: u64) -> Grant {
-        let part = self.part();
+        let debit_id = self.next_id();
         let bucket = self.bucket(team, rate, now_ms);
-        let granted = if bucket.take(tokens, part) { tokens } else { 0 };
+        let granted = if bucket.take(tokens, debit_id) {
+            tokens
+        } else {
+            0
+        };
         Grant {
             tokens: granted,
             left_tokens: bucket.tokens(),
-            part,
+            id: debit_id,
         }
     }
 
     /// Takes unused tokens of a grant back. A part ends with the first time
     /// that it is put back, so a message that comes twice adds nothing.
-    pub fn take_back(&mut self, team: &str, part: u64, tokens: u64) {
+    pub fn take_back(&mut self, team: &str, debit_id: u64, tokens: u64) {
         if let Some(team) = self.teams.get_mut(team) {
-            team.bucket.put_back(tokens, part);
+            team.bucket.refund(tokens, debit_id);
         }
     }
 
@@ -132,23 +142,23 @@
     ///
     /// A lease that ended meanwhile is noticed at the next take, which cuts
     /// the bucket to its capacity first.
-    pub fn settle(&mut self, reservation: &Reservation, used_tokens: u64) -> Vec<Moved> {
+    pub fn settle(&mut self, reservation: &Reservation, used_tokens: u64) -> Vec<PeerGrant> {
         let mut unused = reservation.tokens.saturating_sub(used_tokens);
-        let mut back = Vec::new();
-        for moved in &reservation.moved {
-            let tokens = unused.min(moved.tokens);
+        let mut peer_refunds = Vec::new();
+        for grant in &reservation.peer_grants {
+            let tokens = unused.min(grant.tokens);
             unused -= tokens;
-            back.push(Moved { tokens, ..*moved });
+            peer_refunds.push(PeerGrant { tokens, ..*grant });
         }
         if let Some(team) = self.teams.get_mut(&reservation.team) {
             let bucket = &mut team.bucket;
             bucket.charge(used_tokens.saturating_sub(reservation.tokens));
-            for part in &reservation.parts {
-                unused = bucket.put_back(unused, *part);
+            for debit_id in &reservation.debit_ids {
+                unused = bucket.refund(unused, *debit_id);
             }
         }
-        back.retain(|moved| moved.tokens > 0);
-        back
+        peer_refunds.retain(|grant| grant.tokens > 0);
+        peer_refunds
     }
 
     /// Forgets teams whose rates are withdrawn.
@@ -156,9 +166,9 @@
         self.teams.retain(|team, _| keep(team));
     }
 
-    fn part(&mut self) -> u64 {
-        self.next_part = self.next_part.wrapping_add(1);
-        self.next_part
+    fn next_id(&mut self) -> u64 {
+        self.next_debit_id = self.next_debit_id.wrapping_add(1);
+        self.next_debit_id
     }
 
     fn bucket(&mut self, team: &str, rate: &Rate, now_ms: u64) -> &mut Bucket {
@@ -168,18 +178,18 @@
             .entry(team.to_owned())
             .or_insert_with_key(|name| Team::new(name, rate, now_ms));
         if team.bucket.rate() != rate {
-            let lower = lower_of(team.bucket.rate(), rate);
-            team.bucket.change_rate(&lower);
-            team.mint(ends_ms, now_ms);
-            team.bucket.change_rate(rate);
+            let lower = min_rate(team.bucket.rate(), rate);
+            team.bucket.set_rate(&lower);
+            team.refill(ends_ms, now_ms);
+            team.bucket.set_rate(rate);
         }
-        team.mint(ends_ms, now_ms);
+        team.refill(ends_ms, now_ms);
         &mut team.bucket
     }
 
-    fn mint_all(&mut self, now_ms: u64) {
+    fn refill_all(&mut self, now_ms: u64) {
         for team in self.teams.values_mut() {
-            team.mint(&self.lease_ends_ms, now_ms);
+            team.refill(&self.lease_ends_ms, now_ms);
         }
     }
 }
@@ -187,18 +197,18 @@
 impl Team {
     fn new(name: &str, rate: &Rate, now_ms: u64) -> Team {
         Team {
-            homes: homes_of(name),
+            slots: team_slots(name),
             bucket: Bucket::empty(rate, now_ms),
         }
     }
 
-    fn mint(&mut self, lease_ends_ms: &BTreeMap<u32, u64>, now_ms: u64) {
-        let ends_ms = self.homes.iter().filter_map(|slot| lease_ends_ms.get(slot));
-        self.bucket.mint(ends_ms.copied(), now_ms);
+    fn refill(&mut self, lease_ends_ms: &BTreeMap<u32, u64>, now_ms: u64) {
+        let ends_ms = self.slots.iter().filter_map(|slot| lease_ends_ms.get(slot));
+        self.bucket.refill(ends_ms.copied(), now_ms);
     }
 }
 
-fn lower_of(held: &Rate, new: &Rate) -> Rate {
+fn min_rate(held: &Rate, new: &Rate) -> Rate {
     Rate {
         schema: new.schema,
         tokens_per_s: held.tokens_per_s.min(new.tokens_per_s),
--- a/crates/core/src/limits/reservation.rs
+++ b/crates/core/src/limits/reservation.rs
@@ -10,18 +10,18 @@
     pub tokens: u64,
     /// Parts drawn here. Each has its own room in the bucket for what comes
     /// back.
-    pub(super) parts: Vec<u64>,
+    pub(super) debit_ids: Vec<u64>,
     /// Parts that peers granted.
-    pub(super) moved: Vec<Moved>,
+    pub(super) peer_grants: Vec<PeerGrant>,
 }
 
 /// Tokens that a peer granted, or that go back to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Moved {
+pub struct PeerGrant {
     /// Address of the peer, towards peers.
     pub peer: SocketAddr,
     /// Number that the peer gave the grant.
-    pub part: u64,
+    pub grant_id: u64,
     /// Tokens.
     pub tokens: u64,
 }
@@ -32,20 +32,20 @@
         Reservation {
             team: team.to_owned(),
             tokens: 0,
-            parts: Vec::new(),
-            moved: Vec::new(),
+            debit_ids: Vec::new(),
+            peer_grants: Vec::new(),
         }
     }
 
     /// Adds what a peer granted.
-    pub fn add(&mut self, peer: SocketAddr, grant: &Grant) {
+    pub fn add_grant(&mut self, peer: SocketAddr, grant: &Grant) {
         if grant.tokens == 0 {
             return;
         }
         self.tokens += grant.tokens;
-        self.moved.push(Moved {
+        self.peer_grants.push(PeerGrant {
             peer,
-            part: grant.part,
+            grant_id: grant.id,
             tokens: grant.tokens,
         });
     }
--- a/crates/core/src/limits/slot.rs
+++ b/crates/core/src/limits/slot.rs
@@ -12,7 +12,7 @@
 pub const SHORT_LEASE_MS: u64 = 120_000;
 
 /// One slot in so many has the short lease.
-const SHORT_ONE_IN: u32 = 4;
+const SHORT_LEASE_EVERY: u32 = 4;
 
 /// A slot as the platform holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,18 +44,18 @@
 
     /// Returns how long others leave a slot alone after they saw this write:
     /// the lease, and an allowance for clocks that run apart.
-    pub fn left_alone_ms(&self) -> u64 {
+    pub fn takeover_wait_ms(&self) -> u64 {
         const DRIFT_ONE_IN: u64 = 100;
-        const DRIFT_LEAST_MS: u64 = 1_000;
+        const MIN_DRIFT_MS: u64 = 1_000;
         self.lease_ms
             .saturating_add(self.lease_ms / DRIFT_ONE_IN)
-            .saturating_add(DRIFT_LEAST_MS)
+            .saturating_add(MIN_DRIFT_MS)
     }
 }
 
 /// Returns the lease of a slot.
 pub fn lease_ms(slot: u32) -> u64 {
-    if slot.is_multiple_of(SHORT_ONE_IN) {
+    if slot.is_multiple_of(SHORT_LEASE_EVERY) {
         SHORT_LEASE_MS
     } else {
         LONG_LEASE_MS
--- a/crates/core/src/limits/table.rs
+++ b/crates/core/src/limits/table.rs
@@ -1,11 +1,11 @@
 use {
-    super::{SLOTS, SlotBody, homes_of, lease_ms},
+    super::{SLOTS, SlotBody, lease_ms, team_slots},
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
 /// A slot that this instance holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Held {
+struct HeldSlot {
     version: u64,
     /// When the write that made or renewed the lease was begun.
     begun_ms: u64,
@@ -13,7 +13,7 @@
 
 /// A slot that another holds, as last listed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Sight {
+struct ObservedSlot {
     version: u64,
     body: Option<SlotBody>,
     /// When this version was first seen, after the list was answered.
@@ -69,9 +69,9 @@
 pub struct SlotTable {
     address: SocketAddr,
     incarnation: u64,
-    held: BTreeMap<u32, Held>,
-    sights: BTreeMap<u32, Sight>,
-    listed: bool,
+    held: BTreeMap<u32, HeldSlot>,
+    observed_slots: BTreeMap<u32, ObservedSlot>,
+    has_list: bool,
 }
 
 impl SlotTable {
@@ -81,8 +81,8 @@
             address,
             incarnation,
             held: BTreeMap::new(),
-            sights: BTreeMap::new(),
-            listed: false,
+            observed_slots: BTreeMap::new(),
+            has_list: false,
         }
     }
 
@@ -93,11 +93,11 @@
 
     /// Returns who else holds a team's homes, as far as the last list tells.
     pub fn holders(&self, team: &str) -> Vec<SocketAddr> {
-        let sights = homes_of(team)
+        let observed_slots = team_slots(team)
             .into_iter()
-            .filter_map(|s| self.sights.get(&s));
-        let mut holders: Vec<SocketAddr> = sights
-            .filter_map(|sight| sight.body.as_ref())
+            .filter_map(|s| self.observed_slots.get(&s));
+        let mut holders: Vec<SocketAddr> = observed_slots
+            .filter_map(|observed| observed.body.as_ref())
             .map(|body| body.holder)
             .filter(|holder| *holder != self.address)
             .collect();
@@ -116,36 +116,36 @@
     ///
     /// A version that is still the same keeps the time when it was first
     /// seen: only what this process watched itself counts towards a lapse.
-    pub fn see(&mut self, list: &SlotList, now_ms: u64) -> Vec<u32> {
-        let mut sights = BTreeMap::new();
+    pub fn apply_list(&mut self, list: &SlotList, now_ms: u64) -> Vec<u32> {
+        let mut observed_slots = BTreeMap::new();
         for listed in &list.slots {
-            let seen_ms = match self.sights.get(&listed.slot) {
-                Some(sight) if sight.version == listed.version => sight.seen_ms,
+            let seen_ms = match self.observed_slots.get(&listed.slot) {
+                Some(observed) if observed.version == listed.version => observed.seen_ms,
                 _ => now_ms,
             };
-            let sight = Sight {
+            let observed = ObservedSlot {
                 version: listed.version,
                 body: listed.body.clone(),
                 seen_ms,
             };
-            sights.insert(listed.slot, sight);
+            observed_slots.insert(listed.slot, observed);
         }
-        self.sights = sights;
-        self.listed = true;
-        let gone = self.gone(list.revision);
-        for slot in &gone {
+        self.observed_slots = observed_slots;
+        self.has_list = true;
+        let overwritten_slots = self.overwritten_slots(list.revision);
+        for slot in &overwritten_slots {
             self.held.remove(slot);
         }
-        gone
+        overwritten_slots
     }
 
     /// Returns held slots that someone wrote over or deleted since. A list
     /// that lags behind the own write says nothing about it.
-    fn gone(&self, revision: u64) -> Vec<u32> {
+    fn overwritten_slots(&self, revision: u64) -> Vec<u32> {
         self.held
             .iter()
-            .filter(|(slot, held)| match self.sights.get(slot) {
-                Some(sight) => sight.version > held.version,
+            .filter(|(slot, held)| match self.observed_slots.get(slot) {
+                Some(observed) => observed.version > held.version,
                 None => revision >= held.version,
             })
             .map(|(slot, _)| *slot)
@@ -154,27 +154,27 @@
 
     /// Notes a slot written by this instance, in a write begun at `begun_ms`,
     /// and returns when the lease ends.
-    pub fn wrote(&mut self, slot: u32, version: u64, begun_ms: u64) -> u64 {
-        self.held.insert(slot, Held { version, begun_ms });
+    pub fn record_write(&mut self, slot: u32, version: u64, begun_ms: u64) -> u64 {
+        self.held.insert(slot, HeldSlot { version, begun_ms });
         begun_ms + lease_ms(slot)
     }
 
     /// Notes that a slot is not or no longer held here. It is not tried again
     /// before the next list.
-    pub fn lost(&mut self, slot: u32) {
+    pub fn record_loss(&mut self, slot: u32) {
         self.held.remove(&slot);
-        let unknown = Sight {
+        let unknown = ObservedSlot {
             version: 0,
             body: None,
             seen_ms: u64::MAX,
         };
-        self.sights.insert(slot, unknown);
+        self.observed_slots.insert(slot, unknown);
     }
 
     /// Notes that a slot was released and is free.
-    pub fn released(&mut self, slot: u32) {
+    pub fn record_release(&mut self, slot: u32) {
         self.held.remove(&slot);
-        self.sights.remove(&slot);
+        self.observed_slots.remove(&slot);
     }
 
     /// Returns the lease's end of a held slot.
@@ -183,22 +183,24 @@
         Some(held.begun_ms + lease_ms(slot))
     }
 
-    /// Returns the next writes, at most `most`, with so many instances live.
+    /// Returns the next writes, at most `max_writes`, with so many instances live.
     ///
     /// Leases are renewed at half of their time. An instance over its share
     /// gives slots back, one under it takes free and lapsed ones.
-    pub fn plan(&self, live_instances: u32, most: usize, now_ms: u64) -> Vec<SlotWrite> {
-        let aim = SLOTS.div_ceil(live_instances.max(1));
+    pub fn plan(&self, live_instances: u32, max_writes: usize, now_ms: u64) -> Vec<SlotWrite> {
+        let target_slots = SLOTS.div_ceil(live_instances.max(1));
         let mut writes = self.renewals(now_ms);
-        writes.truncate(most);
-        let surplus = self.held().saturating_sub(aim + slack(aim));
+        writes.truncate(max_writes);
+        let surplus = self
+            .held()
+            .saturating_sub(target_slots + max_surplus(target_slots));
         if surplus > 0 {
-            writes.extend(self.releases(aim));
-        } else if self.listed {
-            let lacking = aim.saturating_sub(self.held()) as usize;
-            writes.extend(self.takings(now_ms).take(lacking));
+            writes.extend(self.releases(target_slots));
+        } else if self.has_list {
+            let lacking = target_slots.saturating_sub(self.held()) as usize;
+            writes.extend(self.acquisitions(now_ms).take(lacking));
         }
-        writes.truncate(most);
+        writes.truncate(max_writes);
         writes
     }
 
@@ -218,10 +220,10 @@
             .collect()
     }
 
-    fn releases(&self, keep: u32) -> impl Iterator<Item = SlotWrite> {
+    fn releases(&self, kept_slots: u32) -> impl Iterator<Item = SlotWrite> {
         self.held
             .iter()
-            .skip(keep as usize)
+            .skip(kept_slots as usize)
             .map(|(slot, held)| SlotWrite::Release {
                 slot: *slot,
                 version: held.version,
@@ -231,18 +233,23 @@
     /// Returns the slots to take: first those of this address, then others,
     /// each instance beginning elsewhere, so that a herd of starts does not
     /// write the same slots.
-    fn takings(&self, now_ms: u64) -> impl Iterator<Item = SlotWrite> {
+    fn acquisitions(&self, now_ms: u64) -> impl Iterator<Item = SlotWrite> {
         let first = (self.incarnation % u64::from(SLOTS)) as u32;
-        let own = self.sights.iter().filter(|(_, s)| self.was_ours(s));
+        let own = self
+            .observed_slots
+            .iter()
+            .filter(|(_, s)| self.is_own_address(s));
         own.map(|(slot, _)| *slot)
             .chain((0..SLOTS).map(move |i| (first + i) % SLOTS))
             .filter(|slot| !self.held.contains_key(slot))
-            .filter_map(move |slot| match self.sights.get(&slot) {
+            .filter_map(move |slot| match self.observed_slots.get(&slot) {
                 None => Some(SlotWrite::Create { slot }),
-                Some(sight) if self.may_take(sight, now_ms) => Some(SlotWrite::Replace {
-                    slot,
-                    version: sight.version,
-                }),
+                Some(observed) if self.may_take_over(observed, now_ms) => {
+                    Some(SlotWrite::Replace {
+                        slot,
+                        version: observed.version,
+                    })
+                }
                 Some(_) => None,
             })
     }
@@ -254,23 +261,23 @@
     /// own address: a listening address is exclusive, so that holder ended
     /// before this process began. The write is conditional on the version, so
     /// that a renewal seen by no list yet makes the taking fail.
-    fn may_take(&self, sight: &Sight, now_ms: u64) -> bool {
-        let Some(body) = &sight.body else {
+    fn may_take_over(&self, observed: &ObservedSlot, now_ms: u64) -> bool {
+        let Some(body) = &observed.body else {
             return false;
         };
-        let watched_ms = now_ms.saturating_sub(sight.seen_ms);
-        self.was_ours(sight) || watched_ms > body.left_alone_ms()
+        let watched_ms = now_ms.saturating_sub(observed.seen_ms);
+        self.is_own_address(observed) || watched_ms > body.takeover_wait_ms()
     }
 
-    fn was_ours(&self, sight: &Sight) -> bool {
-        let body = sight.body.as_ref();
+    fn is_own_address(&self, observed: &ObservedSlot) -> bool {
+        let body = observed.body.as_ref();
         body.is_some_and(|body| body.holder == self.address)
     }
 }
 
 /// Returns how far over its share an instance may be before it gives slots
 /// back, so that a peer heard late does not set slots moving to and fro.
-fn slack(aim: u32) -> u32 {
-    const SLACK_ONE_IN: u32 = 8;
-    aim / SLACK_ONE_IN
+fn max_surplus(target_slots: u32) -> u32 {
+    const SURPLUS_ONE_IN: u32 = 8;
+    target_slots / SURPLUS_ONE_IN
 }
--- a/crates/core/src/share/bucket.rs
+++ b/crates/core/src/share/bucket.rs
@@ -2,20 +2,20 @@
 
 /// Where an instance stands among all that serve.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Standing {
+pub struct InstanceShare {
     /// Part of the instances that are heard, this one included. What the
     /// others may spend behind a partition stays set aside for them.
-    pub heard: f64,
+    pub reachable_fraction: f64,
     /// Part of a team's demand that comes to this instance.
-    pub demand: f64,
+    pub demand_fraction: f64,
     /// Instances that are asked by the team too and have their turn before this
     /// one.
-    pub before: usize,
+    pub instances_ahead: usize,
 }
 
 /// Shortest wait of a request whose instance isn't in turn: a heartbeat, after
 /// which the turns have changed.
-const LEAST_WAIT_MS: f64 = 200.0;
+const MIN_WAIT_MS: f64 = 200.0;
 
 /// One instance's estimate of a team's bucket over all instances.
 ///
@@ -27,7 +27,7 @@
     rate: TokenRate,
     slack: f64,
     level: f64,
-    filled_ms: u64,
+    refilled_ms: u64,
 }
 
 impl FleetBucket {
@@ -38,7 +38,7 @@
             rate,
             slack,
             level: 0.0,
-            filled_ms: now_ms,
+            refilled_ms: now_ms,
         }
     }
 
@@ -53,26 +53,26 @@
     }
 
     /// Takes over the level that a peer knows.
-    pub fn adopt(&mut self, level: f64) {
+    pub fn set_level(&mut self, level: f64) {
         self.level = level;
     }
 
     /// Lowers the level to a part of the burst.
-    pub fn lower_to_part(&mut self, part: f64) {
+    pub fn cap_level(&mut self, part: f64) {
         self.level = self.level.min(self.rate.burst * part);
     }
 
     /// Subtracts what others have spent.
-    pub fn spent_elsewhere(&mut self, tokens: f64) {
+    pub fn subtract_peer_spending(&mut self, tokens: f64) {
         self.level -= tokens;
     }
 
     /// Lets time pass.
-    pub fn fill(&mut self, standing: Standing, now_ms: u64) {
-        let passed_s = now_ms.saturating_sub(self.filled_ms) as f64 / 1_000.0;
-        self.filled_ms = self.filled_ms.max(now_ms);
-        let gained = self.rate.per_s * standing.heard * passed_s;
-        self.level = (self.level + gained).min(self.rate.burst * standing.heard);
+    pub fn refill(&mut self, share: InstanceShare, now_ms: u64) {
+        let elapsed_s = now_ms.saturating_sub(self.refilled_ms) as f64 / 1_000.0;
+        self.refilled_ms = self.refilled_ms.max(now_ms);
+        let refilled = self.rate.per_s * share.reachable_fraction * elapsed_s;
+        self.level = (self.level + refilled).min(self.rate.burst * share.reachable_fraction);
     }
 
     /// Takes tokens, or says after how many milliseconds they may be there.
@@ -90,29 +90,30 @@
     /// # Errors
     ///
     /// Returns the wait where there isn't enough.
-    pub fn take(&mut self, tokens: f64, standing: Standing, now_ms: u64) -> Result<(), u64> {
-        self.fill(standing, now_ms);
-        let capacity = self.rate.burst * standing.heard;
+    pub fn take(&mut self, tokens: f64, share: InstanceShare, now_ms: u64) -> Result<(), u64> {
+        self.refill(share, now_ms);
+        let capacity = self.rate.burst * share.reachable_fraction;
         let half = capacity / 2.0;
-        let needed = tokens.min(capacity * 0.95);
-        let part = (2.0 * standing.demand).min(1.0);
-        let in_turn = (standing.before as f64) < (self.level + self.slack) / needed.max(1.0);
-        let free = if self.level >= half && in_turn {
+        let required = tokens.min(capacity * 0.95);
+        let part = (2.0 * share.demand_fraction).min(1.0);
+        let is_in_turn =
+            (share.instances_ahead as f64) < (self.level + self.slack) / required.max(1.0);
+        let available = if self.level >= half && is_in_turn {
             self.level
         } else {
             self.level * part
         };
-        if free >= needed {
+        if available >= required {
             self.level -= tokens;
             return Ok(());
         }
-        let target = (needed / part.max(0.01)).min(needed.max(half));
-        let per_ms = (self.rate.per_s * standing.heard / 1_000.0).max(1e-9);
-        Err(((target - self.level) / per_ms).clamp(LEAST_WAIT_MS, 60_000.0) as u64)
+        let target_level = (required / part.max(0.01)).min(required.max(half));
+        let per_ms = (self.rate.per_s * share.reachable_fraction / 1_000.0).max(1e-9);
+        Err(((target_level - self.level) / per_ms).clamp(MIN_WAIT_MS, 60_000.0) as u64)
     }
 
     /// Gives back tokens of a request that did not run.
-    pub fn give_back(&mut self, tokens: f64) {
+    pub fn refund(&mut self, tokens: f64) {
         self.level = (self.level + tokens).min(self.rate.burst);
     }
 }
--- a/crates/core/src/share/mod.rs
+++ b/crates/core/src/share/mod.rs
@@ -5,6 +5,6 @@
 mod table;
 
 pub use {
-    bucket::{FleetBucket, Standing},
+    bucket::{FleetBucket, InstanceShare},
     table::{PeerReport, PeerSpending, ShareSettings, ShareTable},
 };
--- a/crates/core/src/share/table.rs
+++ b/crates/core/src/share/table.rs
@@ -1,5 +1,5 @@
 use {
-    super::{FleetBucket, Standing},
+    super::{FleetBucket, InstanceShare},
     crate::{demand::Demand, pool::rendezvous, routing::Tenant},
     std::collections::HashMap,
 };
@@ -10,51 +10,51 @@
     /// Part of the burst that an instance believes in at most while it is new.
     /// It begins with nothing: it can't know what was spent before, and
     /// whatever it began with would be handed out again at each restart.
-    pub new_most: f64,
+    pub initial_burst_fraction: f64,
     /// Time after the start in which instances that were listed and are not
     /// heard yet are counted. Those that live are heard within two heartbeats;
     /// a lone survivor would go on refusing its callers for those that left.
-    pub expect_ms: u64,
+    pub expected_instances_ms: u64,
     /// Time after the start in which little is known of what others spend, unless
     /// a peer that knows it was heard.
-    pub learn_ms: u64,
+    pub learning_ms: u64,
     /// Difference of two instances' times since their start up to which they
     /// count as started together. Machines that come back at once differ by some
     /// hundred milliseconds.
-    pub together_ms: u64,
+    pub simultaneous_start_ms: u64,
     /// Time since a peer's start up to which all that it spent is recent. Longer
     /// than heartbeats take to find a new one, shorter than a bucket takes to fill.
-    pub recent_ms: u64,
+    pub recent_start_ms: u64,
     /// Part of the rates that an instance takes at most that has just started and
     /// hears less than half of the others.
-    pub alone: f64,
+    pub isolated_fraction: f64,
     /// Time after the start for which it does: a window of rates.
-    pub alone_ms: u64,
+    pub rate_window_ms: u64,
     /// Part of a share that goes evenly to all instances, so that one whose
     /// first caller comes has something to give.
-    pub even: f64,
+    pub even_fraction: f64,
     /// Tokens by which all instances together may overdraw a team's bucket for
     /// a moment. With more of them, fewer instances have to take turns.
     pub slack_tokens: f64,
     /// Part of the largest demand at one instance from which on an instance
     /// counts as asked by a team. Demand halves in about a second and a half, so
     /// one that isn't asked any more loses its turn within five.
-    pub asked: f64,
+    pub active_demand_fraction: f64,
 }
 
 impl Default for ShareSettings {
     fn default() -> ShareSettings {
         ShareSettings {
-            new_most: 0.3,
-            expect_ms: 800,
-            learn_ms: 2_000,
-            together_ms: 1_000,
-            recent_ms: 6_000,
-            alone: 0.33,
-            alone_ms: 8_000,
-            even: 0.4,
+            initial_burst_fraction: 0.3,
+            expected_instances_ms: 800,
+            learning_ms: 2_000,
+            simultaneous_start_ms: 1_000,
+            recent_start_ms: 6_000,
+            isolated_fraction: 0.33,
+            rate_window_ms: 8_000,
+            even_fraction: 0.4,
             slack_tokens: 0.0,
-            asked: 0.1,
+            active_demand_fraction: 0.1,
         }
     }
 }
@@ -80,9 +80,9 @@
     /// Instances that it counts, heard or not, itself included.
     pub instances: usize,
     /// Time for which that count still holds.
-    pub counted_for_ms: u64,
+    pub count_valid_ms: u64,
     /// Whether it knows what was spent, as it isn't new or has learned it.
-    pub knows: bool,
+    pub knows_spending: bool,
     /// What it tells, by team.
     pub teams: HashMap<String, PeerSpending>,
 }
@@ -90,12 +90,12 @@
 #[derive(Debug, Default)]
 struct Peer {
     incarnation: u64,
-    is_heard: bool,
+    is_reachable: bool,
     teams: HashMap<String, PeerSpending>,
 }
 
 #[derive(Debug, Default)]
-struct Own {
+struct OwnSpending {
     spent: f64,
     demand: Demand,
 }
@@ -106,18 +106,18 @@
     name: String,
     settings: ShareSettings,
     buckets: HashMap<String, FleetBucket>,
-    own: HashMap<String, Own>,
+    own: HashMap<String, OwnSpending>,
     peers: HashMap<String, Peer>,
     started_ms: Option<u64>,
     /// Whether a peer was heard that knows what was spent before the start.
     has_learned: bool,
-    expected: usize,
+    expected_instances: usize,
     /// Most instances that a peer counts, and until when that holds.
-    told: Option<Told>,
+    max_peer_count: Option<PeerCount>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct PeerCount {
     instances: usize,
     until_ms: u64,
 }
@@ -139,12 +139,12 @@
             .iter()
             .map(|(team, own)| {
                 let level = self.buckets.get(team).map_or(0.0, FleetBucket::level);
-                let told = PeerSpending {
+                let spending = PeerSpending {
                     spent: own.spent,
                     level,
                     demand_per_s: own.demand.at(now_ms),
                 };
-                (team.clone(), told)
+                (team.clone(), spending)
             })
             .collect();
         all.sort_by(|a, b| a.0.cmp(&b.0));
@@ -176,32 +176,34 @@
     /// them: they are the same buckets, and that peer will spend by them too. With
     /// the lowest of all levels instead, a rolling restart would lower them with
     /// each instance, and teams within their rate would be refused.
-    pub fn hear(&mut self, peer: &str, report: PeerReport, now_ms: u64) {
+    pub fn receive_report(&mut self, peer: &str, report: PeerReport, now_ms: u64) {
         // Before the configuration is known there are no levels to take over; the
         // next heartbeat brings them.
         let is_configured = self.started_ms.is_some();
-        let adopts = is_configured && report.knows && self.is_learning(now_ms);
-        self.has_learned |= adopts;
-        let until_ms = now_ms + report.counted_for_ms;
-        self.hear_count(report.instances, until_ms, now_ms);
-        let is_accounted = self.is_accounted(&report, now_ms);
+        let copies_levels = is_configured && report.knows_spending && self.is_learning(now_ms);
+        self.has_learned |= copies_levels;
+        let until_ms = now_ms + report.count_valid_ms;
+        self.record_peer_count(report.instances, until_ms, now_ms);
+        let is_already_counted = self.is_already_counted(&report, now_ms);
         let known = self.peers.entry(peer.to_owned()).or_default();
-        let same = known.incarnation == report.incarnation;
-        for (team, told) in &report.teams {
+        let is_same_process = known.incarnation == report.incarnation;
+        for (team, spending) in &report.teams {
             let Some(bucket) = self.buckets.get_mut(team) else {
                 continue;
             };
-            let before = known.teams.get(team).filter(|_| same);
+            let before = known.teams.get(team).filter(|_| is_same_process);
             match before {
-                _ if adopts => bucket.adopt(told.level),
-                Some(before) => bucket.spent_elsewhere((told.spent - before.spent).max(0.0)),
-                None if is_accounted => {}
-                None => bucket.spent_elsewhere(told.spent),
+                _ if copies_levels => bucket.set_level(spending.level),
+                Some(before) => {
+                    bucket.subtract_peer_spending((spending.spent - before.spent).max(0.0))
+                }
+                None if is_already_counted => {}
+                None => bucket.subtract_peer_spending(spending.spent),
             }
         }
         *known = Peer {
             incarnation: report.incarnation,
-            is_heard: true,
+            is_reachable: true,
             teams: report.teams,
         };
     }
@@ -210,25 +212,25 @@
     /// though it was not heard before: it was up before this instance, or for so
     /// long that the bucket has been filled since. One that comes back after half a
     /// minute of silence would else cost its team all that it ever spent.
-    fn is_accounted(&self, report: &PeerReport, now_ms: u64) -> bool {
+    fn is_already_counted(&self, report: &PeerReport, now_ms: u64) -> bool {
         let started_ms = self.started_ms.unwrap_or(now_ms);
         let up_ms = now_ms.saturating_sub(started_ms);
-        let is_older = report.up_ms > up_ms + self.settings.together_ms;
-        is_older || report.up_ms > self.settings.recent_ms
+        let is_older = report.up_ms > up_ms + self.settings.simultaneous_start_ms;
+        is_older || report.up_ms > self.settings.recent_start_ms
     }
 
     /// Notes how many instances there may be, heard or not. A new instance
     /// that hears none yet must not take itself for the only one: after a loss
     /// of power all of them would spend the same tokens at once.
-    pub fn set_expected(&mut self, instances: usize) {
-        self.expected = instances;
+    pub fn set_expected_instances(&mut self, instances: usize) {
+        self.expected_instances = instances;
     }
 
     /// Notes which peers are heard, and forgets those that are gone.
-    pub fn peers(&mut self, mut heard: impl FnMut(&str) -> Option<bool>) {
-        self.peers.retain(|name, peer| match heard(name) {
-            Some(is_heard) => {
-                peer.is_heard = is_heard;
+    pub fn update_peers(&mut self, mut is_reachable: impl FnMut(&str) -> Option<bool>) {
+        self.peers.retain(|name, peer| match is_reachable(name) {
+            Some(is_reachable) => {
+                peer.is_reachable = is_reachable;
                 true
             }
             None => false,
@@ -244,13 +246,13 @@
         let cost = cost as f64;
         let own = self.own.entry(tenant.name.clone()).or_default();
         own.demand.add(cost, now_ms);
-        let standing = self.standing(&tenant.name, now_ms);
+        let share = self.instance_share(&tenant.name, now_ms);
         let is_learning = self.is_learning(now_ms);
         if let Some(bucket) = self.buckets.get_mut(&tenant.name) {
             if is_learning {
-                bucket.lower_to_part(self.settings.new_most * standing.heard);
+                bucket.cap_level(self.settings.initial_burst_fraction * share.reachable_fraction);
             }
-            bucket.take(cost, standing, now_ms)?;
+            bucket.take(cost, share, now_ms)?;
         }
         self.own.entry(tenant.name.clone()).or_default().spent += cost;
         Ok(())
@@ -265,20 +267,20 @@
     ///
     /// Peers are not told: what they have subtracted comes back by time. A
     /// count that goes down would look like a restart.
-    pub fn give_back(&mut self, tenant: &Tenant, cost: u64) {
+    pub fn refund(&mut self, tenant: &Tenant, cost: u64) {
         if let Some(bucket) = self.buckets.get_mut(&tenant.name) {
-            bucket.give_back(cost as f64);
+            bucket.refund(cost as f64);
         }
     }
 
     /// Returns whether this instance knows what was spent, for its peers.
-    pub fn knows(&self, now_ms: u64) -> bool {
+    pub fn knows_spending(&self, now_ms: u64) -> bool {
         !self.is_learning(now_ms)
     }
 
     /// Returns whether little is known yet of what others spend.
     fn is_learning(&self, now_ms: u64) -> bool {
-        self.is_within(self.settings.learn_ms, now_ms) && !self.has_learned
+        self.started_within(self.settings.learning_ms, now_ms) && !self.has_learned
     }
 
     /// Returns the instances that count for rates, and for how long that holds.
@@ -290,29 +292,35 @@
     /// as long knows best itself, and forgets at once one that says that it stops.
     pub fn instances(&self, now_ms: u64) -> (usize, u64) {
         let own = self.peers.len() + 1;
-        let is_new = self.is_within(self.settings.alone_ms, now_ms);
-        let told = self.told.filter(|told| is_new && now_ms < told.until_ms);
-        match told {
-            Some(told) if told.instances > own => (told.instances, told.until_ms - now_ms),
-            _ => (own, self.settings.alone_ms),
+        let is_new = self.started_within(self.settings.rate_window_ms, now_ms);
+        let peer_count = self
+            .max_peer_count
+            .filter(|count| is_new && now_ms < count.until_ms);
+        match peer_count {
+            Some(count) if count.instances > own => (count.instances, count.until_ms - now_ms),
+            _ => (own, self.settings.rate_window_ms),
         }
     }
 
     /// Returns the instances that may be serving: those that count, and for a
     /// moment after the start those that are only listed. They may be gone, so
     /// peers aren't told of them.
-    fn serving(&self, now_ms: u64) -> usize {
-        let expects = self.is_within(self.settings.expect_ms, now_ms);
-        let expected = if expects { self.expected } else { 0 };
+    fn serving_instances(&self, now_ms: u64) -> usize {
+        let counts_expected = self.started_within(self.settings.expected_instances_ms, now_ms);
+        let expected = if counts_expected {
+            self.expected_instances
+        } else {
+            0
+        };
         self.instances(now_ms).0.max(expected)
     }
 
-    fn hear_count(&mut self, instances: usize, until_ms: u64, now_ms: u64) {
-        let told = self.told.filter(|told| now_ms < told.until_ms);
-        let is_more =
-            told.is_none_or(|told| (instances, until_ms) > (told.instances, told.until_ms));
+    fn record_peer_count(&mut self, instances: usize, until_ms: u64, now_ms: u64) {
+        let peer_count = self.max_peer_count.filter(|count| now_ms < count.until_ms);
+        let is_more = peer_count
+            .is_none_or(|count| (instances, until_ms) > (count.instances, count.until_ms));
         if is_more {
-            self.told = Some(Told {
+            self.max_peer_count = Some(PeerCount {
                 instances,
                 until_ms,
             });
@@ -320,7 +328,7 @@
     }
 
     /// Returns whether so little time has passed since the start.
-    fn is_within(&self, span_ms: u64, now_ms: u64) -> bool {
+    fn started_within(&self, span_ms: u64, now_ms: u64) -> bool {
         self.started_ms
             .is_none_or(|started_ms| now_ms < started_ms + span_ms)
     }
@@ -332,52 +340,55 @@
     /// For a window of rates it takes a third, which suffices for teams that ask for
     /// little and keeps all within what is tolerated; with everything at once, a
     /// restart behind a cut granted a twentieth more than a window may hold.
-    fn heard(&self, instances: usize, now_ms: u64) -> f64 {
-        let heard = self.peers.values().filter(|peer| peer.is_heard).count() + 1;
-        let part = heard as f64 / instances as f64;
-        let is_alone = !self.has_learned && heard * 2 < self.expected;
-        if is_alone && self.is_within(self.settings.alone_ms, now_ms) {
-            return part.min(self.settings.alone);
+    fn reachable_fraction(&self, instances: usize, now_ms: u64) -> f64 {
+        let reachable = self.peers.values().filter(|peer| peer.is_reachable).count() + 1;
+        let fraction = reachable as f64 / instances as f64;
+        let is_isolated = !self.has_learned && reachable * 2 < self.expected_instances;
+        if is_isolated && self.started_within(self.settings.rate_window_ms, now_ms) {
+            return fraction.min(self.settings.isolated_fraction);
         }
-        part
+        fraction
     }
 
-    fn standing(&self, team: &str, now_ms: u64) -> Standing {
-        let instances = self.serving(now_ms);
-        let heard = self.heard(instances, now_ms);
+    fn instance_share(&self, team: &str, now_ms: u64) -> InstanceShare {
+        let instances = self.serving_instances(now_ms);
+        let reachable_fraction = self.reachable_fraction(instances, now_ms);
         let own = self.own.get(team).map_or(0.0, |own| own.demand.at(now_ms));
         let others: f64 = self
             .peers
             .values()
             .filter_map(|peer| peer.teams.get(team))
-            .map(|told| told.demand_per_s)
+            .map(|spending| spending.demand_per_s)
             .sum();
-        let even = 1.0 / instances as f64;
+        let equal_share = 1.0 / instances as f64;
         let by_demand = if own + others > 1.0 {
             own / (own + others)
         } else {
-            even
+            equal_share
         };
-        Standing {
-            heard,
-            demand: self.settings.even * even + (1.0 - self.settings.even) * by_demand,
-            before: self.before(team, own),
+        InstanceShare {
+            reachable_fraction,
+            demand_fraction: self.settings.even_fraction * equal_share
+                + (1.0 - self.settings.even_fraction) * by_demand,
+            instances_ahead: self.instances_ahead(team, own),
         }
     }
 
     /// Returns how many instances that a team asks too have their turn before
     /// this one. All instances that have heard of the same spending work out the
     /// same order, and each spending changes it.
-    fn before(&self, team: &str, own_per_s: f64) -> usize {
+    fn instances_ahead(&self, team: &str, own_per_s: f64) -> usize {
         let peers = self.peers.iter();
-        let told = peers.filter_map(|(name, peer)| Some((name, peer.teams.get(team)?)));
-        let demands = told.clone().map(|(_, told)| told.demand_per_s);
-        let asked_per_s = self.settings.asked * demands.fold(own_per_s, f64::max);
+        let spending = peers.filter_map(|(name, peer)| Some((name, peer.teams.get(team)?)));
+        let demands = spending.clone().map(|(_, spending)| spending.demand_per_s);
+        let min_active_demand_per_s =
+            self.settings.active_demand_fraction * demands.fold(own_per_s, f64::max);
         let own_spent = self.own.get(team).map_or(0.0, |own| own.spent);
-        let spent: f64 = told.clone().map(|(_, told)| told.spent).sum();
+        let spent: f64 = spending.clone().map(|(_, spending)| spending.spent).sum();
         let seed = rendezvous((own_spent + spent) as u64, team);
         let own_turn = rendezvous(seed, &self.name);
-        told.filter(|(_, told)| told.demand_per_s >= asked_per_s)
+        spending
+            .filter(|(_, spending)| spending.demand_per_s >= min_active_demand_per_s)
             .filter(|(name, _)| rendezvous(seed, name) < own_turn)
             .count()
     }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -19,7 +19,7 @@
         model: "drafting".to_owned(),
         version: "v1".to_owned(),
         chain: Vec::new(),
-        kept_blocks: 0,
+        stored_blocks: 0,
     }
 }
 
@@ -29,16 +29,16 @@
 
 fn enter(queue: &mut FairQueue, job: Job) {
     let now_ms = job.arrived_ms;
-    queue.enter(job, now_ms).expect("room");
+    queue.push(job, now_ms).expect("room");
 }
 
 fn next(queue: &mut FairQueue, now_ms: u64) -> Job {
-    let taken = queue.next(now_ms, 4, |_| Some(()));
+    let taken = queue.take_next(now_ms, 4, |_| Some(()));
     taken.expect("a request that waits").0
 }
 
 /// Lets a queue see that it drains a thousand tokens in 100 ms.
-fn drained(queue: &mut FairQueue) -> u64 {
+fn drain_for_four_seconds(queue: &mut FairQueue) -> u64 {
     enter(queue, job(0, "gallery", 1_000, 0));
     for i in 1..40 {
         enter(queue, job(i, "gallery", 1_000, i * 100));
@@ -51,7 +51,7 @@
 /// One team sends ten times what the other does. Both wait, and each must be
 /// served the same number of tokens, whatever the lengths of its requests.
 #[test]
-fn a_hot_team_gets_its_share_and_no_more() {
+fn an_overloading_team_gets_only_its_fair_share() {
     let mut queue = queue();
     for i in 0..100 {
         enter(&mut queue, job(i, "hot", 500, 0));
@@ -73,7 +73,7 @@
 /// A team was idle while another was served a long time. Its callers must not
 /// push the other one out now: the time that was not used is gone.
 #[test]
-fn an_idle_team_saves_nothing_up() {
+fn an_idle_team_accumulates_no_credit() {
     let mut queue = queue();
     for i in 0..40 {
         enter(&mut queue, job(i, "steady", 1_000, 0));
@@ -92,7 +92,7 @@
 /// Short requests keep coming in front of a long one of the same team. They
 /// are served first, but the long one's turn must come while they still come.
 #[test]
-fn long_requests_are_passed_but_not_starved() {
+fn short_requests_overtake_long_ones_without_starving_them() {
     let mut queue = queue();
     enter(&mut queue, job(0, "gallery", 6_000, 0));
     enter(&mut queue, job(1, "gallery", 200, 0));
@@ -108,19 +108,19 @@
 /// still. Who waits in vain must be told so as soon as that shows, with most
 /// of the time that its caller gave still left, and not at the end of it.
 #[test]
-fn who_waits_in_vain_is_told_at_once() {
+fn requests_that_will_miss_their_deadline_are_refused_early() {
     let mut queue = queue();
-    let start_ms = drained(&mut queue);
+    let start_ms = drain_for_four_seconds(&mut queue);
     for i in 0..10 {
         enter(&mut queue, job(i, "gallery", 1_000, start_ms));
     }
-    assert!(queue.hopeless(start_ms + 100).is_empty());
-    let told_ms = (1..=20)
+    assert!(queue.take_overdue(start_ms + 100).is_empty());
+    let refused_at_ms = (1..=20)
         .map(|i| start_ms + i * 100)
-        .find(|now_ms| !queue.hopeless(*now_ms).is_empty());
+        .find(|now_ms| !queue.take_overdue(*now_ms).is_empty());
     assert!(
-        told_ms.is_some_and(|ms| ms <= start_ms + 1_500),
-        "{told_ms:?}"
+        refused_at_ms.is_some_and(|ms| ms <= start_ms + 1_500),
+        "{refused_at_ms:?}"
     );
 }
 
@@ -128,14 +128,14 @@
 /// told so at once, and callers refused together must be told to come back at
 /// different times, or they would find the queue full together again.
 #[test]
-fn what_cannot_be_served_in_time_is_refused_at_once() {
+fn a_request_that_cannot_be_served_in_time_is_refused_on_arrival() {
     let mut queue = queue();
-    let now_ms = drained(&mut queue);
+    let now_ms = drain_for_four_seconds(&mut queue);
     for i in 0..21 {
         enter(&mut queue, job(i, "gallery", 1_000, now_ms));
     }
     let refused: Vec<_> = (0..30)
-        .map(|i| queue.enter(job(50 + i, "gallery", 3_000, now_ms), now_ms))
+        .map(|i| queue.push(job(50 + i, "gallery", 3_000, now_ms), now_ms))
         .map(|full| full.expect_err("too late"))
         .collect();
     let mut retries: Vec<u64> = refused.iter().map(|f| f.retry_ms).collect();
@@ -153,7 +153,7 @@
     /// wait. Whatever the lengths, neither team's callers may get more than
     /// one longest request ahead of the other's, and nobody is lost.
     #[test]
-    fn two_backlogged_teams_stay_together(
+    fn two_backlogged_teams_receive_equal_service(
         lengths in prop::collection::vec((1_u64..5_000, 1_u64..5_000), 40),
     ) {
         let mut queue = queue();
--- a/crates/core/tests/limits/leases.rs
+++ b/crates/core/tests/limits/leases.rs
@@ -4,7 +4,7 @@
 use {
     super::model::{Model, Op},
     mangowalk_core::{
-        limits::{Bucket, HOMES, Holding, SHORT_LEASE_MS, homes_of},
+        limits::{Bucket, InstanceLimits, SHORT_LEASE_MS, SLOTS_PER_TEAM, team_slots},
         record::Rate,
     },
 };
@@ -42,7 +42,7 @@
 /// holder does. It waits beyond the lease as long as clocks may differ: taken
 /// at once, both would spend on one share of the burst.
 #[test]
-fn a_lapse_is_waited_out_with_an_allowance_for_clocks() {
+fn takeover_waits_for_the_lease_and_clock_drift() {
     let mut model = Model::new(3, &RATE);
     model.advance_to(SHORT_LEASE_MS - 500);
     model.apply(&Op::Sync { at: 0, live: 1 });
@@ -56,12 +56,12 @@
 /// runs from before it was sent: run from the answer on, holder and successor
 /// would both mint for 110 s.
 #[test]
-fn a_lease_runs_from_before_its_write() {
+fn a_lease_starts_before_its_write_is_sent() {
     let mut model = Model::new(3, &SLOW);
     let mut ops = vec![
         Op::Advance(SHORT_LEASE_MS / 2),
         Op::Begin { at: 1, live: 3 },
-        Op::Arrive { at: 1, fate: 9 },
+        Op::Arrive { at: 1, outcome: 9 },
         Op::List(0),
         Op::Advance(110_000),
         Op::Answer(1),
@@ -78,7 +78,7 @@
 /// nothing for the time after the lapse, though its other slots leave it room
 /// for more: its successor mints for that time.
 #[test]
-fn nothing_is_minted_past_a_lease() {
+fn no_tokens_are_refilled_after_a_lease_ends() {
     let mut model = Model::new(3, &SLOW);
     model.advance_to(SHORT_LEASE_MS / 2 + 1_000);
     model.apply(&Op::Sync { at: 0, live: 3 });
@@ -96,14 +96,14 @@
 /// Two answers run while the bucket refills. What it mints takes the room of
 /// the one that began first; the later one still puts all of its tokens back.
 #[test]
-fn minting_takes_the_room_of_the_oldest_reservation() {
-    let forever = || std::iter::repeat_n(u64::MAX, HOMES);
+fn refill_reduces_the_refund_of_the_oldest_debit_first() {
+    let forever = || std::iter::repeat_n(u64::MAX, SLOTS_PER_TEAM);
     let mut bucket = Bucket::empty(&RATE, 0);
-    bucket.mint(forever(), 10_000);
+    bucket.refill(forever(), 10_000);
     assert!(bucket.take(100, 1) && bucket.take(100, 2));
-    bucket.mint(forever(), 10_100);
-    assert_eq!(bucket.put_back(100, 2), 0);
-    assert_eq!(bucket.put_back(100, 1), 70);
+    bucket.refill(forever(), 10_100);
+    assert_eq!(bucket.refund(100, 2), 0);
+    assert_eq!(bucket.refund(100, 1), 70);
     assert_eq!(bucket.tokens(), 900);
 }
 
@@ -111,21 +111,19 @@
 /// reaches its successor on the same address, which granted nothing of it:
 /// taken for a part of its own, they would come on top of its bucket.
 #[test]
-fn a_successor_takes_back_nothing_of_its_predecessor() {
+fn a_restarted_instance_ignores_refunds_of_earlier_grants() {
     let address = ([127, 0, 0, 1], 7_000).into();
     let [mut before, mut after] = [1, 1_000].map(|incarnation| {
-        let mut holding = Holding::new(address, incarnation);
-        for home in homes_of("gallery") {
-            let _ = holding.written(home, 0, &Ok(1), 0);
+        let mut limits = InstanceLimits::new(address, incarnation);
+        for slot in team_slots("gallery") {
+            let _ = limits.apply_write_result(slot, 0, &Ok(1), 0);
         }
-        holding.ledger().tokens("gallery", &RATE, 0);
-        holding
+        limits.ledger().tokens("gallery", &RATE, 0);
+        limits
     });
     let grant = before.ledger().grant("gallery", &RATE, 100, 5_000);
     let own = after.ledger().take("gallery", &RATE, 100, 5_000);
-    after
-        .ledger()
-        .take_back("gallery", grant.part, grant.tokens);
+    after.ledger().take_back("gallery", grant.id, grant.tokens);
     assert_eq!((grant.tokens, own.map(|r| r.tokens)), (100, Some(100)));
     assert_eq!(after.ledger().tokens("gallery", &RATE, 5_000), 800);
 }
@@ -134,12 +132,12 @@
 /// its successor on the same address takes its slots over at once. It starts
 /// with nothing: started full, each restart would hand the burst out again.
 #[test]
-fn a_successor_starts_with_nothing() {
+fn a_restarted_instance_starts_with_empty_buckets() {
     let mut model = Model::new(3, &RATE);
     TAKE_ALL.iter().for_each(|op| model.apply(op));
     model.apply(&Op::Crash {
         at: 0,
-        moves: false,
+        new_address: false,
     });
     model.apply(&Op::Sync { at: 0, live: 3 });
     TAKE_ALL.iter().for_each(|op| model.apply(op));
--- a/crates/core/tests/limits/model.rs
+++ b/crates/core/tests/limits/model.rs
@@ -5,7 +5,7 @@
 use {
     mangowalk_core::{
         edge::PlatformError,
-        limits::{Grant, Holding, Moved, Reservation, SlotBody, SlotWrite},
+        limits::{Grant, InstanceLimits, PeerGrant, Reservation, SlotBody, SlotWrite},
         record::Rate,
     },
     platform::ModelPlatform,
@@ -13,7 +13,7 @@
 };
 
 const TEAM: &str = "gallery";
-const BATCH: usize = 300;
+const MAX_WRITES: usize = 300;
 const START_MS: u64 = 1_000_000;
 
 /// One thing that happens.
@@ -28,7 +28,7 @@
     /// An instance plans a batch of writes and sends the first.
     Begin { at: usize, live: u32 },
     /// The batch arrives at the platform, or some part of it fails.
-    Arrive { at: usize, fate: u8 },
+    Arrive { at: usize, outcome: u8 },
     /// The answers reach the instance.
     Answer(usize),
     /// A request takes this share of the tokens that are there.
@@ -50,12 +50,12 @@
         messages: u8,
     },
     /// An instance is killed and starts again, at another address or its own.
-    Crash { at: usize, moves: bool },
+    Crash { at: usize, new_address: bool },
     /// An instance shuts down in good order; another starts in its place.
     Close(usize),
 }
 
-struct Sent {
+struct SentWrite {
     write: SlotWrite,
     body: SlotBody,
     begun_ms: u64,
@@ -64,23 +64,23 @@
 
 struct Instance {
     address: SocketAddr,
-    holding: Holding,
-    sent: VecDeque<Sent>,
+    limits: InstanceLimits,
+    sent: VecDeque<SentWrite>,
     drift_per_mille: i64,
     generation: u64,
 }
 
-struct Open {
+struct OpenReservation {
     at: usize,
     generation: u64,
     reservation: Reservation,
     grant: usize,
 }
 
-struct Moving {
-    open: Open,
+struct PendingGrant {
+    open: OpenReservation,
     from: SocketAddr,
-    wanted: u64,
+    requested: u64,
     grant: Grant,
 }
 
@@ -90,8 +90,8 @@
     rate: Rate,
     platform: ModelPlatform,
     instances: Vec<Instance>,
-    open: VecDeque<Open>,
-    moving: VecDeque<Moving>,
+    open: VecDeque<OpenReservation>,
+    pending_grants: VecDeque<PendingGrant>,
     grants: Vec<(u64, u64)>,
     next: u64,
 }
@@ -104,7 +104,7 @@
             platform: ModelPlatform::default(),
             instances: Vec::new(),
             open: VecDeque::new(),
-            moving: VecDeque::new(),
+            pending_grants: VecDeque::new(),
             grants: Vec::new(),
             next: 1,
         };
@@ -131,7 +131,7 @@
         self.next += 1;
         Instance {
             address,
-            holding: Holding::new(address, self.next * 1_000_003),
+            limits: InstanceLimits::new(address, self.next * 1_000_003),
             sent: VecDeque::new(),
             drift_per_mille: [5, -5, 0][index % 3],
             generation: self.next,
@@ -154,10 +154,10 @@
             Op::List(at) => {
                 let list = self.platform.list();
                 let now_ms = self.local_ms(at);
-                self.instances[at].holding.see(&list, now_ms);
+                self.instances[at].limits.apply_list(&list, now_ms);
             }
             Op::Begin { at, live } => self.begin(at, live),
-            Op::Arrive { at, fate } => self.arrive(at, fate),
+            Op::Arrive { at, outcome } => self.arrive(at, outcome),
             Op::Answer(at) => self.answer(at),
             Op::Sync { at, live } => self.sync(at, live),
             Op::Take { at, percent } => self.take(at, percent),
@@ -168,7 +168,7 @@
                 used_percent,
                 messages,
             } => self.settle(index, used_percent, messages),
-            Op::Crash { at, moves } => self.crash(at, moves),
+            Op::Crash { at, new_address } => self.crash(at, new_address),
             Op::Close(at) => self.close(at),
         }
     }
@@ -185,23 +185,23 @@
         if !self.instances[at].sent.is_empty() {
             return;
         }
-        for write in self.instances[at].holding.plan(live, BATCH, now_ms) {
+        for write in self.instances[at].limits.plan(live, MAX_WRITES, now_ms) {
             self.send(at, write, now_ms);
         }
     }
 
     fn send(&mut self, at: usize, write: SlotWrite, begun_ms: u64) {
         self.next += 1;
-        let holding = &mut self.instances[at].holding;
+        let limits = &mut self.instances[at].limits;
         let (SlotWrite::Create { slot }
         | SlotWrite::Replace { slot, .. }
         | SlotWrite::Release { slot, .. }) = write;
         if matches!(write, SlotWrite::Release { .. }) {
-            holding.stop_minting(slot, begun_ms);
+            limits.stop_refill(slot, begun_ms);
         }
-        let sent = Sent {
+        let sent = SentWrite {
             write,
-            body: holding.body(slot, self.next),
+            body: limits.body(slot, self.next),
             begun_ms,
             result: None,
         };
@@ -210,12 +210,12 @@
 
     /// Fates: 0 never arrives; 1 takes effect and the reply is lost for good;
     /// 2 takes effect, the reply is lost and read back; the rest go well.
-    fn arrive(&mut self, at: usize, fate: u8) {
+    fn arrive(&mut self, at: usize, outcome: u8) {
         for sent in &mut self.instances[at].sent {
             if sent.result.is_some() {
                 continue;
             }
-            sent.result = Some(match fate {
+            sent.result = Some(match outcome {
                 0 => Err(PlatformError::Unreached),
                 1 => {
                     let _ = self.platform.write(&sent.write, &sent.body);
@@ -237,10 +237,12 @@
             let Some(result) = &sent.result else { return };
             let _ = match sent.write {
                 SlotWrite::Create { slot } | SlotWrite::Replace { slot, .. } => {
-                    let holding = &mut instance.holding;
-                    holding.written(slot, sent.begun_ms, result, now_ms)
+                    let limits = &mut instance.limits;
+                    limits.apply_write_result(slot, sent.begun_ms, result, now_ms)
+                }
+                SlotWrite::Release { slot, .. } => {
+                    instance.limits.apply_release_result(slot, result, now_ms)
                 }
-                SlotWrite::Release { slot, .. } => instance.holding.released(slot, result, now_ms),
             };
             instance.sent.pop_front();
         }
@@ -249,7 +251,7 @@
     fn take(&mut self, at: usize, percent: u64) {
         let tokens = self.tokens(at) * percent / 100;
         let now_ms = self.local_ms(at);
-        let ledger = self.instances[at].holding.ledger();
+        let ledger = self.instances[at].limits.ledger();
         let Some(reservation) = ledger.take(TEAM, &self.rate, tokens, now_ms) else {
             return;
         };
@@ -258,9 +260,9 @@
     }
 
     /// Notes a grant at the time when its tokens left the bucket.
-    fn open(&mut self, at: usize, reservation: Reservation) -> Open {
+    fn open(&mut self, at: usize, reservation: Reservation) -> OpenReservation {
         self.grants.push((self.now_ms, reservation.tokens));
-        Open {
+        OpenReservation {
             at,
             generation: self.instances[at].generation,
             reservation,
@@ -270,7 +272,7 @@
 
     fn tokens(&mut self, at: usize) -> u64 {
         let now_ms = self.local_ms(at);
-        let ledger = self.instances[at].holding.ledger();
+        let ledger = self.instances[at].limits.ledger();
         ledger.tokens(TEAM, &self.rate, now_ms)
     }
 
@@ -278,78 +280,82 @@
         if to == from {
             return;
         }
-        let wanted = self.tokens(to) + self.tokens(from) * percent / 100;
+        let requested = self.tokens(to) + self.tokens(from) * percent / 100;
         let (to_ms, from_ms) = (self.local_ms(to), self.local_ms(from));
         let mut reservation = Reservation::empty(TEAM);
-        let asker = self.instances[to].holding.ledger();
-        asker.draw(&mut reservation, &self.rate, wanted, to_ms);
-        let giver = self.instances[from].holding.ledger();
-        let left = wanted - reservation.tokens;
-        let grant = giver.grant(TEAM, &self.rate, left, from_ms);
+        let requester = self.instances[to].limits.ledger();
+        requester.take_up_to(&mut reservation, &self.rate, requested, to_ms);
+        let granter = self.instances[from].limits.ledger();
+        let missing = requested - reservation.tokens;
+        let grant = granter.grant(TEAM, &self.rate, missing, from_ms);
         let open = self.open(to, reservation);
         self.grants[open.grant].1 = 0;
-        self.moving.push_back(Moving {
+        self.pending_grants.push_back(PendingGrant {
             open,
             from: self.instances[from].address,
-            wanted,
+            requested,
             grant,
         });
     }
 
     fn receive(&mut self, index: usize, lost: bool) {
-        let Some(mut moving) = self.moving.remove(index) else {
+        let Some(mut pending) = self.pending_grants.remove(index) else {
             return;
         };
-        let reservation = &mut moving.open.reservation;
+        let reservation = &mut pending.open.reservation;
         if !lost {
-            reservation.add(moving.from, &moving.grant);
+            reservation.add_grant(pending.from, &pending.grant);
         }
-        if reservation.tokens < moving.wanted {
-            return self.end(&moving.open, 0, 1);
+        if reservation.tokens < pending.requested {
+            return self.finish(&pending.open, 0, 1);
         }
-        self.grants[moving.open.grant].1 = reservation.tokens;
-        self.open.push_back(moving.open);
+        self.grants[pending.open.grant].1 = reservation.tokens;
+        self.open.push_back(pending.open);
     }
 
     fn settle(&mut self, index: usize, used_percent: u64, messages: u8) {
         if let Some(open) = self.open.remove(index) {
             let used = open.reservation.tokens * used_percent / 100;
-            self.end(&open, used, messages);
+            self.finish(&open, used, messages);
         }
     }
 
     /// Ends a reservation; what goes back to peers gets lost, or comes once or
     /// more often.
-    fn end(&mut self, open: &Open, used: u64, messages: u8) {
+    fn finish(&mut self, open: &OpenReservation, used: u64, messages: u8) {
         let instance = &mut self.instances[open.at];
         if instance.generation != open.generation {
             return;
         }
-        let back = instance.holding.ledger().settle(&open.reservation, used);
+        let refunds = instance.limits.ledger().settle(&open.reservation, used);
         self.grants[open.grant].1 = used;
-        for moved in back {
-            (0..messages).for_each(|_| self.take_back(&moved));
+        for grant in refunds {
+            (0..messages).for_each(|_| self.take_back(&grant));
         }
     }
 
-    fn take_back(&mut self, moved: &Moved) {
-        let peer = self.instances.iter_mut().find(|i| i.address == moved.peer);
+    fn take_back(&mut self, grant: &PeerGrant) {
+        let peer = self.instances.iter_mut().find(|i| i.address == grant.peer);
         if let Some(peer) = peer {
-            let ledger = peer.holding.ledger();
-            ledger.take_back(TEAM, moved.part, moved.tokens);
+            let ledger = peer.limits.ledger();
+            ledger.take_back(TEAM, grant.grant_id, grant.tokens);
         }
     }
 
-    fn crash(&mut self, at: usize, moves: bool) {
+    fn crash(&mut self, at: usize, new_address: bool) {
         let held = self.instances[at].address;
-        let address = if moves { self.fresh_address() } else { held };
+        let address = if new_address {
+            self.fresh_address()
+        } else {
+            held
+        };
         self.instances[at] = self.start(address, at);
     }
 
     fn close(&mut self, at: usize) {
         let now_ms = self.local_ms(at);
         self.instances[at].sent.clear();
-        for write in self.instances[at].holding.close() {
+        for write in self.instances[at].limits.close() {
             self.send(at, write, now_ms);
         }
         self.arrive(at, 9);
@@ -364,10 +370,10 @@
                 sum += tokens;
                 // A clock that runs half a percent fast mints as much more.
                 let minted = (at_ms - from_ms) * self.rate.tokens_per_s * 1_005 / 1_000_000;
-                let most = self.rate.burst_tokens + minted + 1;
-                if sum > most {
+                let max_tokens = self.rate.burst_tokens + minted + 1;
+                if sum > max_tokens {
                     return Err(format!(
-                        "{sum} tokens in {from_ms}..={at_ms} ms, over {most}"
+                        "{sum} tokens in {from_ms}..={at_ms} ms, over {max_tokens}"
                     ));
                 }
             }
--- a/crates/core/tests/limits/property.rs
+++ b/crates/core/tests/limits/property.rs
@@ -7,7 +7,7 @@
 };
 
 const CASES: u32 = 2_000;
-const MOST_OPS: usize = 60;
+const MAX_OPS: usize = 60;
 const INSTANCES: usize = 3;
 
 /// Runs more cases than the default, and as many as PROPTEST_CASES asks for.
@@ -35,7 +35,7 @@
         2 => instance().prop_map(Op::List),
         4 => (instance(), 1u32..5).prop_map(|(at, live)| Op::Sync { at, live }),
         3 => (instance(), 1u32..5).prop_map(|(at, live)| Op::Begin { at, live }),
-        3 => (instance(), 0u8..6).prop_map(|(at, fate)| Op::Arrive { at, fate }),
+        3 => (instance(), 0u8..6).prop_map(|(at, outcome)| Op::Arrive { at, outcome }),
         3 => instance().prop_map(Op::Answer),
         12 => (instance(), 1u64..=100).prop_map(|(at, percent)| Op::Take { at, percent }),
         4 => (instance(), instance(), 1u64..=110)
@@ -45,7 +45,7 @@
         4 => (index, 0u64..=100, 0u8..3).prop_map(|(index, used_percent, messages)| {
             Op::Settle { index, used_percent, messages }
         }),
-        1 => (instance(), any::<bool>()).prop_map(|(at, moves)| Op::Crash { at, moves }),
+        1 => (instance(), any::<bool>()).prop_map(|(at, new_address)| Op::Crash { at, new_address }),
         1 => instance().prop_map(Op::Close),
     ]
 }
@@ -62,7 +62,7 @@
     #[test]
     fn no_team_receives_more_than_rate_and_burst(
         tokens_per_s in prop::sample::select(vec![20, 700]),
-        ops in prop::collection::vec(op(), 1..MOST_OPS),
+        ops in prop::collection::vec(op(), 1..MAX_OPS),
     ) {
         let rate = Rate { schema: 1, tokens_per_s, burst_tokens: 900 };
         let mut model = Model::new(INSTANCES, &rate);
--- a/crates/core/tests/limits/refusals.rs
+++ b/crates/core/tests/limits/refusals.rs
@@ -1,7 +1,7 @@
 //! What callers are told that a team's rate refuses.
 
 use mangowalk_core::{
-    limits::{Ledger, RetryAsk, RetryTimes, Scarcity, homes_of},
+    limits::{Ledger, RefusedRequest, RetrySchedule, ShortageTracker, team_slots},
     record::Rate,
 };
 
@@ -15,27 +15,27 @@
 /// Tokens are there for every one: told the same time, all but the first
 /// would be refused a second time.
 #[test]
-fn refused_callers_find_tokens_when_they_come_back() {
+fn refused_callers_find_tokens_when_they_retry() {
     let mut ledger = Ledger::default();
-    for home in homes_of("gallery") {
-        ledger.hold(home, u64::MAX, 0);
+    for slot in team_slots("gallery") {
+        ledger.hold(slot, u64::MAX, 0);
     }
     ledger.tokens("gallery", &RATE, 0);
-    let mut retry_times = RetryTimes::default();
-    let ask = RetryAsk {
+    let mut retry_schedule = RetrySchedule::default();
+    let ask = RefusedRequest {
         tokens: 500,
         short_tokens: 500,
         instances: 1,
         jitter: 0,
     };
-    let mut told_ms: Vec<u64> = (0..20u8)
+    let mut retry_at_ms: Vec<u64> = (0..20u8)
         .map(|jitter| {
-            let ask = RetryAsk { jitter, ..ask };
-            retry_times.retry_ms("gallery", &RATE, &ask, 0)
+            let ask = RefusedRequest { jitter, ..ask };
+            retry_schedule.retry_ms("gallery", &RATE, &ask, 0)
         })
         .collect();
-    told_ms.sort_unstable();
-    for at_ms in told_ms {
+    retry_at_ms.sort_unstable();
+    for at_ms in retry_at_ms {
         let served = ledger.take("gallery", &RATE, 500, at_ms);
         assert!(served.is_some(), "refused again at {at_ms} ms");
     }
@@ -45,25 +45,40 @@
 /// with no peer asked and nothing waited for; once the tokens may be there
 /// again, it is worth asking.
 #[test]
-fn a_hopeless_request_is_refused_at_once() {
-    let mut scarcity = Scarcity::default();
-    assert_eq!(scarcity.hopeless("gallery", &RATE, 800, 0), None);
-    scarcity.note("gallery", 100, 0);
-    assert_eq!(scarcity.hopeless("gallery", &RATE, 800, 50), Some(650));
-    assert_eq!(scarcity.wait_ms("gallery", &RATE, 10, 50), None);
-    assert_eq!(scarcity.hopeless("gallery", &RATE, 90, 50), None);
-    assert_eq!(scarcity.hopeless("gallery", &RATE, 800, 200), None);
-    assert_eq!(scarcity.wait_ms("gallery", &RATE, 10, 1_000), Some(10));
+fn a_request_that_lacks_tokens_is_refused_without_asking_peers() {
+    let mut shortage_tracker = ShortageTracker::default();
+    assert_eq!(
+        shortage_tracker.missing_tokens("gallery", &RATE, 800, 0),
+        None
+    );
+    shortage_tracker.record_shortage("gallery", 100, 0);
+    assert_eq!(
+        shortage_tracker.missing_tokens("gallery", &RATE, 800, 50),
+        Some(650)
+    );
+    assert_eq!(shortage_tracker.wait_ms("gallery", &RATE, 10, 50), None);
+    assert_eq!(
+        shortage_tracker.missing_tokens("gallery", &RATE, 90, 50),
+        None
+    );
+    assert_eq!(
+        shortage_tracker.missing_tokens("gallery", &RATE, 800, 200),
+        None
+    );
+    assert_eq!(
+        shortage_tracker.wait_ms("gallery", &RATE, 10, 1_000),
+        Some(10)
+    );
 }
 
 /// Requests wait for tokens that are about to be minted. One behind too many
 /// of them is refused, instead of waiting for tokens that others will take.
 #[test]
-fn a_request_behind_many_that_wait_is_refused() {
-    let mut scarcity = Scarcity::default();
-    scarcity.begin_wait("gallery", 250);
-    assert_eq!(scarcity.wait_ms("gallery", &RATE, 50, 0), Some(300));
-    assert_eq!(scarcity.wait_ms("gallery", &RATE, 51, 0), None);
-    scarcity.end_wait("gallery", 250);
-    assert_eq!(scarcity.wait_ms("gallery", &RATE, 51, 0), Some(51));
+fn a_request_behind_too_many_waiting_ones_is_refused() {
+    let mut shortage_tracker = ShortageTracker::default();
+    shortage_tracker.begin_wait("gallery", 250);
+    assert_eq!(shortage_tracker.wait_ms("gallery", &RATE, 50, 0), Some(300));
+    assert_eq!(shortage_tracker.wait_ms("gallery", &RATE, 51, 0), None);
+    shortage_tracker.end_wait("gallery", 250);
+    assert_eq!(shortage_tracker.wait_ms("gallery", &RATE, 51, 0), Some(51));
 }
--- a/crates/core/tests/share.rs
+++ b/crates/core/tests/share.rs
@@ -43,26 +43,26 @@
                 .push(ShareTable::new(&name.to_string(), settings));
         }
         for table in &mut fleet.tables {
-            table.set_expected(instances);
+            table.set_expected_instances(instances);
             table.configure(std::slice::from_ref(&fleet.tenant), 0);
         }
         fleet
     }
 
     /// Starts one instance anew, which knows nothing then.
-    fn restart(&mut self, at: usize, now_ms: u64) {
-        let mut table = ShareTable::new(&at.to_string(), ShareSettings::default());
-        table.set_expected(self.tables.len());
+    fn restart(&mut self, instance: usize, now_ms: u64) {
+        let mut table = ShareTable::new(&instance.to_string(), ShareSettings::default());
+        table.set_expected_instances(self.tables.len());
         table.configure(std::slice::from_ref(&self.tenant), now_ms);
-        self.tables[at] = table;
-        self.incarnations[at] += 1;
-        self.started_ms[at] = now_ms;
+        self.tables[instance] = table;
+        self.incarnations[instance] += 1;
+        self.started_ms[instance] = now_ms;
     }
 
-    /// Exchanges heartbeats; `reaches` says who hears whom.
-    fn exchange(&mut self, now_ms: u64, reaches: impl Fn(usize, usize) -> bool) {
+    /// Exchanges heartbeats; `is_connected` says who hears whom.
+    fn exchange(&mut self, now_ms: u64, is_connected: impl Fn(usize, usize) -> bool) {
         let starts = self.incarnations.iter().zip(&self.started_ms);
-        let told: Vec<PeerReport> = self
+        let reports: Vec<PeerReport> = self
             .tables
             .iter()
             .zip(starts)
@@ -70,36 +70,36 @@
                 incarnation,
                 up_ms: now_ms - started_ms,
                 instances: table.instances(now_ms).0,
-                counted_for_ms: table.instances(now_ms).1,
-                knows: table.knows(now_ms),
+                count_valid_ms: table.instances(now_ms).1,
+                knows_spending: table.knows_spending(now_ms),
                 teams: table.spending(now_ms).into_iter().collect(),
             })
             .collect();
         for (to, table) in self.tables.iter_mut().enumerate() {
-            for (from, told) in told.iter().enumerate() {
-                if from != to && reaches(from, to) {
-                    table.hear(&from.to_string(), told.clone(), now_ms);
+            for (from, report) in reports.iter().enumerate() {
+                if from != to && is_connected(from, to) {
+                    table.receive_report(&from.to_string(), report.clone(), now_ms);
                 }
             }
-            table.peers(|name| {
+            table.update_peers(|name| {
                 let from: usize = name.parse().expect("names are numbers");
-                Some(reaches(from, to))
+                Some(is_connected(from, to))
             });
         }
     }
 }
 
 /// A prompt with its answer, in tokens; the deployments' largest kind.
-const COST: u64 = 9_200;
+const REQUEST_TOKENS: u64 = 9_200;
 
 /// Most that a window of eight seconds may hold: the rate and burst with a
 /// tenth over, and what the deployments allow beyond.
-fn allowed(tenant: &Tenant) -> f64 {
+fn max_allowed(tenant: &Tenant) -> f64 {
     let rate = tenant.rate.expect("the team has one");
     (rate.per_s * 8.0 + rate.burst) * 1.1 + 72_000.0
 }
 
-fn most_in_window(spent: &[(u64, f64)]) -> f64 {
+fn max_in_window(spent: &[(u64, f64)]) -> f64 {
     let windows = spent.iter().map(|(begin_ms, _)| {
         let inside = spent
             .iter()
@@ -116,7 +116,7 @@
 fn no_window_holds_more_than_the_rate_allows() {
     proptest!(ProptestConfig::with_cases(64), |(
         instances in 2_usize..8,
-        times in 1.5_f64..8.0,
+        demand_factor in 1.5_f64..8.0,
         skew in 0_usize..8,
         cut_at_ms in 0_u64..14_000,
         cut_size in 0_usize..3,
@@ -124,7 +124,7 @@
         let tenant = tenant(160_000.0, 160_000.0);
         let mut fleet = Fleet::new(instances, tenant.clone());
         let mut spent = Vec::new();
-        let per_step = times * 160_000.0 / 1_000.0 * 20.0 / COST as f64;
+        let per_step = demand_factor * 160_000.0 / 1_000.0 * 20.0 / REQUEST_TOKENS as f64;
         let mut due = 0.0;
         let mut next = 0;
         for now_ms in (0..20_000_u64).step_by(20) {
@@ -137,14 +137,14 @@
             while due >= 1.0 {
                 due -= 1.0;
                 next += 1;
-                let at = if skew < instances && next % 3 > 0 { skew } else { next % instances };
-                if fleet.tables[at].take(&tenant, COST, now_ms).is_ok() {
-                    spent.push((now_ms, COST as f64));
+                let instance = if skew < instances && next % 3 > 0 { skew } else { next % instances };
+                if fleet.tables[instance].take(&tenant, REQUEST_TOKENS, now_ms).is_ok() {
+                    spent.push((now_ms, REQUEST_TOKENS as f64));
                 }
             }
         }
-        let most = most_in_window(&spent);
-        prop_assert!(most <= allowed(&tenant), "{most} of {}", allowed(&tenant));
+        let max_spent = max_in_window(&spent);
+        prop_assert!(max_spent <= max_allowed(&tenant), "{max_spent} of {}", max_allowed(&tenant));
     });
 }
 
@@ -152,7 +152,7 @@
 /// It is hardly ever refused: the rate is one bucket, not a part for each
 /// instance. With a seventh of the burst for each, two prompts would fill it.
 #[test]
-fn a_team_within_its_rate_is_served_wherever_it_comes() {
+fn a_team_within_its_rate_is_served_by_a_single_instance() {
     let tenant = tenant(160_000.0, 160_000.0);
     for instances in [1, 3, 7] {
         let mut fleet = Fleet::new(instances, tenant.clone());
@@ -165,10 +165,10 @@
             if now_ms < 10_000 {
                 continue;
             }
-            due += 0.6 * 160.0 * 20.0 / COST as f64;
+            due += 0.6 * 160.0 * 20.0 / REQUEST_TOKENS as f64;
             while due >= 1.0 {
                 due -= 1.0;
-                match fleet.tables[0].take(&tenant, COST, now_ms) {
+                match fleet.tables[0].take(&tenant, REQUEST_TOKENS, now_ms) {
                     Ok(()) => served += 1,
                     Err(_) => refused += 1,
                 }
@@ -185,7 +185,7 @@
 /// asks for all it can get. What each believes to be left at its start must
 /// not hand the burst out again each time.
 #[test]
-fn restarts_do_not_hand_the_burst_out_again() {
+fn simultaneous_restarts_do_not_grant_the_burst_again() {
     let tenant = tenant(160_000.0, 160_000.0);
     let mut fleet = Fleet::new(7, tenant.clone());
     let mut spent = Vec::new();
@@ -195,21 +195,28 @@
             fleet.started_ms = vec![now_ms; 7];
             for table in &mut fleet.tables {
                 *table = ShareTable::default();
-                table.set_expected(7);
+                table.set_expected_instances(7);
                 table.configure(std::slice::from_ref(&tenant), now_ms);
             }
         }
         if now_ms % 200 == 0 {
             fleet.exchange(now_ms, |_, _| true);
         }
-        for at in 0..7 {
-            if fleet.tables[at].take(&tenant, COST, now_ms).is_ok() {
-                spent.push((now_ms, COST as f64));
+        for instance in 0..7 {
+            if fleet.tables[instance]
+                .take(&tenant, REQUEST_TOKENS, now_ms)
+                .is_ok()
+            {
+                spent.push((now_ms, REQUEST_TOKENS as f64));
             }
         }
     }
-    let most = most_in_window(&spent);
-    assert!(most <= allowed(&tenant), "{most} of {}", allowed(&tenant));
+    let max_spent = max_in_window(&spent);
+    assert!(
+        max_spent <= max_allowed(&tenant),
+        "{max_spent} of {}",
+        max_allowed(&tenant)
+    );
 }
 
 /// Instances are restarted one after the other, as for an upgrade, while a team
@@ -217,7 +224,7 @@
 /// was spent, but its peers do: the team must not be refused. Before, the lowest
 /// estimate was taken over, and each restart lowered it for all that followed.
 #[test]
-fn a_rolling_restart_refuses_nobody_within_the_rate() {
+fn a_rolling_restart_refuses_no_team_within_its_rate() {
     const INSTANCES: usize = 7;
     let tenant = tenant(78_000.0, 78_000.0);
     let mut fleet = Fleet::new(INSTANCES, tenant.clone());
@@ -250,9 +257,9 @@
 /// some behind a cut. Each that starts takes over what a peer knows; over all of
 /// them no window holds more than the rate allows.
 #[test]
-fn restarts_within_a_crowd_keep_the_rate() {
+fn random_restarts_and_partitions_stay_within_the_rate() {
     proptest!(ProptestConfig::default(), |(
-        times in 1.0_f64..8.0,
+        demand_factor in 1.0_f64..8.0,
         restarts in proptest::collection::vec((0_usize..7, 0_u64..1_000), 0..12),
         cut_at_ms in 0_u64..20_000,
         cut_size in 0_usize..4,
@@ -261,26 +268,26 @@
         let mut fleet = Fleet::new(7, tenant.clone());
         let (mut spent, mut due, mut next) = (Vec::new(), 0.0, 0);
         for now_ms in (0..20_000_u64).step_by(20) {
-            for &(at, step) in &restarts {
+            for &(instance, step) in &restarts {
                 if step * 20 == now_ms {
-                    fleet.restart(at, now_ms);
+                    fleet.restart(instance, now_ms);
                 }
             }
             if now_ms % 200 == 0 {
                 let is_cut = (cut_at_ms..cut_at_ms + 5_500).contains(&now_ms);
                 fleet.exchange(now_ms, |a, b| !is_cut || (a < cut_size) == (b < cut_size));
             }
-            due += times * 160.0 * 20.0 / COST as f64;
+            due += demand_factor * 160.0 * 20.0 / REQUEST_TOKENS as f64;
             while due >= 1.0 {
                 due -= 1.0;
                 next += 1;
-                if fleet.tables[next % 7].take(&tenant, COST, now_ms).is_ok() {
-                    spent.push((now_ms, COST as f64));
+                if fleet.tables[next % 7].take(&tenant, REQUEST_TOKENS, now_ms).is_ok() {
+                    spent.push((now_ms, REQUEST_TOKENS as f64));
                 }
             }
         }
-        let most = most_in_window(&spent);
-        prop_assert!(most <= allowed(&tenant), "{most} of {}", allowed(&tenant));
+        let max_spent = max_in_window(&spent);
+        prop_assert!(max_spent <= max_allowed(&tenant), "{max_spent} of {}", max_allowed(&tenant));
     });
 }
 
@@ -288,15 +295,15 @@
 /// must still take over that peer's levels with the next heartbeat, else it refuses
 /// teams within their rate until its own buckets have filled.
 #[test]
-fn levels_are_taken_over_once_the_configuration_is_known() {
+fn levels_are_copied_from_a_peer_once_configured() {
     let tenant = tenant(10_000.0, 10_000.0);
     let mut table = ShareTable::default();
     let report = PeerReport {
         incarnation: 1,
         up_ms: 60_000,
         instances: 2,
-        counted_for_ms: 8_000,
-        knows: true,
+        count_valid_ms: 8_000,
+        knows_spending: true,
         teams: [(
             "team".to_owned(),
             PeerSpending {
@@ -307,9 +314,9 @@
         )]
         .into(),
     };
-    table.hear("peer", report.clone(), 10);
+    table.receive_report("peer", report.clone(), 10);
     table.configure(std::slice::from_ref(&tenant), 20);
-    table.hear("peer", report, 210);
+    table.receive_report("peer", report, 210);
     assert!(table.take(&tenant, 3_000, 220).is_ok());
 }
 
@@ -317,23 +324,23 @@
 /// counting it because the other says so, else they would set its part of the
 /// rates aside for ever.
 #[test]
-fn a_peer_that_is_gone_is_not_counted_by_hearsay() {
+fn a_departed_peer_is_not_counted_from_peer_reports() {
     let tenant = tenant(10_000.0, 10_000.0);
     let mut fleet = Fleet::new(3, tenant);
     fleet.exchange(5_000, |_, _| true);
     for now_ms in (5_200..20_000).step_by(200) {
         for table in &mut fleet.tables {
-            table.peers(|name| (name != "2").then_some(true));
+            table.update_peers(|name| (name != "2").then_some(true));
         }
         let (first, second) = (0, 1);
         for (from, to) in [(first, second), (second, first)] {
-            let (instances, counted_for_ms) = fleet.tables[from].instances(now_ms);
+            let (instances, count_valid_ms) = fleet.tables[from].instances(now_ms);
             let report = PeerReport {
                 instances,
-                counted_for_ms,
+                count_valid_ms,
                 ..PeerReport::default()
             };
-            fleet.tables[to].hear(&from.to_string(), report, now_ms);
+            fleet.tables[to].receive_report(&from.to_string(), report, now_ms);
         }
     }
     assert_eq!(fleet.tables[1].instances(20_000).0, 2);
@@ -343,16 +350,16 @@
 /// spent in its whole life must not be taken from the bucket once more: its team
 /// would be refused for as long.
 #[test]
-fn a_peer_that_comes_back_costs_its_team_nothing() {
+fn earlier_spending_of_a_returning_peer_is_not_subtracted_again() {
     let tenant = tenant(10_000.0, 10_000.0);
     let mut table = ShareTable::default();
     table.configure(std::slice::from_ref(&tenant), 0);
-    let told = |up_ms| PeerReport {
+    let report = |up_ms| PeerReport {
         incarnation: 7,
         up_ms,
         instances: 2,
-        counted_for_ms: 8_000,
-        knows: true,
+        count_valid_ms: 8_000,
+        knows_spending: true,
         teams: [(
             "team".to_owned(),
             PeerSpending {
@@ -363,14 +370,14 @@
         )]
         .into(),
     };
-    table.hear("peer", told(20_000), 20_000);
-    table.peers(|_| None);
-    table.hear("peer", told(60_000), 60_000);
+    table.receive_report("peer", report(20_000), 20_000);
+    table.update_peers(|_| None);
+    table.receive_report("peer", report(60_000), 60_000);
     assert!(table.take(&tenant, 1_000, 60_100).is_ok());
 }
 
 #[test]
-fn a_refusal_tells_when_there_may_be_enough() {
+fn a_retry_after_the_returned_wait_is_granted() {
     let tenant = tenant(1_000.0, 4_000.0);
     let mut table = ShareTable::default();
     table.configure(std::slice::from_ref(&tenant), 0);
@@ -388,7 +395,7 @@
 /// A prompt is larger than the whole burst. It goes when the bucket is full,
 /// and what it took beyond is missing afterwards.
 #[test]
-fn a_prompt_larger_than_the_burst_can_go() {
+fn a_request_larger_than_the_burst_is_granted_from_a_full_bucket() {
     let tenant = tenant(1_000.0, 4_000.0);
     let mut table = ShareTable::default();
     table.configure(std::slice::from_ref(&tenant), 0);
@@ -400,10 +407,10 @@
 /// One instance is left of seven, and starts again. A second later it must
 /// serve a team within its rate, though six others are still listed.
 #[test]
-fn a_lone_survivor_serves_soon() {
+fn the_last_instance_serves_within_a_second_of_its_start() {
     let tenant = tenant(160_000.0, 160_000.0);
     let mut table = ShareTable::default();
-    table.set_expected(7);
+    table.set_expected_instances(7);
     table.configure(std::slice::from_ref(&tenant), 0);
     let (mut served, mut refused) = (0, 0);
     for now_ms in (1_000..5_000_u64).step_by(100) {
@@ -420,10 +427,10 @@
 /// took from it, twenty would run at once and the team would be refused for as
 /// many seconds to make up for it. It must get its rate, steadily.
 #[test]
-fn instances_that_are_asked_together_take_turns() {
+fn simultaneous_requests_at_all_instances_are_granted_in_turns() {
     let mut fleet = Fleet::new(20, tenant(1_000.0, 4_000.0));
     let cost = 1_050;
-    let (mut granted, mut most_at_once) = (0, 0);
+    let (mut granted, mut max_at_once) = (0, 0);
     for tick in 1..=150_u64 {
         let now_ms = tick * 200;
         fleet.exchange(now_ms, |_, _| true);
@@ -435,9 +442,9 @@
         });
         let at_once = at_once.count();
         granted += at_once;
-        most_at_once = most_at_once.max(at_once);
+        max_at_once = max_at_once.max(at_once);
     }
     // 30 seconds' rate and the burst hold 32 such requests.
-    assert!(most_at_once <= 3, "{most_at_once} at once");
+    assert!(max_at_once <= 3, "{max_at_once} at once");
     assert!((20..=32).contains(&granted), "{granted} granted");
 }
--- a/crates/gateway/src/callers/serve.rs
+++ b/crates/gateway/src/callers/serve.rs
@@ -84,7 +84,7 @@
             if refusal == Refusal::NoEngine
                 && let Some(tenant) = &request.tenant
             {
-                instance.shares.borrow_mut().give_back(tenant, cost);
+                instance.shares.borrow_mut().refund(tenant, cost);
             }
             refuse(&request, refusal, tries.return_ms)
         }
--- a/crates/gateway/src/instance/blackboard.rs
+++ b/crates/gateway/src/instance/blackboard.rs
@@ -228,8 +228,8 @@
         let members = self.members.borrow();
         let mesh = &self.settings.mesh;
         let mut shares = self.shares.borrow_mut();
-        shares.set_expected(members.expected() + 1);
-        shares.peers(|name| members.is_heard(name, mesh, now_ms));
+        shares.set_expected_instances(members.expected() + 1);
+        shares.update_peers(|name| members.is_heard(name, mesh, now_ms));
     }
 
     /// Returns the instances that may be serving, this one included.
--- a/crates/gateway/src/instance/heartbeats.rs
+++ b/crates/gateway/src/instance/heartbeats.rs
@@ -40,7 +40,7 @@
         self.apply_versions(&heartbeat);
         let report = report(&heartbeat);
         let mut shares = self.shares.borrow_mut();
-        shares.hear(&heartbeat.name, report, now_ms);
+        shares.receive_report(&heartbeat.name, report, now_ms);
         let mut crashes = self.crashes.borrow_mut();
         crashes.merge(&heartbeat.crashes, now_ms);
     }
@@ -117,8 +117,8 @@
         incarnation: heartbeat.incarnation,
         up_ms: u64::from(heartbeat.up_ms),
         instances: heartbeat.instances as usize,
-        counted_for_ms: u64::from(heartbeat.counted_for_ms),
-        knows: heartbeat.knows_rates,
+        count_valid_ms: u64::from(heartbeat.counted_for_ms),
+        knows_spending: heartbeat.knows_rates,
         teams: teams.collect(),
     }
 }
--- a/crates/gateway/src/mesh/exchange.rs
+++ b/crates/gateway/src/mesh/exchange.rs
@@ -156,7 +156,7 @@
             .engines
             .borrow()
             .departures(members.engines_revision()),
-        knows_rates: instance.shares.borrow().knows(now_ms),
+        knows_rates: instance.shares.borrow().knows_spending(now_ms),
         instances: instances as u32,
         counted_for_ms: counted_for_ms as u32,
         teams: teams(instance, now_ms),
--- a/crates/mangowalkd/src/board/admission.rs
+++ b/crates/mangowalkd/src/board/admission.rs
@@ -2,7 +2,7 @@
     super::{UpstreamBoard, lock},
     flume::{Receiver, Sender},
     mangowalk_core::{
-        admission::{AdmissionSettings, Dispatcher, Job, Verdict},
+        admission::{AdmissionSettings, Decision, Dispatcher, Job},
         config::View,
         engine::{CacheEvents, EngineState},
         placement::{Ask, Choice, EngineSpec, Placement, PlacementSettings},
@@ -34,7 +34,7 @@
 struct Inner {
     dispatcher: Dispatcher,
     upstreams: UpstreamBoard,
-    waiters: HashMap<u64, Sender<Verdict>>,
+    waiters: HashMap<u64, Sender<Decision>>,
     next_id: u64,
     /// View whose engines placement knows.
     taken: Option<Arc<View>>,
@@ -104,7 +104,7 @@
     }
 
     /// Takes a new request. Its verdict comes on the channel, maybe at once.
-    pub fn arrive(&self, job: Job, now_ms: u64) -> Receiver<Verdict> {
+    pub fn arrive(&self, job: Job, now_ms: u64) -> Receiver<Decision> {
         let (sender, verdict) = flume::bounded(1);
         let mut inner = lock(&self.inner);
         let id = inner.next_id;
@@ -113,7 +113,7 @@
         inner.waiters.insert(id, sender);
         let upstreams = inner.upstreams.clone();
         let fit = |name: &str| upstreams.usable(name, now_ms);
-        let verdicts = inner.dispatcher.arrive(Job { id, ..job }, &fit, now_ms);
+        let verdicts = inner.dispatcher.submit(Job { id, ..job }, &fit, now_ms);
         inner.tell(verdicts, now_ms);
         verdict
     }
@@ -171,19 +171,19 @@
         self.now_ms = now_ms;
         let upstreams = &self.upstreams;
         let fit = |name: &str| upstreams.usable(name, now_ms);
-        let verdicts = self.dispatcher.pump(&fit, now_ms);
+        let verdicts = self.dispatcher.dispatch_queued(&fit, now_ms);
         self.tell(verdicts, now_ms);
     }
 
-    fn tell(&mut self, verdicts: Vec<Verdict>, now_ms: u64) {
+    fn tell(&mut self, verdicts: Vec<Decision>, now_ms: u64) {
         for verdict in verdicts {
-            let (Verdict::Send { id, .. } | Verdict::Refuse { id, .. }) = &verdict;
+            let (Decision::Send { id, .. } | Decision::Refuse { id, .. }) = &verdict;
             let told = match self.waiters.remove(id) {
                 Some(waiter) => waiter.send(verdict),
                 None => continue,
             };
             // The request's thread is gone: its slot must not stay taken.
-            if let Err(flume::SendError(Verdict::Send { choice, .. })) = told {
+            if let Err(flume::SendError(Decision::Send { choice, .. })) = told {
                 let placement = self.dispatcher.placement_mut();
                 placement.ended(&choice, None, now_ms);
             }
--- a/crates/mangowalkd/src/board/limits.rs
+++ b/crates/mangowalkd/src/board/limits.rs
@@ -3,8 +3,8 @@
     mangowalk_core::{
         edge::PlatformError,
         limits::{
-            Grant, Holding, Moved, Reservation, RetryAsk, RetryTimes, Scarcity, SlotBody, SlotList,
-            SlotWrite,
+            Grant, InstanceLimits, PeerGrant, RefusedRequest, Reservation, RetrySchedule,
+            ShortageTracker, SlotBody, SlotList, SlotWrite,
         },
         record::Rate,
     },
@@ -20,18 +20,18 @@
 
 #[derive(Debug)]
 struct Inner {
-    holding: Holding,
-    retry_times: RetryTimes,
-    scarcity: Scarcity,
+    holding: InstanceLimits,
+    retry_times: RetrySchedule,
+    scarcity: ShortageTracker,
 }
 
 impl LimitBoard {
     /// Returns the board of an instance that holds nothing yet.
     pub fn new(identity: &Identity) -> LimitBoard {
         let inner = Inner {
-            holding: Holding::new(identity.caller_address, identity.incarnation),
-            retry_times: RetryTimes::default(),
-            scarcity: Scarcity::default(),
+            holding: InstanceLimits::new(identity.caller_address, identity.incarnation),
+            retry_times: RetrySchedule::default(),
+            scarcity: ShortageTracker::default(),
         };
         LimitBoard {
             inner: Mutex::new(inner),
@@ -50,7 +50,7 @@
 
     /// Takes a list of every slot.
     pub fn see(&self, list: &SlotList, now_ms: u64) {
-        lock(&self.inner).holding.see(list, now_ms);
+        lock(&self.inner).holding.apply_list(list, now_ms);
     }
 
     /// Takes the result of writing a slot in a call begun at `begun_ms`.
@@ -62,12 +62,14 @@
         now_ms: u64,
     ) -> ControlFlow<()> {
         let mut inner = lock(&self.inner);
-        inner.holding.written(slot, begun_ms, result, now_ms)
+        inner
+            .holding
+            .apply_write_result(slot, begun_ms, result, now_ms)
     }
 
     /// Stops to mint on a slot, before its release is sent.
     pub fn stop_minting(&self, slot: u32, now_ms: u64) {
-        lock(&self.inner).holding.stop_minting(slot, now_ms);
+        lock(&self.inner).holding.stop_refill(slot, now_ms);
     }
 
     /// Takes the result of releasing a slot.
@@ -77,7 +79,9 @@
         result: &Result<u64, PlatformError>,
         now_ms: u64,
     ) -> ControlFlow<()> {
-        lock(&self.inner).holding.released(slot, result, now_ms)
+        lock(&self.inner)
+            .holding
+            .apply_release_result(slot, result, now_ms)
     }
 
     /// Gives everything up for good, and returns the writes that let others
@@ -120,7 +124,7 @@
     pub fn draw(&self, reservation: &mut Reservation, rate: &Rate, tokens: u64, now_ms: u64) {
         let mut inner = lock(&self.inner);
         let ledger = inner.holding.ledger();
-        ledger.draw(reservation, rate, tokens, now_ms);
+        ledger.take_up_to(reservation, rate, tokens, now_ms);
     }
 
     /// Takes tokens out for a peer that asks, all or none.
@@ -141,18 +145,18 @@
     }
 
     /// Ends a reservation, and returns what is to go back to peers.
-    pub fn settle(&self, reservation: &Reservation, used_tokens: u64) -> Vec<Moved> {
+    pub fn settle(&self, reservation: &Reservation, used_tokens: u64) -> Vec<PeerGrant> {
         let mut inner = lock(&self.inner);
         inner.holding.ledger().settle(reservation, used_tokens)
     }
 
     /// Reads or changes what is known of teams that are short of tokens.
-    pub fn scarcity<T>(&self, change: impl FnOnce(&mut Scarcity) -> T) -> T {
+    pub fn scarcity<T>(&self, change: impl FnOnce(&mut ShortageTracker) -> T) -> T {
         change(&mut lock(&self.inner).scarcity)
     }
 
     /// Returns when a refused caller's tokens will be there.
-    pub fn retry_ms(&self, team: &str, rate: &Rate, ask: &RetryAsk, now_ms: u64) -> u64 {
+    pub fn retry_ms(&self, team: &str, rate: &Rate, ask: &RefusedRequest, now_ms: u64) -> u64 {
         let mut inner = lock(&self.inner);
         inner.retry_times.retry_ms(team, rate, ask, now_ms)
     }
--- a/crates/mangowalkd/src/caller/handler.rs
+++ b/crates/mangowalkd/src/caller/handler.rs
@@ -10,7 +10,7 @@
     },
     crate::serve::Router,
     log::info,
-    mangowalk_core::{edge::Edges, limits::minting_ms, refusal::Refusal},
+    mangowalk_core::{edge::Edges, limits::refill_ms, refusal::Refusal},
     std::mem,
     tiny_http::{Method, Request},
 };
@@ -153,7 +153,7 @@
         };
         let remaining_tokens = board.limits.tokens(team, rate, self.router.now_ms());
         let missing_tokens = rate.burst_tokens.saturating_sub(remaining_tokens);
-        let reset_ms = minting_ms(rate, missing_tokens);
+        let reset_ms = refill_ms(rate, missing_tokens);
         head.add("x-ratelimit-limit-tokens", rate.burst_tokens.to_string());
         head.add("x-ratelimit-remaining-tokens", remaining_tokens.to_string());
         head.add("x-ratelimit-reset-tokens", format!("{reset_ms}ms"));
--- a/crates/mangowalkd/src/cli/args.rs
+++ b/crates/mangowalkd/src/cli/args.rs
@@ -1,4 +1,4 @@
-use {bpaf::Bpaf, mangowalk_core::admission::Favour, std::net::SocketAddr};
+use {bpaf::Bpaf, mangowalk_core::admission::AdmissionProfile, std::net::SocketAddr};
 
 /// Routes language-model traffic with long shared prompts to engines.
 #[derive(Debug, Clone, Bpaf)]
@@ -111,10 +111,10 @@
         long,
         env("MANGOWALK_FAVOUR"),
         argument("PROFILE"),
-        fallback(Favour::FirstToken),
+        fallback(AdmissionProfile::FirstToken),
         display_fallback
     )]
-    pub favour: Favour,
+    pub favour: AdmissionProfile,
 
     /// Time that an engine takes to compute one block of 64 prompt tokens that
     /// it has not cached, in microseconds.
--- a/crates/mangowalkd/src/cli/settings.rs
+++ b/crates/mangowalkd/src/cli/settings.rs
@@ -2,7 +2,7 @@
     super::Args,
     derive_more::{Display, Error},
     mangowalk_core::{
-        admission::{AdmissionSettings, Favour},
+        admission::{AdmissionProfile, AdmissionSettings},
         config::Freshness,
         placement::PlacementSettings,
     },
@@ -37,7 +37,7 @@
     /// Longest time that a shutdown waits for open requests.
     pub drain_timeout_ms: u64,
     /// What counts most when every engine is full.
-    pub favour: Favour,
+    pub favour: AdmissionProfile,
     /// Time to compute one missed block.
     pub compute_block_us: u64,
     /// Shortest time for which a departing instance still serves.
@@ -66,7 +66,7 @@
             caller_timeout_ms: 10_000,
             token_timeout_ms: 5_000,
             drain_timeout_ms: 150_000,
-            favour: Favour::FirstToken,
+            favour: AdmissionProfile::FirstToken,
             compute_block_us: 2_000,
             depart_grace_ms: 12_000,
             stale_config_ms: Freshness::LIMIT_MS,
@@ -196,7 +196,7 @@
 
     /// Returns how requests are admitted.
     pub fn admission(&self) -> AdmissionSettings {
-        AdmissionSettings::of(self.favour)
+        AdmissionSettings::for_profile(self.favour)
     }
 }
 
--- a/crates/mangowalkd/src/controller/gossip.rs
+++ b/crates/mangowalkd/src/controller/gossip.rs
@@ -254,7 +254,7 @@
             PeerReply::Granted {
                 tokens: grant.tokens,
                 left_tokens: grant.left_tokens,
-                part: grant.part,
+                part: grant.id,
             }
         }
         PeerRequest::GiveBack { team, part, tokens } => {
--- a/crates/mangowalkd/src/operator/explain.rs
+++ b/crates/mangowalkd/src/operator/explain.rs
@@ -3,7 +3,7 @@
     crate::{board::Board, serve::version_of},
     mangowalk_core::{
         config::View,
-        limits::minting_ms,
+        limits::refill_ms,
         placement::tokens_of,
         record::Rate,
         refusal::Refusal,
@@ -89,13 +89,13 @@
     steps.push(format!(
         "This instance holds {shares} slots and lacks the tokens; it would ask other instances."
     ));
-    match limits.scarcity(|s| s.hopeless(team, rate, tokens, now_ms)) {
+    match limits.scarcity(|s| s.missing_tokens(team, rate, tokens, now_ms)) {
         Some(short) => {
             steps.push(format!(
                 "A look at the other instances a moment ago found {short} tokens too few."
             ));
             Err(Refusal::RateLimited {
-                retry_ms: minting_ms(rate, short),
+                retry_ms: refill_ms(rate, short),
             })
         }
         None => Ok(()),
--- a/crates/mangowalkd/src/serve/admit.rs
+++ b/crates/mangowalkd/src/serve/admit.rs
@@ -2,7 +2,7 @@
     super::{ChatRequest, Router, attempt::Target, place::cache_salt},
     log::info,
     mangowalk_core::{
-        admission::{Job, Verdict},
+        admission::{Decision, Job},
         config::View,
         edge::{Clock, Edges},
         placement::{Choice, block_chain, tokens_of},
@@ -59,15 +59,15 @@
     fn wait_for(&self, request: &ChatRequest, version: &str) -> Result<Target, Refusal> {
         let job = self.job(request, &self.board.config.view(), version);
         match self.wait_turn(job) {
-            Verdict::Send { choice, .. } => self.dispatch(request, version, choice),
-            Verdict::Refuse { full, .. } => {
+            Decision::Send { choice, .. } => self.dispatch(request, version, choice),
+            Decision::Refuse { refusal, .. } => {
                 info!(
                     "admission: Refused {} of {}, expected to wait {} ms.",
-                    request.request_id, request.team, full.wait_ms
+                    request.request_id, request.team, refusal.wait_ms
                 );
                 Err(Refusal::Unavailable {
                     reason: "Every engine is full",
-                    retry_ms: full.retry_ms,
+                    retry_ms: refusal.retry_ms,
                 })
             }
         }
@@ -101,7 +101,7 @@
             })
     }
 
-    fn wait_turn(&self, job: Job) -> Verdict {
+    fn wait_turn(&self, job: Job) -> Decision {
         let dispatch = &self.board.dispatch;
         let verdict = dispatch.arrive(job, self.edges.clock().now_ms());
         loop {
@@ -128,7 +128,7 @@
             version: version.to_owned(),
             chain: block_chain(&salt, &request.prompt),
             avoid: self.suspects_apart_from(request),
-            kept_blocks: 0,
+            stored_blocks: 0,
         }
     }
 }
--- a/crates/mangowalkd/src/serve/place.rs
+++ b/crates/mangowalkd/src/serve/place.rs
@@ -2,7 +2,7 @@
     super::{ChatRequest, Router, attempt::Target},
     crate::board::{Board, Placed},
     mangowalk_core::{
-        admission::Fit,
+        admission::EngineFilter,
         config::View,
         edge::{Clock, Edges},
         placement::{Ask, BLOCK_BYTES, Choice, block_chain},
@@ -59,7 +59,7 @@
         view: &View,
         version: Option<&str>,
         tried: &HashSet<String>,
-        fit: &Fit<'_>,
+        fit: &EngineFilter<'_>,
     ) -> Option<Target> {
         let mut avoid = tried.clone();
         avoid.extend(view.closed_engines());
--- a/crates/mangowalkd/src/serve/reserve.rs
+++ b/crates/mangowalkd/src/serve/reserve.rs
@@ -2,7 +2,7 @@
     super::Router,
     mangowalk_core::{
         edge::{Clock, Edges, Peers},
-        limits::{Grant, HOMES, Reservation, RetryAsk},
+        limits::{Grant, RefusedRequest, Reservation, SLOTS_PER_TEAM},
         peer::{PeerReply, PeerRequest},
         record::Rate,
         refusal::Refusal,
@@ -50,7 +50,7 @@
         if let Some(reservation) = limits.take(team, rate, tokens, now_ms) {
             return Ok(reservation);
         }
-        let hopeless = limits.scarcity(|s| s.hopeless(team, rate, tokens, now_ms));
+        let hopeless = limits.scarcity(|s| s.missing_tokens(team, rate, tokens, now_ms));
         match hopeless {
             Some(short_tokens) => Err(self.refuse_short(team, rate, tokens, short_tokens)),
             None => self.gather(team, rate, tokens),
@@ -63,7 +63,7 @@
         for moved in self.board.limits.settle(reservation, used_tokens) {
             let request = PeerRequest::GiveBack {
                 team: reservation.team.clone(),
-                part: moved.part,
+                part: moved.grant_id,
                 tokens: moved.tokens,
             };
             let peers = self.edges.peers();
@@ -98,7 +98,7 @@
                 retry_ms: NO_SLOT_RETRY_MS,
             });
         }
-        limits.scarcity(|s| s.note(team, found, now_ms));
+        limits.scarcity(|s| s.record_shortage(team, found, now_ms));
         short_tokens = tokens.saturating_sub(found).max(1);
         Err(self.refuse_short(team, rate, tokens, short_tokens))
     }
@@ -166,9 +166,9 @@
                 let grant = Grant {
                     tokens,
                     left_tokens,
-                    part,
+                    id: part,
                 };
-                gathered.add(peer, &grant);
+                gathered.add_grant(peer, &grant);
                 grant
             }
             _ => Grant::default(),
@@ -189,13 +189,13 @@
             peers.extend(live.iter().map(|peer| peer.view.peer_address));
         }
         peers.shuffle(&mut rand::rng());
-        peers.truncate(HOMES);
+        peers.truncate(SLOTS_PER_TEAM);
         peers
     }
 
     fn refuse_short(&self, team: &str, rate: &Rate, tokens: u64, short_tokens: u64) -> Refusal {
         let now_ms = self.edges.clock().now_ms();
-        let ask = RetryAsk {
+        let ask = RefusedRequest {
             tokens,
             short_tokens,
             instances: self.board.peers.sights().len() as u64 + 1,
--- a/crates/standins/src/queue/deployment.rs
+++ b/crates/standins/src/queue/deployment.rs
@@ -1,4 +1,4 @@
-use mangowalk_core::admission::Favour;
+use mangowalk_core::admission::AdmissionProfile;
 
 /// One of the users' deployments, at the sizes of today.
 #[derive(Debug, Clone, PartialEq)]
@@ -14,7 +14,7 @@
     /// Distance between two failure domains, there and back.
     pub other_domain_us: u64,
     /// What counts most.
-    pub favour: Favour,
+    pub favour: AdmissionProfile,
     /// Blocks of the level that a whole team shares.
     pub outer_blocks: usize,
     /// Blocks of the level below: a course, or a customer's history.
@@ -34,7 +34,7 @@
             instances: 7,
             failure_domains: 4,
             other_domain_us: 2_000,
-            favour: Favour::FirstToken,
+            favour: AdmissionProfile::FirstToken,
             outer_blocks: 96,
             inner_blocks: 64,
             inner_count: 24,
@@ -50,7 +50,7 @@
             instances: 6,
             failure_domains: 4,
             other_domain_us: 3_000,
-            favour: Favour::WorstTeam,
+            favour: AdmissionProfile::WorstTeam,
             outer_blocks: 160,
             inner_blocks: 40,
             inner_count: 8,
--- a/crates/standins/src/queue/mangowalk.rs
+++ b/crates/standins/src/queue/mangowalk.rs
@@ -7,7 +7,7 @@
         request::Request,
     },
     mangowalk_core::{
-        admission::{AdmissionSettings, Dispatcher, Job, Verdict},
+        admission::{AdmissionSettings, Decision, Dispatcher, Job},
         engine::{CacheEvents, EngineState},
         placement::{Ask, Choice, EngineSpec, Placement, PlacementSettings},
     },
@@ -61,7 +61,7 @@
             })
             .collect();
         placement.set_engines(&specs);
-        let admission = AdmissionSettings::of(deployment.favour);
+        let admission = AdmissionSettings::for_profile(deployment.favour);
         Mangowalk {
             dispatcher: Dispatcher::new(placement, admission, seed),
             choices: HashMap::new(),
@@ -69,17 +69,17 @@
         }
     }
 
-    fn act(&mut self, verdicts: Vec<Verdict>) -> Vec<Action> {
+    fn act(&mut self, verdicts: Vec<Decision>) -> Vec<Action> {
         verdicts.into_iter().map(|v| self.action(v)).collect()
     }
 
-    fn action(&mut self, verdict: Verdict) -> Action {
+    fn action(&mut self, verdict: Decision) -> Action {
         match verdict {
-            Verdict::Send { id, choice } => {
+            Decision::Send { id, choice } => {
                 self.waiting.remove(&id);
                 self.send(id, choice)
             }
-            Verdict::Refuse { id, .. } => {
+            Decision::Refuse { id, .. } => {
                 self.waiting.remove(&id);
                 Action::Refuse { id }
             }
@@ -112,10 +112,10 @@
             model: MODEL.to_owned(),
             version: VERSION.to_owned(),
             chain: request.chain.to_vec(),
-            kept_blocks,
+            stored_blocks: kept_blocks,
         };
         self.waiting.insert(request.id);
-        let verdicts = self.dispatcher.arrive(job, &|_| true, now_ms);
+        let verdicts = self.dispatcher.submit(job, &|_| true, now_ms);
         self.act(verdicts)
     }
 
@@ -167,12 +167,12 @@
     }
 
     fn leave(&mut self, id: u64) -> bool {
-        self.dispatcher.leave(id);
+        self.dispatcher.remove(id);
         self.waiting.remove(&id)
     }
 
     fn tick(&mut self, now_ms: u64) -> Vec<Action> {
-        let verdicts = self.dispatcher.pump(&|_| true, now_ms);
+        let verdicts = self.dispatcher.dispatch_queued(&|_| true, now_ms);
         self.act(verdicts)
     }
 
