--- a/crates/gateway/src/callers/request.rs
+++ b/crates/gateway/src/callers/request.rs
@@ -10,9 +10,9 @@
     http_body_util::{BodyExt, LengthLimitError, Limited},
     hyper::body::Incoming,
     mangowalk_core::{
-        pool::Need,
-        routing::{Denied, Route, Tenant},
-        weights::Wanted,
+        pool::EngineRequirements,
+        routing::{Route, RouteError, Tenant},
+        weights::VersionBounds,
     },
     mangowalk_platform::RequestHead,
     std::{rc::Rc, time::Duration},
@@ -39,7 +39,7 @@
     pub(super) body: Bytes,
     pub(super) route: Rc<Route>,
     pub(super) tenant: Option<Rc<Tenant>>,
-    pub(super) need: Need,
+    pub(super) need: EngineRequirements,
     pub(super) arrived_ms: u64,
     /// When the caller leaves, or the operator's limit is reached.
     pub(super) deadline_ms: u64,
@@ -84,11 +84,11 @@
     }
 
     /// Returns what weights the request should meet.
-    pub(super) fn wanted(&self, now_ms: u64) -> Wanted {
+    pub(super) fn wanted(&self, now_ms: u64) -> VersionBounds {
         let newest = self.instance.newest.borrow();
         let named = self.need.model.as_ref().and_then(|model| newest.get(model));
-        named.map_or(Wanted::default(), |named| {
-            named.wanted(&self.instance.settings.weights, now_ms)
+        named.map_or(VersionBounds::default(), |named| {
+            named.version_bounds(&self.instance.settings.weights, now_ms)
         })
     }
 
@@ -97,7 +97,7 @@
     pub(super) fn may_wait_ms(&self, version: u64, now_ms: u64) -> Option<u64> {
         let newest = self.instance.newest.borrow();
         let named = newest.get(self.need.model.as_ref()?)?;
-        let bound_ms = named.bound_ms(version, &self.instance.settings.weights)?;
+        let bound_ms = named.start_deadline_ms(version, &self.instance.settings.weights)?;
         Some(bound_ms.saturating_sub(now_ms))
     }
 
@@ -149,14 +149,14 @@
     let routes = instance.routes.borrow().clone();
     let admitted = routes.admit(&head.host, parts.uri.path(), head.key.as_deref());
     let (route, tenant) = admitted.map_err(|denied| match denied {
-        Denied::NoRoute => (Refusal::NoRoute, None),
-        Denied::BadKey => (Refusal::BadKey, None),
+        RouteError::NoRoute => (Refusal::NoRoute, None),
+        RouteError::BadKey => (Refusal::BadKey, None),
     })?;
     let asked_ms = head.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
     let deadline_ms = arrived_ms + asked_ms.min(route.timeout_ms);
     let limits = routes.configuration().limits;
     let left = Duration::from_millis(deadline_ms - arrived_ms);
-    let body = timeout(left, Limited::new(body, limits.body_bytes).collect())
+    let body = timeout(left, Limited::new(body, limits.max_body_bytes).collect())
         .await
         .map_err(|_| (Refusal::TooSlow, None))?
         .map_err(|error| {
@@ -194,22 +194,27 @@
 /// it goes to another one.
 const STOPPING_RETRY_MS: u64 = 20;
 
-fn need(instance: &Instance, head: &RequestHead, route: &Route, tenant: Option<&Tenant>) -> Need {
+fn need(
+    instance: &Instance,
+    head: &RequestHead,
+    route: &Route,
+    tenant: Option<&Tenant>,
+) -> EngineRequirements {
     let service = route.service(rand::random()).to_owned();
     let model = head.usage.and_then(|_| head.model.clone());
     let usage = head.usage;
     if let Some(usage) = usage {
         let mut usual = instance.usual_prompt.get();
-        usual.note(usage.prompt_tokens);
+        usual.record(usage.prompt_tokens);
         instance.usual_prompt.set(usual);
     }
-    Need {
+    EngineRequirements {
         service,
         model,
         memory_tokens: usage.map_or(0, |usage| usage.prompt_tokens + usage.answer_tokens),
         prompt_tokens: usage.map_or(0, |usage| usage.prompt_tokens),
         parts: head.parts.clone(),
-        wall: tenant.filter(|tenant| tenant.isolated).map_or(0, wall),
+        isolation_salt: tenant.filter(|tenant| tenant.isolated).map_or(0, wall),
         domain: instance.machine().domain.clone(),
     }
 }
--- a/crates/gateway/src/weights/right.rs
+++ b/crates/gateway/src/weights/right.rs
@@ -4,7 +4,7 @@
         instance::{Drain, Instance},
         store::CallClient,
     },
-    mangowalk_core::weights::{Held, Lease, Seen, Told, Vacant},
+    mangowalk_core::weights::{Held, HolderReport, Lease, ObservedRecord, Vacant},
     mangowalk_platform::{
         Call, Kind, LeaseRecord, Stored, decode_object, encode_create, encode_replace,
         path_of_object,
@@ -52,7 +52,7 @@
     instance: Rc<Instance>,
     store: Rc<CallClient>,
     hold: Hold,
-    seen: Option<Seen>,
+    seen: Option<ObservedRecord>,
     /// Until then this instance leaves the lease to others.
     unable_until_ms: u64,
     failing_since_ms: Option<u64>,
@@ -111,8 +111,8 @@
     /// Returns whether another instance says that it holds the lease.
     fn is_held_elsewhere(&self) -> bool {
         let members = self.instance.members.borrow();
-        let mut heard = members.heard(&self.instance.settings.mesh, now_ms());
-        heard.any(|member| member.last.holds_lease)
+        let mut heard = members.live(&self.instance.settings.mesh, now_ms());
+        heard.any(|member| member.last_heartbeat.holds_lease)
     }
 
     /// Returns whether it is this instance's turn to take the lease from
@@ -126,9 +126,14 @@
         let now_ms = now_ms();
         let own = (self.instance.incarnation, &self.instance.machine().name);
         let before = members
-            .heard(&self.instance.settings.mesh, now_ms)
-            .filter(|member| member.last.ready)
-            .filter(|member| (member.last.incarnation, &member.last.name) > own)
+            .live(&self.instance.settings.mesh, now_ms)
+            .filter(|member| member.last_heartbeat.ready)
+            .filter(|member| {
+                (
+                    member.last_heartbeat.incarnation,
+                    &member.last_heartbeat.name,
+                ) > own
+            })
             .count() as u64;
         now_ms >= since_ms + before * TURN_MS
     }
@@ -205,7 +210,7 @@
     /// Returns whose a record is.
     fn before(&mut self, stored: &Stored, now_ms: u64) -> Before {
         let seen = self.seen.filter(|seen| seen.revision == stored.revision);
-        let seen = seen.unwrap_or(Seen {
+        let seen = seen.unwrap_or(ObservedRecord {
             revision: stored.revision,
             first_ms: now_ms,
         });
@@ -223,18 +228,18 @@
             .filter(|_| !is_own)
             .and_then(|record| self.told(&record));
         let settings = &self.instance.settings.lease;
-        let quiet_since_ms = seen.may_take(told, settings, now_ms);
+        let quiet_since_ms = seen.check_takeover(told, settings, now_ms);
         quiet_since_ms.map_or(Before::Fresh, Before::Left)
     }
 
     /// Returns when the holder of a record gave its last order, if that can be
     /// told: it has left the lease and says when, or it has started again,
     /// and what ordered before it did so is gone.
-    fn told(&self, record: &LeaseRecord) -> Option<Told> {
+    fn told(&self, record: &LeaseRecord) -> Option<HolderReport> {
         let members = self.instance.members.borrow();
         let mut members = members.iter();
-        let holder = members.find(|member| member.last.name == record.holder)?;
-        let last = &holder.last;
+        let holder = members.find(|member| member.last_heartbeat.name == record.holder)?;
+        let last = &holder.last_heartbeat;
         if last.holds_lease {
             return None;
         }
@@ -244,9 +249,9 @@
             Some(ago_ms) if !is_restarted => u64::from(ago_ms),
             _ => up_ms,
         };
-        Some(Told {
-            quiet_since_ms: holder.heard_ms.saturating_sub(ago_ms),
-            heard_ms: holder.heard_ms,
+        Some(HolderReport {
+            quiet_since_ms: holder.received_ms.saturating_sub(ago_ms),
+            heard_ms: holder.received_ms,
             is_restarted,
         })
     }
--- a/crates/mangowalkd/src/serve/observe.rs
+++ b/crates/mangowalkd/src/serve/observe.rs
@@ -3,7 +3,7 @@
     mangowalk_core::{
         burn::{End, Observation},
         edge::{Clock, Edges, ServiceReply},
-        placement::tokens_of,
+        placement::estimate_tokens,
         refusal::Refusal,
     },
     std::io,
@@ -56,14 +56,14 @@
         };
         let result = self.generate(request, &mut timed);
         let (first_ms, caller_gone) = (timed.first_ms, timed.caller_gone);
-        let asked = tokens_of(&request.prompt) + u64::from(request.max_tokens);
+        let asked = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
         let (end, tokens) = match &result {
             Ok(done) => (
                 End::Complete,
                 done.usage.prompt_tokens + done.usage.completion_tokens,
             ),
             Err(_) if caller_gone => (End::Abandoned, asked),
-            Err(refusal) => (End::of_refusal(refusal, first_ms.is_some()), asked),
+            Err(refusal) => (End::from_refusal(refusal, first_ms.is_some()), asked),
         };
         let seen = Observation {
             first_token_ms: first_ms.map(|ms| ms.saturating_sub(started_ms)),
@@ -83,7 +83,7 @@
         let result = self.call_service(request);
         let end = match &result {
             Ok(_) => End::Complete,
-            Err(refusal) => End::of_refusal(refusal, false),
+            Err(refusal) => End::from_refusal(refusal, false),
         };
         let seen = Observation {
             first_token_ms: None,
--- a/crates/mangowalkd/src/serve/place.rs
+++ b/crates/mangowalkd/src/serve/place.rs
@@ -2,10 +2,10 @@
     super::{ChatRequest, Router, attempt::Target},
     crate::board::{Board, Placed},
     mangowalk_core::{
-        admission::Fit,
+        admission::EngineFilter,
         config::View,
         edge::{Clock, Edges},
-        placement::{Ask, BLOCK_BYTES, Choice, block_chain},
+        placement::{BLOCK_BYTES, Choice, PlacementRequest, block_chain},
     },
     std::collections::HashSet,
 };
@@ -59,20 +59,20 @@
         view: &View,
         version: Option<&str>,
         tried: &HashSet<String>,
-        fit: &Fit<'_>,
+        fit: &EngineFilter<'_>,
     ) -> Option<Target> {
         let mut avoid = tried.clone();
         avoid.extend(view.closed_engines());
         let version = version.map_or_else(|| self.version_for(request), |v| Some(v.to_owned()))?;
         let salt = cache_salt(&request.team, &request.model, &version);
         let chain = block_chain(&salt, &request.prompt);
-        let ask = Ask {
+        let ask = PlacementRequest {
             model: &request.model,
             version: &version,
             chain: &chain,
-            kept_blocks: 0,
+            kv_store_blocks: 0,
             avoid: &avoid,
-            fit,
+            is_usable: fit,
             waited_ms: 0,
             queued: 0,
             force: true,
--- a/crates/standins/src/queue/mangowalk.rs
+++ b/crates/standins/src/queue/mangowalk.rs
@@ -7,9 +7,9 @@
         request::Request,
     },
     mangowalk_core::{
-        admission::{AdmissionSettings, Dispatcher, Job, Verdict},
+        admission::{AdmissionSettings, Decision, Dispatcher, Job},
         engine::{CacheEvents, EngineState},
-        placement::{Ask, Choice, EngineSpec, Placement, PlacementSettings},
+        placement::{Choice, EngineSpec, Placement, PlacementRequest, PlacementSettings},
     },
     std::collections::{HashMap, HashSet},
 };
@@ -56,12 +56,12 @@
             .map(|engine| EngineSpec {
                 name: name(engine),
                 model: MODEL.to_owned(),
-                near: engine % domains == instance % domains,
+                in_same_domain: engine % domains == instance % domains,
                 departing: false,
             })
             .collect();
         placement.set_engines(&specs);
-        let admission = AdmissionSettings::of(deployment.favour);
+        let admission = AdmissionSettings::for_profile(deployment.favour);
         Mangowalk {
             dispatcher: Dispatcher::new(placement, admission, seed),
             choices: HashMap::new(),
@@ -69,17 +69,17 @@
         }
     }
 
-    fn act(&mut self, verdicts: Vec<Verdict>) -> Vec<Action> {
+    fn act(&mut self, verdicts: Vec<Decision>) -> Vec<Action> {
         verdicts.into_iter().map(|v| self.action(v)).collect()
     }
 
-    fn action(&mut self, verdict: Verdict) -> Action {
+    fn action(&mut self, verdict: Decision) -> Action {
         match verdict {
-            Verdict::Send { id, choice } => {
+            Decision::Send { id, choice } => {
                 self.waiting.remove(&id);
                 self.send(id, choice)
             }
-            Verdict::Refuse { id, .. } => {
+            Decision::Refuse { id, .. } => {
                 self.waiting.remove(&id);
                 Action::Refuse { id }
             }
@@ -112,22 +112,22 @@
             model: MODEL.to_owned(),
             version: VERSION.to_owned(),
             chain: request.chain.to_vec(),
-            kept_blocks,
+            stored_blocks: kept_blocks,
         };
         self.waiting.insert(request.id);
-        let verdicts = self.dispatcher.arrive(job, &|_| true, now_ms);
+        let verdicts = self.dispatcher.submit(job, &|_| true, now_ms);
         self.act(verdicts)
     }
 
     fn again(&mut self, request: &Request, dead: usize, now_ms: u64) -> Vec<Action> {
         let avoid = HashSet::from([name(dead)]);
-        let ask = Ask {
+        let ask = PlacementRequest {
             model: MODEL,
             version: VERSION,
             chain: &request.chain,
-            kept_blocks: 0,
+            kv_store_blocks: 0,
             avoid: &avoid,
-            fit: &|_| true,
+            is_usable: &|_| true,
             waited_ms: 0,
             queued: 0,
             force: true,
@@ -167,17 +167,19 @@
     }
 
     fn leave(&mut self, id: u64) -> bool {
-        self.dispatcher.leave(id);
+        self.dispatcher.remove(id);
         self.waiting.remove(&id)
     }
 
     fn tick(&mut self, now_ms: u64) -> Vec<Action> {
-        let verdicts = self.dispatcher.pump(&|_| true, now_ms);
+        let verdicts = self.dispatcher.dispatch_queued(&|_| true, now_ms);
         self.act(verdicts)
     }
 
     fn events_from(&self, engine: usize) -> Option<u64> {
-        self.dispatcher.placement().events_from(&name(engine))
+        self.dispatcher
+            .placement()
+            .next_event_sequence(&name(engine))
     }
 
     fn cache_events(&mut self, engine: usize, events: &CacheEvents) {
