--- a/crates/mangowalkd/examples/capacity/state.rs
+++ b/crates/mangowalkd/examples/capacity/state.rs
@@ -8,7 +8,7 @@
         peer::{InstanceView, PeerReply},
         record::Rate,
     },
-    mangowalkd::board::PeerBoard,
+    mangowalkd::shared_state::SharedPeers,
     serde_json::json,
     std::{hint::black_box, net::SocketAddr, time::Instant},
 };
@@ -85,9 +85,9 @@
         departing: false,
         suspected: false,
     };
-    let peers = PeerBoard::default();
+    let peers = SharedPeers::default();
     for i in 1..instances {
-        peers.hear(&view(i), i as u64);
+        peers.merge_indirect(&view(i), i as u64);
     }
     let mean_bytes = |rounds: u32| -> usize {
         let bytes: usize = (0..rounds).map(|_| answer_bytes(&peers, view(0))).sum();
@@ -98,10 +98,10 @@
     println!("| {instances} | {fresh_bytes} | {} |", mean_bytes(REPEATS));
 }
 
-fn answer_bytes(peers: &PeerBoard, from: InstanceView) -> usize {
+fn answer_bytes(peers: &SharedPeers, from: InstanceView) -> usize {
     let reply = PeerReply::Exchange {
         from,
-        updates: peers.news(),
+        updates: peers.next_updates(),
         delta: Delta::default(),
         crashes: Vec::new(),
     };
--- a/crates/mangowalkd/src/caller/addresses.rs
+++ b/crates/mangowalkd/src/caller/addresses.rs
@@ -18,7 +18,7 @@
 /// Returns the instances that a caller may use, in the order in which it
 /// should try them.
 pub(super) fn body<E: Edges>(router: &Router<E>) -> Vec<u8> {
-    let board = router.board();
+    let board = router.shared();
     let id = &board.identity;
     let mut instances: Vec<InstanceView> = board
         .peers
@@ -29,8 +29,8 @@
         incarnation: id.incarnation,
         heartbeat: 0,
         failure_domain: id.failure_domain.clone(),
-        ready: board.life.is_ready(),
-        departing: board.life.is_departing(),
+        ready: board.lifecycle.is_ready(),
+        departing: board.lifecycle.is_departing(),
         suspected: false,
     });
     let body = Addresses {
--- a/crates/mangowalkd/src/caller/handler.rs
+++ b/crates/mangowalkd/src/caller/handler.rs
@@ -73,8 +73,8 @@
     }
 
     fn ready(&self, request: Request) {
-        let board = self.router.board();
-        let ready = board.life.is_ready();
+        let board = self.router.shared();
+        let ready = board.lifecycle.is_ready();
         self.json(request, if ready { 200 } else { 503 }, b"{}".to_vec());
     }
 
@@ -146,7 +146,7 @@
     /// hold more of the team's tokens, so a request over what remains here is
     /// not refused for that alone.
     pub(super) fn add_rate(&self, head: &mut Head, team: &str) {
-        let board = self.router.board();
+        let board = self.router.shared();
         let view = board.config.view();
         let Some(rate) = view.rates.get(team) else {
             return;
--- a/crates/mangowalkd/src/caller/models.rs
+++ b/crates/mangowalkd/src/caller/models.rs
@@ -10,7 +10,7 @@
 
 /// Returns the list of offered models.
 pub(super) fn list<E: Edges>(router: &Router<E>) -> Vec<u8> {
-    let view = router.board().config.view();
+    let view = router.shared().config.view();
     let data: Vec<Value> = view.models.keys().map(|id| model(id)).collect();
     json!({ "object": "list", "data": data })
         .to_string()
@@ -19,7 +19,7 @@
 
 /// Returns one offered model.
 pub(super) fn one<E: Edges>(router: &Router<E>, id: &str) -> Result<Vec<u8>, Refusal> {
-    if !router.board().config.view().models.contains_key(id) {
+    if !router.shared().config.view().models.contains_key(id) {
         return Err(Refusal::NotFound {
             what: "Model",
             name: id.to_owned(),
--- a/crates/mangowalkd/src/caller/server.rs
+++ b/crates/mangowalkd/src/caller/server.rs
@@ -95,7 +95,7 @@
     }
 
     fn is_stopped(&self) -> bool {
-        self.router.board().life.is_stopped()
+        self.router.shared().lifecycle.is_stopped()
     }
 
     /// Hands out requests until the instance stops.
@@ -165,7 +165,7 @@
         let refused = self.check(&request).err();
         let callers = self.clone();
         let most = self.router.settings().max_open_requests;
-        let spawned = match self.router.board().life.open(most) {
+        let spawned = match self.router.shared().lifecycle.open(most) {
             Some(guard) => thread::Builder::new()
                 .name("request".to_owned())
                 .stack_size(REQUEST_STACK_BYTES)
--- a/crates/mangowalkd/src/controller/cache_events.rs
+++ b/crates/mangowalkd/src/controller/cache_events.rs
@@ -1,6 +1,6 @@
 use {
     super::Controller,
-    crate::board::Board,
+    crate::shared_state::SharedState,
     mangowalk_core::edge::{Edges, Engines},
     std::marker::PhantomData,
 };
@@ -34,7 +34,7 @@
 
     const NAME: &'static str = "cache";
 
-    fn step(&mut self, edges: &E, board: &Board, _now_ms: u64) -> u64 {
+    fn step(&mut self, edges: &E, board: &SharedState, _now_ms: u64) -> u64 {
         let view = board.config.view();
         let engines: Vec<_> = view.engines.values().collect();
         for _ in 0..engines.len().min(ASKED_A_ROUND) {
--- a/crates/mangowalkd/src/controller/claim_keeper.rs
+++ b/crates/mangowalkd/src/controller/claim_keeper.rs
@@ -1,6 +1,6 @@
 use {
     super::Controller,
-    crate::board::{Board, ClaimWrite},
+    crate::shared_state::{ClaimWrite, SharedState},
     log::{info, warn},
     mangowalk_core::{
         claim::{ClaimBody, EpochBody, MIN_EPOCH_MS},
@@ -37,7 +37,7 @@
 }
 
 impl<E: Edges> ClaimKeeper<E> {
-    fn watch_epoch(&mut self, edges: &E, board: &Board, now_ms: u64) {
+    fn watch_epoch(&mut self, edges: &E, board: &SharedState, now_ms: u64) {
         if now_ms < self.next_epoch_ms {
             return;
         }
@@ -48,7 +48,7 @@
             return;
         }
         let now_ms = edges.clock().now_ms();
-        let Some((version, body)) = board.claims.epoch_watch().next_epoch(now_ms) else {
+        let Some((version, body)) = board.claims.epoch_tracker().next_epoch(now_ms) else {
             return;
         };
         let value = serde_json::to_value(body).unwrap_or_default();
@@ -59,7 +59,7 @@
         if let Ok(version) = written {
             board
                 .claims
-                .see_epoch(version, body, edges.clock().now_ms());
+                .observe_epoch(version, body, edges.clock().now_ms());
             sweep(edges, board);
         }
     }
@@ -70,7 +70,7 @@
 
     const NAME: &'static str = "claims";
 
-    fn step(&mut self, edges: &E, board: &Board, now_ms: u64) -> u64 {
+    fn step(&mut self, edges: &E, board: &SharedState, now_ms: u64) -> u64 {
         self.watch_epoch(edges, board, now_ms);
         let Some(write) = board.claims.next(WAIT) else {
             return 0;
@@ -78,13 +78,13 @@
         let Some(left) = send(edges, write) else {
             return 0;
         };
-        board.claims.put_back(left);
+        board.claims.requeue(left);
         RETRY_MS
     }
 }
 
 /// Writes what still waits, at a shutdown. Stops at the first failure.
-pub fn flush_claims<E: Edges>(edges: &E, board: &Board) {
+pub fn flush_claims<E: Edges>(edges: &E, board: &SharedState) {
     for _ in 0..MOST_AT_SHUTDOWN {
         let Some(write) = board.claims.next(Duration::ZERO) else {
             return;
@@ -92,7 +92,7 @@
         if send(edges, write).is_some() {
             warn!(
                 "claims: {} outcomes were not written; their callers are told that they are unknown.",
-                board.claims.waiting() + 1
+                board.claims.pending() + 1
             );
             return;
         }
@@ -105,17 +105,21 @@
     let result = match &write {
         ClaimWrite::Settle { key, expect, body } => platform.put(key, *expect, body),
         ClaimWrite::Withdraw { key, expect } => platform.delete(key, *expect),
-        ClaimWrite::WithdrawNonce { key, nonce, looks } => {
+        ClaimWrite::WithdrawNonce {
+            key,
+            nonce,
+            checks_left,
+        } => {
             return match find(edges, key, *nonce) {
                 Ok(Some(expect)) => Some(ClaimWrite::Withdraw {
                     key: key.clone(),
                     expect,
                 }),
-                Ok(None) if *looks == 0 => None,
+                Ok(None) if *checks_left == 0 => None,
                 Ok(None) => Some(ClaimWrite::WithdrawNonce {
                     key: key.clone(),
                     nonce: *nonce,
-                    looks: looks - 1,
+                    checks_left: checks_left - 1,
                 }),
                 Err(_) => Some(write),
             };
@@ -136,7 +140,7 @@
     Ok(own.map(|o| Expect::Version(o.version)))
 }
 
-fn read_epoch<E: Edges>(edges: &E, board: &Board) -> Result<(), PlatformError> {
+fn read_epoch<E: Edges>(edges: &E, board: &SharedState) -> Result<(), PlatformError> {
     let platform = edges.platform();
     let (version, body) = match platform.get(&epoch_key())? {
         Some(object) => (
@@ -154,15 +158,15 @@
     };
     board
         .claims
-        .see_epoch(version, body, edges.clock().now_ms());
+        .observe_epoch(version, body, edges.clock().now_ms());
     Ok(())
 }
 
-fn sweep<E: Edges>(edges: &E, board: &Board) {
+fn sweep<E: Edges>(edges: &E, board: &SharedState) {
     let Ok(list) = edges.platform().list(&[own_kind::CLAIM]) else {
         return;
     };
-    let watch = board.claims.epoch_watch();
+    let watch = board.claims.epoch_tracker();
     let over = list
         .objects
         .iter()
--- a/crates/mangowalkd/src/controller/config_watch.rs
+++ b/crates/mangowalkd/src/controller/config_watch.rs
@@ -1,6 +1,6 @@
 use {
     super::Controller,
-    crate::board::Board,
+    crate::shared_state::SharedState,
     log::{info, warn},
     mangowalk_core::{
         edge::{Clock, Edges, Platform, PlatformError},
@@ -35,7 +35,7 @@
 }
 
 impl<E: Edges> ConfigWatch<E> {
-    fn list(&mut self, edges: &E, board: &Board) -> Result<(), PlatformError> {
+    fn list(&mut self, edges: &E, board: &SharedState) -> Result<(), PlatformError> {
         let list = edges.platform().list(&as_strs(&held_kinds()))?;
         let changed = board.config.update(|store| store.merge_list(&list));
         info!(
@@ -46,7 +46,7 @@
         Ok(())
     }
 
-    fn watch(&mut self, edges: &E, board: &Board) -> Result<(), PlatformError> {
+    fn watch(&mut self, edges: &E, board: &SharedState) -> Result<(), PlatformError> {
         let after = board.config.read(|store| store.revision());
         let kinds = held_kinds();
         // Each answer confirms the records, so that several must fit into the
@@ -71,7 +71,7 @@
 
     const NAME: &'static str = "config";
 
-    fn step(&mut self, edges: &E, board: &Board, _now_ms: u64) -> u64 {
+    fn step(&mut self, edges: &E, board: &SharedState, _now_ms: u64) -> u64 {
         let result = if self.listed {
             self.watch(edges, board)
         } else {
--- a/crates/mangowalkd/src/controller/crashes.rs
+++ b/crates/mangowalkd/src/controller/crashes.rs
@@ -1,5 +1,5 @@
 use {
-    crate::board::Board,
+    crate::shared_state::SharedState,
     log::warn,
     mangowalk_core::{
         edge::{Clock, Edges, Peers},
@@ -24,9 +24,9 @@
 /// The caller of a request that crashes upstreams sends it again within a
 /// second, to another instance. Left to the usual exchanges, that instance
 /// would count the crashes from one again.
-pub fn tell_crashes<E: Edges>(edges: &E, board: &Board) {
+pub fn tell_crashes<E: Edges>(edges: &E, board: &SharedState) {
     let request = PeerRequest::Crashes {
-        crashes: board.poison.sights(edges.clock().now_ms()),
+        crashes: board.poison.reports(edges.clock().now_ms()),
     };
     let mut peers: Vec<(bool, SocketAddr)> = board.peers.read(|members| {
         let all = members.all().map(|m| &m.view);
@@ -44,7 +44,7 @@
     });
 }
 
-fn tell<E: Edges>(edges: &E, board: &Board, address: SocketAddr, request: &PeerRequest) {
+fn tell<E: Edges>(edges: &E, board: &SharedState, address: SocketAddr, request: &PeerRequest) {
     for _ in 0..TRIES {
         let reply = edges.peers().ask(address, request, ANSWER_TIMEOUT_MS);
         if let Ok(PeerReply::Crashes { crashes }) = reply {
@@ -56,9 +56,9 @@
 }
 
 /// Takes what a peer tells, and answers with what is known here.
-pub(super) fn hear_crashes(board: &Board, crashes: &[CrashReport], now_ms: u64) -> PeerReply {
+pub(super) fn hear_crashes(board: &SharedState, crashes: &[CrashReport], now_ms: u64) -> PeerReply {
     board.poison.merge(crashes, now_ms);
     PeerReply::Crashes {
-        crashes: board.poison.sights(now_ms),
+        crashes: board.poison.reports(now_ms),
     }
 }
--- a/crates/mangowalkd/src/controller/engine_poll.rs
+++ b/crates/mangowalkd/src/controller/engine_poll.rs
@@ -1,6 +1,6 @@
 use {
     super::Controller,
-    crate::board::Board,
+    crate::shared_state::SharedState,
     mangowalk_core::{
         config::EngineRecord,
         edge::{Clock, Edges, Engines},
@@ -48,7 +48,7 @@
 
     const NAME: &'static str = "engines";
 
-    fn step(&mut self, edges: &E, board: &Board, _now_ms: u64) -> u64 {
+    fn step(&mut self, edges: &E, board: &SharedState, _now_ms: u64) -> u64 {
         let view = board.config.view();
         board.engines.retain(|name| view.engines.contains_key(name));
         board
@@ -56,8 +56,8 @@
             .retain(|name| view.engines.contains_key(name));
         board
             .dispatch
-            .set_instances(board.peers.sights().len() as u32 + 1);
-        board.take_engines(&view);
+            .set_instances(board.peers.reachable().len() as u32 + 1);
+        board.apply_engines(&view);
         let engines: Vec<&EngineRecord> = view.engines.values().collect();
         let unseen: Vec<&EngineRecord> = board.engines.read(|sights| {
             let never = |e: &&EngineRecord| sights.get(&e.name).is_none_or(|s| s.seen_ms == 0);
@@ -81,7 +81,7 @@
     }
 }
 
-fn ask<E: Edges>(edges: &E, board: &Board, engine: &EngineRecord) {
+fn ask<E: Edges>(edges: &E, board: &SharedState, engine: &EngineRecord) {
     let state = edges.engines().state(engine.address).ok();
     let seen_ms = edges.clock().now_ms().max(1);
     board.dispatch.report(&engine.name, state.as_ref(), seen_ms);
--- a/crates/mangowalkd/src/controller/gossip.rs
+++ b/crates/mangowalkd/src/controller/gossip.rs
@@ -1,6 +1,6 @@
 use {
     super::{Controller, crashes::hear_crashes, registry::Registry},
-    crate::board::Board,
+    crate::shared_state::SharedState,
     log::info,
     mangowalk_core::{
         config::{Delta, Freshness},
@@ -56,12 +56,12 @@
 
     /// Returns the peer to ask next: at random, so that no list of who asks
     /// whom has to be agreed on.
-    fn choose(&self, board: &Board) -> Option<SocketAddr> {
-        let live = board.peers.sights();
+    fn choose(&self, board: &SharedState) -> Option<SocketAddr> {
+        let live = board.peers.reachable();
         let known: Vec<SocketAddr> = live.iter().map(|m| m.view.peer_address).collect();
         let doubtful = self.doubtful(board, &known);
         let from_doubtful = known.is_empty()
-            || board.life.is_starting()
+            || board.lifecycle.is_starting()
             || self.round.is_multiple_of(DOUBTFUL_EVERY);
         let mut random = rand::rng();
         if from_doubtful && !doubtful.is_empty() {
@@ -70,7 +70,7 @@
         known.choose(&mut random).copied()
     }
 
-    fn doubtful(&self, board: &Board, known: &[SocketAddr]) -> Vec<SocketAddr> {
+    fn doubtful(&self, board: &SharedState, known: &[SocketAddr]) -> Vec<SocketAddr> {
         let suspected: Vec<SocketAddr> = board.peers.read(|m| {
             let suspected = m.all().filter(|m| m.view.suspected);
             suspected.map(|m| m.view.peer_address).collect()
@@ -84,12 +84,12 @@
             .collect()
     }
 
-    fn exchange(&mut self, edges: &E, board: &Board, address: SocketAddr) {
+    fn exchange(&mut self, edges: &E, board: &SharedState, address: SocketAddr) {
         let request = PeerRequest::Exchange {
             from: own_view(board),
             digest: board.config.read(|s| s.digest()),
-            updates: board.peers.news(),
-            crashes: board.poison.sights(edges.clock().now_ms()),
+            updates: board.peers.next_updates(),
+            crashes: board.poison.reports(edges.clock().now_ms()),
         };
         for _ in 0..TRIES {
             let reply = edges.peers().ask(address, &request, ANSWER_TIMEOUT_MS);
@@ -110,15 +110,15 @@
 
     /// Raises the own counter where this instance has something new to say
     /// of itself, so that the change outranks what is known of it.
-    fn note_change(&mut self, board: &Board) {
-        let says = (board.life.is_ready(), board.life.is_departing());
+    fn note_change(&mut self, board: &SharedState) {
+        let says = (board.lifecycle.is_ready(), board.lifecycle.is_departing());
         if says != self.said {
             self.said = says;
-            board.peers.outdo(board.peers.own_heartbeat());
+            board.peers.raise_own_heartbeat(board.peers.own_heartbeat());
         }
     }
 
-    fn try_ready(&self, board: &Board, now_ms: u64) {
+    fn try_ready(&self, board: &SharedState, now_ms: u64) {
         let facts = StartingFacts {
             has_records: board.config.view().revision > 0,
             compared: self.compared,
@@ -126,7 +126,7 @@
                 || !self.seeds.is_empty()
                 || !self.registry.peers().is_empty(),
         };
-        if board.life.try_ready(facts, now_ms) {
+        if board.lifecycle.try_ready(facts, now_ms) {
             info!("peers: Ready for callers.");
         }
     }
@@ -137,7 +137,7 @@
 
     const NAME: &'static str = "peers";
 
-    fn step(&mut self, edges: &E, board: &Board, now_ms: u64) -> u64 {
+    fn step(&mut self, edges: &E, board: &SharedState, now_ms: u64) -> u64 {
         self.registry.step(edges, board, now_ms);
         self.round += 1;
         self.note_change(board);
@@ -146,7 +146,7 @@
             self.exchange(edges, board, address);
         }
         self.try_ready(board, edges.clock().now_ms());
-        let period_ms = if board.life.is_starting() {
+        let period_ms = if board.lifecycle.is_starting() {
             STARTING_PERIOD_MS
         } else {
             PERIOD_MS
@@ -155,7 +155,7 @@
         rand::rng().random_range(period_ms / 2..period_ms * 3 / 2)
     }
 
-    fn leave(&mut self, edges: &E, board: &Board) {
+    fn leave(&mut self, edges: &E, board: &SharedState) {
         self.note_change(board);
         self.registry.leave(edges, board);
         for peer in board.peers.live().iter().take(FAREWELLS) {
@@ -167,7 +167,7 @@
 /// Takes a peer's side of an exchange.
 fn take<E: Edges>(
     edges: &E,
-    board: &Board,
+    board: &SharedState,
     from: &InstanceView,
     news: &[InstanceView],
     delta: &Delta,
@@ -191,21 +191,21 @@
     }
 }
 
-fn hear(board: &Board, from: &InstanceView, news: &[InstanceView], now_ms: u64) {
+fn hear(board: &SharedState, from: &InstanceView, news: &[InstanceView], now_ms: u64) {
     let id = &board.identity;
     if from.caller_address != id.caller_address {
-        board.peers.hear_direct(from, now_ms);
+        board.peers.merge_direct(from, now_ms);
     }
     for view in news {
         if view.caller_address != id.caller_address {
-            board.peers.hear(view, now_ms);
+            board.peers.merge_indirect(view, now_ms);
         } else if view.incarnation == id.incarnation && view.suspected {
-            board.peers.outdo(view.heartbeat);
+            board.peers.raise_own_heartbeat(view.heartbeat);
         }
     }
 }
 
-fn suspect(board: &Board, peer_address: SocketAddr, now_ms: u64) {
+fn suspect(board: &SharedState, peer_address: SocketAddr, now_ms: u64) {
     let suspects = board.peers.live();
     let Some(view) = suspects.iter().find(|v| v.peer_address == peer_address) else {
         return;
@@ -214,7 +214,7 @@
     board.peers.suspect(view.caller_address, now_ms);
 }
 
-fn own_view(board: &Board) -> InstanceView {
+fn own_view(board: &SharedState) -> InstanceView {
     let id = &board.identity;
     InstanceView {
         caller_address: id.caller_address,
@@ -222,14 +222,14 @@
         incarnation: id.incarnation,
         heartbeat: board.peers.own_heartbeat(),
         failure_domain: id.failure_domain.clone(),
-        ready: board.life.is_ready(),
-        departing: board.life.is_departing(),
+        ready: board.lifecycle.is_ready(),
+        departing: board.lifecycle.is_departing(),
         suspected: false,
     }
 }
 
 /// Answers one request of a peer.
-pub fn answer<E: Edges>(edges: &E, board: &Board, request: &PeerRequest) -> PeerReply {
+pub fn answer<E: Edges>(edges: &E, board: &SharedState, request: &PeerRequest) -> PeerReply {
     let now_ms = edges.clock().now_ms();
     match request {
         PeerRequest::Exchange {
@@ -242,9 +242,9 @@
             board.poison.merge(crashes, now_ms);
             PeerReply::Exchange {
                 from: own_view(board),
-                updates: board.peers.news(),
+                updates: board.peers.next_updates(),
                 delta: board.config.read(|s| s.delta_for(digest)),
-                crashes: board.poison.sights(now_ms),
+                crashes: board.poison.reports(now_ms),
             }
         }
         PeerRequest::Crashes { crashes } => hear_crashes(board, crashes, now_ms),
--- a/crates/mangowalkd/src/controller/lease_keeper.rs
+++ b/crates/mangowalkd/src/controller/lease_keeper.rs
@@ -1,5 +1,5 @@
 use {
-    crate::board::Board,
+    crate::shared_state::SharedState,
     log::info,
     mangowalk_core::{
         edge::{Clock, Edges, Platform, PlatformError},
@@ -45,7 +45,7 @@
     }
 
     /// Takes or renews the lease where that is due, and returns it if held.
-    pub(super) fn keep<E: Edges>(&mut self, edges: &E, board: &Board) -> Option<Lease<Held>> {
+    pub(super) fn keep<E: Edges>(&mut self, edges: &E, board: &SharedState) -> Option<Lease<Held>> {
         let now_ms = edges.clock().now_ms();
         match self.state {
             State::Held(held) if !held.is_valid(now_ms) => {
@@ -87,14 +87,20 @@
         ObjectKey::new(own_kind::LEASE, &self.name)
     }
 
-    fn renew<E: Edges>(&mut self, edges: &E, board: &Board, held: Lease<Held>, asked_ms: u64) {
+    fn renew<E: Edges>(
+        &mut self,
+        edges: &E,
+        board: &SharedState,
+        held: Lease<Held>,
+        asked_ms: u64,
+    ) {
         // Without a reply nothing is known, and the lease runs on to its end.
         if let Some(version) = self.write(edges, board, Expect::Version(held.fencing())) {
             self.state = State::Held(held.renewed(version, asked_ms));
         }
     }
 
-    fn look<E: Edges>(&mut self, edges: &E, board: &Board, mut watching: Lease<Watching>) {
+    fn look<E: Edges>(&mut self, edges: &E, board: &SharedState, mut watching: Lease<Watching>) {
         let Ok(object) = edges.platform().get(&self.key()) else {
             return;
         };
@@ -116,7 +122,7 @@
 
     /// Writes the lease and returns its version. A lost reply is read back: a
     /// write of this keeper is known by its nonce.
-    fn write<E: Edges>(&mut self, edges: &E, board: &Board, expect: Expect) -> Option<u64> {
+    fn write<E: Edges>(&mut self, edges: &E, board: &SharedState, expect: Expect) -> Option<u64> {
         self.nonce = rand::random();
         let body = json!({
             "schema": 1,
@@ -138,10 +144,10 @@
 
 /// Returns whether this instance is among those that try to get a lease. All
 /// instances that see the same others come to the same answer without a word.
-pub(super) fn is_candidate(board: &Board, lease: &str) -> bool {
+pub(super) fn is_candidate(board: &SharedState, lease: &str) -> bool {
     let weight = |address: SocketAddr| digest_of(&format!("{lease}/{address}"));
     let own = weight(board.identity.caller_address);
     let lower = |v: &InstanceView| weight(v.caller_address) < own;
     let before = board.peers.live().into_iter().filter(lower).count();
-    !board.life.is_starting() && !board.life.is_departing() && before < CANDIDATES
+    !board.lifecycle.is_starting() && !board.lifecycle.is_departing() && before < CANDIDATES
 }
--- a/crates/mangowalkd/src/controller/model_rollout.rs
+++ b/crates/mangowalkd/src/controller/model_rollout.rs
@@ -1,6 +1,6 @@
 use {
     super::{lease_keeper::LeaseKeeper, probe::probe},
-    crate::board::Board,
+    crate::shared_state::SharedState,
     log::{info, warn},
     mangowalk_core::{
         config::{EngineRecord, View},
@@ -65,7 +65,7 @@
     /// Takes the next steps, if the lease is held. A failed call ends the
     /// step; the work is then read again, because what took effect is not
     /// known.
-    pub(super) fn step(&mut self, edges: &E, board: &Board, view: &View) {
+    pub(super) fn step(&mut self, edges: &E, board: &SharedState, view: &View) {
         if self.lease.keep(edges, board).is_none() {
             self.work = None;
             return;
@@ -76,7 +76,7 @@
         }
     }
 
-    fn act(&mut self, edges: &E, board: &Board, view: &View) -> Result<(), PlatformError> {
+    fn act(&mut self, edges: &E, board: &SharedState, view: &View) -> Result<(), PlatformError> {
         let Some(record) = view.models.get(&self.model) else {
             return Ok(());
         };
@@ -157,13 +157,13 @@
     fn read_states(
         &self,
         edges: &E,
-        board: &Board,
+        board: &SharedState,
         view: &View,
         marks: &BTreeSet<String>,
     ) -> BTreeMap<String, Option<EngineState>> {
         let mut states: BTreeMap<String, Option<EngineState>> = board
             .engines
-            .sights()
+            .snapshot()
             .into_iter()
             .map(|(name, sight)| (name, sight.state))
             .collect();
--- a/crates/mangowalkd/src/controller/record_status.rs
+++ b/crates/mangowalkd/src/controller/record_status.rs
@@ -3,7 +3,7 @@
         Controller,
         lease_keeper::{LeaseKeeper, is_candidate},
     },
-    crate::board::Board,
+    crate::shared_state::SharedState,
     log::warn,
     mangowalk_core::{
         edge::{Edges, Platform},
@@ -58,7 +58,7 @@
         Some(())
     }
 
-    fn write_changes(&mut self, edges: &E, board: &Board) -> Option<()> {
+    fn write_changes(&mut self, edges: &E, board: &SharedState) -> Option<()> {
         self.read_written(edges)?;
         let wanted = board.config.read(RecordStatus::of_all);
         let written = self.written.get_or_insert_default();
@@ -92,7 +92,7 @@
 
     const NAME: &'static str = "status";
 
-    fn step(&mut self, edges: &E, board: &Board, _now_ms: u64) -> u64 {
+    fn step(&mut self, edges: &E, board: &SharedState, _now_ms: u64) -> u64 {
         if !is_candidate(board, LEASE) {
             self.lease.release(edges);
             self.written = None;
@@ -109,7 +109,7 @@
         PERIOD_MS
     }
 
-    fn leave(&mut self, edges: &E, _board: &Board) {
+    fn leave(&mut self, edges: &E, _board: &SharedState) {
         self.lease.release(edges);
     }
 }
--- a/crates/mangowalkd/src/controller/registry.rs
+++ b/crates/mangowalkd/src/controller/registry.rs
@@ -1,5 +1,5 @@
 use {
-    crate::board::Board,
+    crate::shared_state::SharedState,
     log::{info, warn},
     mangowalk_core::{
         edge::{Edges, Platform},
@@ -55,7 +55,7 @@
     /// finds the other. Were the list read first, neither would, and both
     /// would serve for seconds as if alone: slots are claimed for one, tokens
     /// are asked of no one, and crashes told to no one.
-    pub(super) fn step(&mut self, edges: &E, board: &Board, now_ms: u64) {
+    pub(super) fn step(&mut self, edges: &E, board: &SharedState, now_ms: u64) {
         if !self.registered && now_ms >= self.next_put_ms {
             self.register(edges, board, now_ms);
         }
@@ -75,14 +75,14 @@
     }
 
     /// Removes this instance from the list.
-    pub(super) fn leave(&mut self, edges: &E, board: &Board) {
+    pub(super) fn leave(&mut self, edges: &E, board: &SharedState) {
         self.registered = true;
         if let Err(error) = edges.platform().delete(&own_key(board), Expect::Any) {
             warn!("peers: This instance stays in the list for now. {error}");
         }
     }
 
-    fn register(&mut self, edges: &E, board: &Board, now_ms: u64) {
+    fn register(&mut self, edges: &E, board: &SharedState, now_ms: u64) {
         let body = json!({
             "schema": 1,
             "peer_address": board.identity.peer_address,
@@ -97,14 +97,14 @@
         self.next_put_ms = now_ms + spread_ms(RETRY_MS);
     }
 
-    fn read_list(&mut self, edges: &E, board: &Board, now_ms: u64) {
+    fn read_list(&mut self, edges: &E, board: &SharedState, now_ms: u64) {
         self.next_list_ms = now_ms + spread_ms(RETRY_MS);
         let Ok(list) = edges.platform().list(&[own_kind::INSTANCE]) else {
             return;
         };
         self.looked = true;
         self.peers = peers_of(board, &list);
-        let period_ms = if board.peers.sights().is_empty() {
+        let period_ms = if board.peers.reachable().is_empty() {
             LIST_ALONE_MS
         } else {
             LIST_MS
@@ -118,7 +118,7 @@
     /// Removes the objects of instances that nobody heard of for long. One
     /// instance does it, the first among those that live, and only at the
     /// version it read: an instance that registers anew stays.
-    fn remove_dead(&mut self, edges: &E, board: &Board, list: &ListReply, now_ms: u64) {
+    fn remove_dead(&mut self, edges: &E, board: &SharedState, list: &ListReply, now_ms: u64) {
         let live = board.peers.live();
         let own = board.identity.caller_address;
         let is_first = live.iter().all(|v| own < v.caller_address);
@@ -149,14 +149,14 @@
     }
 }
 
-fn own_key(board: &Board) -> ObjectKey {
+fn own_key(board: &SharedState) -> ObjectKey {
     ObjectKey::new(
         own_kind::INSTANCE,
         &board.identity.caller_address.to_string(),
     )
 }
 
-fn peers_of(board: &Board, list: &ListReply) -> Vec<SocketAddr> {
+fn peers_of(board: &SharedState, list: &ListReply) -> Vec<SocketAddr> {
     list.objects
         .iter()
         .filter_map(|o| o.body["peer_address"].as_str()?.parse().ok())
--- a/crates/mangowalkd/src/controller/rollout.rs
+++ b/crates/mangowalkd/src/controller/rollout.rs
@@ -4,7 +4,7 @@
         lease_keeper::is_candidate,
         model_rollout::{ModelRollout, lease_name},
     },
-    crate::board::Board,
+    crate::shared_state::SharedState,
     mangowalk_core::{
         config::View,
         edge::{Clock, Edges},
@@ -34,7 +34,7 @@
 
     const NAME: &'static str = "rollout";
 
-    fn step(&mut self, edges: &E, board: &Board, _now_ms: u64) -> u64 {
+    fn step(&mut self, edges: &E, board: &SharedState, _now_ms: u64) -> u64 {
         let view = board.config.view();
         self.models
             .retain(|model, _| view.models.contains_key(model));
@@ -63,15 +63,15 @@
         PERIOD_MS
     }
 
-    fn leave(&mut self, edges: &E, _board: &Board) {
+    fn leave(&mut self, edges: &E, _board: &SharedState) {
         self.models.values_mut().for_each(|r| r.release(edges));
     }
 }
 
 /// Returns whether an engine of the model serves another version than the
 /// record asks for, or is marked. An idle model costs the platform nothing.
-fn has_work(board: &Board, view: &View, model: &str) -> bool {
-    let sights = board.engines.sights();
+fn has_work(board: &SharedState, view: &View, model: &str) -> bool {
+    let sights = board.engines.snapshot();
     let Some(record) = view.models.get(model) else {
         return false;
     };
--- a/crates/mangowalkd/src/controller/run.rs
+++ b/crates/mangowalkd/src/controller/run.rs
@@ -1,5 +1,5 @@
 use {
-    crate::board::Board,
+    crate::shared_state::SharedState,
     mangowalk_core::edge::{Clock, Edges},
     std::{
         io,
@@ -21,11 +21,11 @@
     const NAME: &'static str;
 
     /// Acts once, and returns after how many milliseconds to act again.
-    fn step(&mut self, edges: &Self::Edges, board: &Board, now_ms: u64) -> u64;
+    fn step(&mut self, edges: &Self::Edges, board: &SharedState, now_ms: u64) -> u64;
 
     /// Acts a last time when the instance has served its last request: gives
     /// back what it holds.
-    fn leave(&mut self, _edges: &Self::Edges, _board: &Board) {}
+    fn leave(&mut self, _edges: &Self::Edges, _board: &SharedState) {}
 }
 
 /// Runs a controller on a thread of its own until the instance stops.
@@ -36,12 +36,12 @@
 pub fn spawn<C: Controller>(
     mut controller: C,
     edges: Arc<C::Edges>,
-    board: Arc<Board>,
+    board: Arc<SharedState>,
 ) -> io::Result<JoinHandle<()>> {
     thread::Builder::new()
         .name(C::NAME.to_owned())
         .spawn(move || {
-            while !board.life.is_stopped() {
+            while !board.lifecycle.is_stopped() {
                 let now_ms = edges.clock().now_ms();
                 let pause_ms = controller.step(&edges, &board, now_ms);
                 sleep(&board, Duration::from_millis(pause_ms));
@@ -50,8 +50,8 @@
         })
 }
 
-fn sleep(board: &Board, mut left: Duration) {
-    while !left.is_zero() && !board.life.is_stopped() {
+fn sleep(board: &SharedState, mut left: Duration) {
+    while !left.is_zero() && !board.lifecycle.is_stopped() {
         let nap = left.min(NAP);
         thread::sleep(nap);
         left -= nap;
--- a/crates/mangowalkd/src/controller/slots.rs
+++ b/crates/mangowalkd/src/controller/slots.rs
@@ -1,6 +1,6 @@
 use {
     super::Controller,
-    crate::board::Board,
+    crate::shared_state::SharedState,
     log::{info, warn},
     mangowalk_core::{
         edge::{Clock, Edges, Platform, PlatformError},
@@ -57,7 +57,7 @@
 }
 
 impl<E: Edges> SlotHolder<E> {
-    fn list(&mut self, edges: &E, board: &Board, now_ms: u64) -> Result<(), PlatformError> {
+    fn list(&mut self, edges: &E, board: &SharedState, now_ms: u64) -> Result<(), PlatformError> {
         if now_ms < self.next_list_ms {
             return Ok(());
         }
@@ -67,7 +67,7 @@
             slots: reply.objects.iter().filter_map(listed).collect(),
         };
         let seen_ms = edges.clock().now_ms();
-        board.limits.see(&list, seen_ms);
+        board.limits.apply_list(&list, seen_ms);
         self.next_list_ms = seen_ms + jittered(self.list_pause_ms);
         self.list_pause_ms = (self.list_pause_ms * 2).min(most_list_ms(self.live));
         Ok(())
@@ -75,7 +75,7 @@
 
     /// Lists soon again after the number of instances changed: others give
     /// slots back or lack some.
-    fn count_live(&mut self, board: &Board, now_ms: u64) {
+    fn count_live(&mut self, board: &SharedState, now_ms: u64) {
         let live = live_instances(board);
         if live != self.live {
             self.live = live;
@@ -94,7 +94,7 @@
 
     const NAME: &'static str = "slots";
 
-    fn step(&mut self, edges: &E, board: &Board, now_ms: u64) -> u64 {
+    fn step(&mut self, edges: &E, board: &SharedState, now_ms: u64) -> u64 {
         if board.limits.is_closed() {
             return PERIOD_MS;
         }
@@ -130,7 +130,7 @@
 
 /// Releases every slot at a shutdown, so that others take them at once. Stops
 /// at the first failure: the leases end by themselves.
-pub fn release_slots<E: Edges>(edges: &E, board: &Board) {
+pub fn release_slots<E: Edges>(edges: &E, board: &SharedState) {
     for write in board.limits.close() {
         if send(edges, board, write).is_break() {
             warn!("limits: Some slots were not released; they lapse with their leases.");
@@ -139,7 +139,7 @@
     }
 }
 
-fn send<E: Edges>(edges: &E, board: &Board, write: SlotWrite) -> ControlFlow<()> {
+fn send<E: Edges>(edges: &E, board: &SharedState, write: SlotWrite) -> ControlFlow<()> {
     match write {
         SlotWrite::Create { slot } => put(edges, board, slot, Expect::Absent),
         SlotWrite::Replace { slot, version } => put(edges, board, slot, Expect::Version(version)),
@@ -148,7 +148,7 @@
 }
 
 /// Writes a slot. The lease counts from before the write is sent.
-fn put<E: Edges>(edges: &E, board: &Board, slot: u32, expect: Expect) -> ControlFlow<()> {
+fn put<E: Edges>(edges: &E, board: &SharedState, slot: u32, expect: Expect) -> ControlFlow<()> {
     let key = key_of(slot);
     let begun_ms = edges.clock().now_ms();
     let body = board.limits.body(slot, rand::random());
@@ -161,7 +161,9 @@
         warn!("limits: Slot {slot} was not written. {error}");
     }
     let now_ms = edges.clock().now_ms();
-    board.limits.written(slot, begun_ms, &result, now_ms)
+    board
+        .limits
+        .apply_write_result(slot, begun_ms, &result, now_ms)
 }
 
 /// Finds out whether a write whose reply was lost took effect. Only the very
@@ -172,12 +174,12 @@
     held.map(|o| o.version).ok_or(PlatformError::Lost)
 }
 
-fn release<E: Edges>(edges: &E, board: &Board, slot: u32, version: u64) -> ControlFlow<()> {
-    board.limits.stop_minting(slot, edges.clock().now_ms());
+fn release<E: Edges>(edges: &E, board: &SharedState, slot: u32, version: u64) -> ControlFlow<()> {
+    board.limits.stop_refill(slot, edges.clock().now_ms());
     let expect = Expect::Version(version);
     let result = edges.platform().delete(&key_of(slot), expect);
     let now_ms = edges.clock().now_ms();
-    board.limits.released(slot, &result, now_ms)
+    board.limits.apply_release_result(slot, &result, now_ms)
 }
 
 fn key_of(slot: u32) -> ObjectKey {
@@ -197,7 +199,7 @@
     })
 }
 
-fn live_instances(board: &Board) -> u32 {
+fn live_instances(board: &SharedState) -> u32 {
     board.peers.live().len() as u32 + 1
 }
 
--- a/crates/mangowalkd/src/daemon.rs
+++ b/crates/mangowalkd/src/daemon.rs
@@ -1,6 +1,5 @@
 use {
     crate::{
-        board::{Board, DispatchSettings, Identity},
         caller::CallerServer,
         cli::Settings,
         controller::{
@@ -11,6 +10,7 @@
         metrics::{MetricsReport, metrics_client},
         operator::OperatorServer,
         serve::Router,
+        shared_state::{DispatchSettings, Identity, SharedState},
     },
     derive_more::{Display, Error},
     error_stack::{Report, ResultExt},
@@ -64,7 +64,7 @@
 pub struct Daemon {
     edges: Arc<LiveEdges>,
     controllers: Vec<JoinHandle<()>>,
-    board: Arc<Board>,
+    board: Arc<SharedState>,
     settings: Settings,
     signals: Signals,
     _peer_server: PeerServer,
@@ -90,7 +90,7 @@
             failure_domain: settings.failure_domain.clone(),
             incarnation: incarnation(edges.clock().wall_ms()),
         };
-        let mut board = Board::new(identity, dispatch);
+        let mut board = SharedState::new(identity, dispatch);
         board.operator_address = settings.operator_address;
         board.traffic = edges.traffic().clone();
         let board = Arc::new(board);
@@ -124,17 +124,19 @@
         let clock = self.edges.clock();
         let departed_ms = clock.now_ms();
         let give_up_ms = departed_ms + self.settings.drain_timeout_ms;
-        self.board.life.depart(departed_ms);
+        self.board.lifecycle.depart(departed_ms);
         let grace_ms = self.settings.depart_grace_ms;
-        while !self.board.life.try_stop(grace_ms, clock.now_ms()) && clock.now_ms() < give_up_ms {
+        while !self.board.lifecycle.try_stop(grace_ms, clock.now_ms())
+            && clock.now_ms() < give_up_ms
+        {
             thread::sleep(DRAIN_POLL);
         }
-        self.board.life.stop();
+        self.board.lifecycle.stop();
         self.serve_the_last(give_up_ms);
         release_slots(&*self.edges, &self.board);
         flush_claims(&*self.edges, &self.board);
         self.join_controllers();
-        let open = self.board.life.open_requests();
+        let open = self.board.lifecycle.open_requests();
         if open > 0 {
             warn!("daemon: The drain timeout cut off {open} requests.");
             return ExitCode::FAILURE;
@@ -148,7 +150,7 @@
     fn serve_the_last(&self, give_up_ms: u64) {
         thread::sleep(LISTENER_END);
         let clock = self.edges.clock();
-        while self.board.life.open_requests() > 0 && clock.now_ms() < give_up_ms {
+        while self.board.lifecycle.open_requests() > 0 && clock.now_ms() < give_up_ms {
             thread::sleep(DRAIN_POLL);
         }
     }
@@ -168,7 +170,7 @@
 fn start_operator_edge(
     settings: &Settings,
     edges: &Arc<LiveEdges>,
-    board: &Arc<Board>,
+    board: &Arc<SharedState>,
 ) -> Result<(), Report<StartError>> {
     if let Some(address) = settings.operator_address {
         OperatorServer::start(address, edges, board).change_context(StartError::OperatorAddress)?;
@@ -186,7 +188,7 @@
 fn start_controllers(
     settings: &Settings,
     edges: &Arc<LiveEdges>,
-    board: &Arc<Board>,
+    board: &Arc<SharedState>,
 ) -> std::io::Result<Vec<JoinHandle<()>>> {
     let gossip = Gossip::new(&settings.seed_peers);
     spawn(ConfigWatch::default(), edges.clone(), board.clone())?;
--- a/crates/mangowalkd/src/lib.rs
+++ b/crates/mangowalkd/src/lib.rs
@@ -1,7 +1,6 @@
 //! The mangowalk router: edges to the outside, the blackboard, and the
 //! controllers that read and write it.
 
-pub mod board;
 pub mod caller;
 pub mod cli;
 pub mod controller;
@@ -9,6 +8,7 @@
 pub mod metrics;
 pub mod operator;
 pub mod serve;
+pub mod shared_state;
 
 mod daemon;
 
--- a/crates/mangowalkd/src/metrics/controller.rs
+++ b/crates/mangowalkd/src/metrics/controller.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{board::Board, controller::Controller},
+    crate::{controller::Controller, shared_state::SharedState},
     cadence::{Counted, Gauged, StatsdClient, Timed},
     mangowalk_core::{burn::Counts, edge::Edges},
     std::marker::PhantomData,
@@ -49,15 +49,15 @@
         }
     }
 
-    fn gauges(&self, board: &Board, now_ms: u64) {
+    fn gauges(&self, board: &SharedState, now_ms: u64) {
         let gauge = |name: &str, value: u64| {
             self.client.gauge_with_tags(name, value).send();
         };
-        gauge("open_requests", board.life.open_requests() as u64);
+        gauge("open_requests", board.lifecycle.open_requests() as u64);
         gauge("queued", board.dispatch.queued() as u64);
         gauge("revision", board.config.view().revision);
         gauge("slots", u64::from(board.limits.slots(now_ms)));
-        gauge("peers", board.peers.sights().len() as u64);
+        gauge("peers", board.peers.reachable().len() as u64);
     }
 }
 
@@ -66,7 +66,7 @@
 
     const NAME: &'static str = "metrics";
 
-    fn step(&mut self, _edges: &E, board: &Board, now_ms: u64) -> u64 {
+    fn step(&mut self, _edges: &E, board: &SharedState, now_ms: u64) -> u64 {
         let unsent = board.burn.take_unsent();
         for (team, counts) in &unsent.counts {
             self.requests(team, counts);
--- a/crates/mangowalkd/src/operator/candidates.rs
+++ b/crates/mangowalkd/src/operator/candidates.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
-        board::{Board, EngineSight},
         serve::cache_salt,
+        shared_state::{KnownEngine, SharedState},
     },
     mangowalk_core::{
         config::{EngineRecord, View},
@@ -13,7 +13,7 @@
 
 /// Weighs the engines of a model for one request, without sending it.
 pub(super) struct Weighing<'a> {
-    board: &'a Board,
+    board: &'a SharedState,
     engines: Vec<&'a EngineRecord>,
     model: &'a str,
     version: &'a str,
@@ -26,7 +26,7 @@
 
 impl<'a> Weighing<'a> {
     pub(super) fn new(
-        board: &'a Board,
+        board: &'a SharedState,
         view: &'a View,
         request: &'a ExplainRequest,
         version: &'a str,
@@ -60,7 +60,7 @@
 
     /// Returns every engine of the model, with why it could be used or not.
     pub(super) fn candidates(&self) -> Vec<Candidate> {
-        let sights = self.board.engines.sights();
+        let sights = self.board.engines.snapshot();
         self.engines
             .iter()
             .map(|engine| {
@@ -74,7 +74,7 @@
             .collect()
     }
 
-    fn judge(&self, engine: &EngineRecord, sight: Option<&EngineSight>) -> (bool, String) {
+    fn judge(&self, engine: &EngineRecord, sight: Option<&KnownEngine>) -> (bool, String) {
         let no = |reason: &str| (false, reason.to_owned());
         if engine.departing {
             return no("It departs and gets no new work.");
--- a/crates/mangowalkd/src/operator/explain.rs
+++ b/crates/mangowalkd/src/operator/explain.rs
@@ -1,6 +1,6 @@
 use {
     super::candidates::Weighing,
-    crate::{board::Board, serve::version_of},
+    crate::{serve::version_of, shared_state::SharedState},
     mangowalk_core::{
         config::View,
         limits::refill_ms,
@@ -13,7 +13,7 @@
 
 /// Returns what the instance would do with a request now. Nothing is spent,
 /// queued or sent.
-pub(super) fn explain(board: &Board, request: &ExplainRequest, now_ms: u64) -> ExplainReply {
+pub(super) fn explain(board: &SharedState, request: &ExplainRequest, now_ms: u64) -> ExplainReply {
     let view = board.config.view();
     let mut reply = ExplainReply {
         engine: None,
@@ -30,7 +30,7 @@
 /// Follows the checks that a request passes before its turn.
 fn admit(
     steps: &mut Vec<String>,
-    board: &Board,
+    board: &SharedState,
     view: &View,
     request: &ExplainRequest,
     now_ms: u64,
@@ -71,7 +71,7 @@
 /// Tells whether the request would get its tokens. They are put back at once.
 fn reserve(
     steps: &mut Vec<String>,
-    board: &Board,
+    board: &SharedState,
     rate: &Rate,
     request: &ExplainRequest,
     tokens: u64,
@@ -89,7 +89,7 @@
     steps.push(format!(
         "This instance holds {shares} slots and lacks the tokens; it would ask other instances."
     ));
-    match limits.scarcity(|s| s.missing_tokens(team, rate, tokens, now_ms)) {
+    match limits.shortages(|s| s.missing_tokens(team, rate, tokens, now_ms)) {
         Some(short) => {
             steps.push(format!(
                 "A look at the other instances a moment ago found {short} tokens too few."
@@ -105,7 +105,7 @@
 /// Weighs the engines as placement does.
 fn place(
     reply: &mut ExplainReply,
-    board: &Board,
+    board: &SharedState,
     view: &View,
     request: &ExplainRequest,
     now_ms: u64,
--- a/crates/mangowalkd/src/operator/handler.rs
+++ b/crates/mangowalkd/src/operator/handler.rs
@@ -3,7 +3,7 @@
         explain::explain,
         status::{burn, status},
     },
-    crate::board::Board,
+    crate::shared_state::SharedState,
     mangowalk_core::status::{ExplainRequest, Phase},
     serde::Serialize,
     serde_json::json,
@@ -15,7 +15,7 @@
 const LONGEST_BODY_BYTES: u64 = 4 << 20;
 
 /// Answers one request of an operator.
-pub(super) fn handle(mut request: Request, board: &Board, now_ms: u64) {
+pub(super) fn handle(mut request: Request, board: &SharedState, now_ms: u64) {
     let path = request.url().split('?').next().unwrap_or_default();
     match (request.method(), path) {
         (Method::Get, "/health") => reply(request, 200, &json!({})),
--- a/crates/mangowalkd/src/operator/server.rs
+++ b/crates/mangowalkd/src/operator/server.rs
@@ -1,6 +1,6 @@
 use {
     super::handler::handle,
-    crate::board::Board,
+    crate::shared_state::SharedState,
     log::warn,
     mangowalk_core::edge::{Clock, Edges},
     std::{
@@ -33,7 +33,7 @@
     pub fn start<E: Edges>(
         address: SocketAddr,
         edges: &Arc<E>,
-        board: &Arc<Board>,
+        board: &Arc<SharedState>,
     ) -> io::Result<OperatorServer> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
@@ -54,8 +54,8 @@
     }
 }
 
-fn serve<E: Edges>(server: &tiny_http::Server, edges: &E, board: &Board) {
-    while !board.life.is_stopped() {
+fn serve<E: Edges>(server: &tiny_http::Server, edges: &E, board: &SharedState) {
+    while !board.lifecycle.is_stopped() {
         match server.recv_timeout(POLL) {
             Ok(Some(request)) => handle(request, board, edges.clock().now_ms()),
             Ok(None) => {}
--- a/crates/mangowalkd/src/operator/status.rs
+++ b/crates/mangowalkd/src/operator/status.rs
@@ -1,5 +1,5 @@
 use {
-    crate::board::{Board, EngineSight, PeerSight},
+    crate::shared_state::{KnownEngine, KnownPeer, SharedState},
     mangowalk_core::{
         burn::InstanceBurn,
         config::{EngineRecord, ServiceRecord, View},
@@ -12,7 +12,7 @@
 const SILENT_MS: u64 = 5_000;
 
 /// Returns the state of the instance.
-pub(super) fn status(board: &Board, now_ms: u64) -> InstanceStatus {
+pub(super) fn status(board: &SharedState, now_ms: u64) -> InstanceStatus {
     let view = board.config.view();
     let id = &board.identity;
     InstanceStatus {
@@ -24,13 +24,13 @@
         phase: phase(board, &view),
         revision: view.revision,
         refused: board.config.read(RefusedRecord::of),
-        open_requests: board.life.open_requests(),
+        open_requests: board.lifecycle.open_requests(),
         queued: board.dispatch.queued(),
         slots: board.limits.slots(now_ms),
         upstreams: upstreams(board, &view, now_ms),
         peers: board
             .peers
-            .sights()
+            .reachable()
             .iter()
             .map(|p| peer(p, now_ms))
             .collect(),
@@ -38,8 +38,8 @@
     }
 }
 
-fn phase(board: &Board, view: &View) -> Phase {
-    if board.life.is_departing() {
+fn phase(board: &SharedState, view: &View) -> Phase {
+    if board.lifecycle.is_departing() {
         return Phase::Departing;
     }
     if view.revision == 0 {
@@ -48,8 +48,8 @@
     Phase::Ready
 }
 
-fn upstreams(board: &Board, view: &View, now_ms: u64) -> Vec<UpstreamStatus> {
-    let sights = board.engines.sights();
+fn upstreams(board: &SharedState, view: &View, now_ms: u64) -> Vec<UpstreamStatus> {
+    let sights = board.engines.snapshot();
     let engines = view
         .engines
         .values()
@@ -57,7 +57,7 @@
     engines.chain(view.services.values().map(service)).collect()
 }
 
-fn engine(record: &EngineRecord, sight: Option<&EngineSight>, now_ms: u64) -> UpstreamStatus {
+fn engine(record: &EngineRecord, sight: Option<&KnownEngine>, now_ms: u64) -> UpstreamStatus {
     let state = sight.and_then(|s| s.state.as_ref());
     let word = match (sight, state) {
         (None, _) => "unseen",
@@ -94,7 +94,7 @@
     }
 }
 
-fn peer(sight: &PeerSight, now_ms: u64) -> PeerStatus {
+fn peer(sight: &KnownPeer, now_ms: u64) -> PeerStatus {
     PeerStatus {
         caller_address: sight.view.caller_address,
         failure_domain: sight.view.failure_domain.clone(),
@@ -106,7 +106,7 @@
 
 /// Returns what the instance counted. It has a path of its own: at 230 teams it
 /// is hundreds of kilobytes, and the status is asked for far more often.
-pub(super) fn burn(board: &Board, now_ms: u64) -> InstanceBurn {
+pub(super) fn burn(board: &SharedState, now_ms: u64) -> InstanceBurn {
     let view = board.config.view();
     let mut teams = board.burn.publish(now_ms);
     for team in &mut teams {
--- a/crates/mangowalkd/src/serve/admit.rs
+++ b/crates/mangowalkd/src/serve/admit.rs
@@ -48,7 +48,7 @@
 
     /// Returns the weights version for a request that arrives now.
     fn version_now(&self, request: &ChatRequest) -> Result<String, Refusal> {
-        self.board.take_engines(&self.board.config.view());
+        self.board.apply_engines(&self.board.config.view());
         self.version_for(request).ok_or(Refusal::Unavailable {
             reason: "No engine serves the model now",
             retry_ms: NO_ENGINE_RETRY_MS,
--- a/crates/mangowalkd/src/serve/attempt.rs
+++ b/crates/mangowalkd/src/serve/attempt.rs
@@ -1,6 +1,6 @@
 use {
     super::{AnswerSink, ChatRequest, Finished, Router, place::cache_salt, poison::identity_of},
-    crate::board::{Placed, UpstreamRun},
+    crate::shared_state::{PlacedAttempt, UpstreamAttempt},
     log::{info, warn},
     mangowalk_core::{
         attempt::{Attempt, End, EndedAttempt, Sent, Streaming, Timeouts},
@@ -25,7 +25,7 @@
     pub(super) engine: EngineRecord,
     pub(super) incarnation: u64,
     pub(super) version: String,
-    pub(super) placed: Placed,
+    pub(super) placed: PlacedAttempt,
 }
 
 /// What one wait brought.
@@ -56,7 +56,7 @@
         &self,
         request: &ChatRequest,
         target: &Target,
-        on: UpstreamRun,
+        on: UpstreamAttempt,
         timeouts: Timeouts,
         sequencer: &mut Sequencer,
         sink: &mut dyn AnswerSink,
@@ -139,7 +139,7 @@
 
     /// Returns whether another engine could take the request of a target.
     fn has_other(&self, target: &Target, now_ms: u64) -> bool {
-        let sights = self.board.engines.sights();
+        let sights = self.board.engines.snapshot();
         let serves = |name: &str| {
             let state = sights.get(name).and_then(|sight| sight.state.as_ref());
             state.is_some_and(|s| s.version == target.version && !s.loading)
@@ -173,7 +173,7 @@
         self.router.edges.clock().now_ms()
     }
 
-    fn until_first_token(&mut self, sent: Attempt<Sent>, on: &UpstreamRun) -> EndedAttempt {
+    fn until_first_token(&mut self, sent: Attempt<Sent>, on: &UpstreamAttempt) -> EndedAttempt {
         loop {
             let wait_ms = sent.wait_ms(&self.timeouts, self.now_ms());
             match self.next(wait_ms) {
@@ -194,7 +194,11 @@
         }
     }
 
-    fn until_end(&mut self, mut streaming: Attempt<Streaming>, on: &UpstreamRun) -> EndedAttempt {
+    fn until_end(
+        &mut self,
+        mut streaming: Attempt<Streaming>,
+        on: &UpstreamAttempt,
+    ) -> EndedAttempt {
         loop {
             let wait_ms = streaming.wait_ms(&self.timeouts, self.now_ms());
             match self.next(wait_ms) {
--- a/crates/mangowalkd/src/serve/claim.rs
+++ b/crates/mangowalkd/src/serve/claim.rs
@@ -104,7 +104,7 @@
         if claim.incarnation == identity.incarnation {
             return HolderLiveness::Alive;
         }
-        let heard = self.board.peers.sights().iter().any(|peer| {
+        let heard = self.board.peers.reachable().iter().any(|peer| {
             peer.view.caller_address == claim.holder && peer.view.incarnation == claim.incarnation
         });
         if heard {
--- a/crates/mangowalkd/src/serve/place.rs
+++ b/crates/mangowalkd/src/serve/place.rs
@@ -1,6 +1,6 @@
 use {
     super::{ChatRequest, Router, attempt::Target},
-    crate::board::{Board, Placed},
+    crate::shared_state::{PlacedAttempt, SharedState},
     mangowalk_core::{
         admission::EngineFilter,
         config::View,
@@ -17,7 +17,12 @@
 
 /// Returns the weights version for a new request. A prefix keeps to one
 /// version while the share of engines that serve it stays the same.
-pub(crate) fn version_of(board: &Board, team: &str, model: &str, prompt: &str) -> Option<String> {
+pub(crate) fn version_of(
+    board: &SharedState,
+    team: &str,
+    model: &str,
+    prompt: &str,
+) -> Option<String> {
     let salt = cache_salt(team, model, "");
     let first_block = prompt.get(..BLOCK_BYTES).unwrap_or_default();
     let key = block_chain(&salt, first_block).first().copied();
@@ -32,7 +37,7 @@
     /// gone, departing or draining by now.
     pub(super) fn target(&self, view: &View, version: &str, choice: Choice) -> Option<Target> {
         let (name, incarnation) = (choice.engine.clone(), choice.incarnation);
-        let placed = Placed::new(self.board.clone(), choice);
+        let placed = PlacedAttempt::new(self.board.clone(), choice);
         let record = view
             .engines
             .get(&name)
--- a/crates/mangowalkd/src/serve/reserve.rs
+++ b/crates/mangowalkd/src/serve/reserve.rs
@@ -50,7 +50,7 @@
         if let Some(reservation) = limits.take(team, rate, tokens, now_ms) {
             return Ok(reservation);
         }
-        let hopeless = limits.scarcity(|s| s.missing_tokens(team, rate, tokens, now_ms));
+        let hopeless = limits.shortages(|s| s.missing_tokens(team, rate, tokens, now_ms));
         match hopeless {
             Some(short_tokens) => Err(self.refuse_short(team, rate, tokens, short_tokens)),
             None => self.gather(team, rate, tokens),
@@ -79,11 +79,11 @@
         let mut elsewhere = self.gather_once(rate, tokens, &mut gathered);
         let mut short_tokens = tokens.saturating_sub(gathered.tokens + elsewhere);
         let now_ms = self.edges.clock().now_ms();
-        let wait_ms = limits.scarcity(|s| s.wait_ms(team, rate, short_tokens, now_ms));
+        let wait_ms = limits.shortages(|s| s.wait_ms(team, rate, short_tokens, now_ms));
         if let Some(wait_ms) = wait_ms.filter(|_| gathered.tokens < tokens) {
-            limits.scarcity(|s| s.begin_wait(team, short_tokens));
+            limits.shortages(|s| s.begin_wait(team, short_tokens));
             thread::sleep(Duration::from_millis(wait_ms + WAIT_MARGIN_MS));
-            limits.scarcity(|s| s.end_wait(team, short_tokens));
+            limits.shortages(|s| s.end_wait(team, short_tokens));
             elsewhere = self.gather_once(rate, tokens, &mut gathered);
         }
         if gathered.tokens == tokens {
@@ -98,7 +98,7 @@
                 retry_ms: NO_SLOT_RETRY_MS,
             });
         }
-        limits.scarcity(|s| s.record_shortage(team, found, now_ms));
+        limits.shortages(|s| s.record_shortage(team, found, now_ms));
         short_tokens = tokens.saturating_sub(found).max(1);
         Err(self.refuse_short(team, rate, tokens, short_tokens))
     }
@@ -112,7 +112,9 @@
     fn gather_once(&self, rate: &Rate, tokens: u64, gathered: &mut Reservation) -> u64 {
         let begun_ms = self.edges.clock().now_ms();
         let missing = tokens - gathered.tokens;
-        self.board.limits.draw(gathered, rate, missing, begun_ms);
+        self.board
+            .limits
+            .take_up_to(gathered, rate, missing, begun_ms);
         let mut left = Vec::new();
         for peer in self.peers_to_ask(&gathered.team) {
             let grant = self.ask_peer(peer, gathered, tokens, begun_ms);
@@ -180,7 +182,7 @@
     /// emptied by all others.
     fn peers_to_ask(&self, team: &str) -> Vec<SocketAddr> {
         let holders = self.board.limits.holders(team);
-        let live = self.board.peers.sights();
+        let live = self.board.peers.reachable();
         let minting = live
             .iter()
             .filter(|peer| holders.contains(&peer.view.caller_address));
@@ -198,7 +200,7 @@
         let ask = RefusedRequest {
             tokens,
             short_tokens,
-            instances: self.board.peers.sights().len() as u64 + 1,
+            instances: self.board.peers.reachable().len() as u64 + 1,
             jitter: rand::random(),
         };
         let retry_ms = self.board.limits.retry_ms(team, rate, &ask, now_ms);
--- a/crates/mangowalkd/src/serve/router.rs
+++ b/crates/mangowalkd/src/serve/router.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{board::Board, cli::Settings},
+    crate::{cli::Settings, shared_state::SharedState},
     mangowalk_core::{
         edge::{Clock, Edges},
         refusal::Refusal,
@@ -13,13 +13,13 @@
 /// Serves requests with what the board knows.
 pub struct Router<E: Edges> {
     pub(crate) edges: Arc<E>,
-    pub(super) board: Arc<Board>,
+    pub(super) board: Arc<SharedState>,
     pub(super) settings: Settings,
 }
 
 impl<E: Edges> Router<E> {
     /// Returns a router over a board.
-    pub fn new(edges: Arc<E>, board: Arc<Board>, settings: Settings) -> Router<E> {
+    pub fn new(edges: Arc<E>, board: Arc<SharedState>, settings: Settings) -> Router<E> {
         Router {
             edges,
             board,
@@ -28,7 +28,7 @@
     }
 
     /// Returns the board.
-    pub fn board(&self) -> &Board {
+    pub fn shared(&self) -> &SharedState {
         &self.board
     }
 
@@ -67,7 +67,7 @@
         let now_ms = self.now_ms();
         let reason = if self.board.config.view().revision == 0 {
             "This instance has no configuration yet"
-        } else if self.board.life.is_starting() {
+        } else if self.board.lifecycle.is_starting() {
             "This instance compares its configuration with its peers"
         } else if !self.board.config.freshness().is_usable(now_ms) {
             "This instance is cut off, and can't tell which keys are withdrawn"
--- a/crates/mangowalkd/src/board/admission.rs
+++ b/crates/mangowalkd/src/shared_state/admission.rs
@@ -1,5 +1,5 @@
 use {
-    super::{UpstreamBoard, lock},
+    super::{SharedUpstreams, lock},
     flume::{Receiver, Sender},
     mangowalk_core::{
         admission::{AdmissionSettings, Decision, Dispatcher, Job},
@@ -26,14 +26,14 @@
 
 /// Admission, queue and placement of this instance, and who waits for them.
 #[derive(Debug)]
-pub struct DispatchBoard {
+pub struct SharedDispatcher {
     inner: Mutex<Inner>,
 }
 
 #[derive(Debug)]
 struct Inner {
     dispatcher: Dispatcher,
-    upstreams: UpstreamBoard,
+    upstreams: SharedUpstreams,
     waiters: HashMap<u64, Sender<Decision>>,
     next_id: u64,
     /// View whose engines placement knows.
@@ -41,17 +41,17 @@
     now_ms: u64,
 }
 
-impl DispatchBoard {
+impl SharedDispatcher {
     /// Returns a board that knows no engine yet. The seed differs between
     /// instances, so that refused callers of several do not return together.
-    pub fn new(settings: DispatchSettings, upstreams: UpstreamBoard) -> DispatchBoard {
+    pub fn new(settings: DispatchSettings, upstreams: SharedUpstreams) -> SharedDispatcher {
         let DispatchSettings {
             placement,
             admission,
             seed,
         } = settings;
         let placement = Placement::new(placement, seed);
-        DispatchBoard {
+        SharedDispatcher {
             inner: Mutex::new(Inner {
                 dispatcher: Dispatcher::new(placement, admission, seed),
                 upstreams,
--- a/crates/mangowalkd/src/board/burn.rs
+++ b/crates/mangowalkd/src/shared_state/burn.rs
@@ -10,26 +10,26 @@
 
 /// What became of every team's requests.
 #[derive(Debug, Default)]
-pub struct BurnBoard {
+pub struct SharedBurn {
     inner: Mutex<Inner>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     ledger: Ledger,
-    unsent: Option<Unsent>,
+    unsent: Option<UnsentCounts>,
 }
 
 /// What was counted since metrics were last sent.
 #[derive(Debug, Default)]
-pub struct Unsent {
+pub struct UnsentCounts {
     /// Counts by team.
     pub counts: BTreeMap<String, Counts>,
     /// Times to the first token by team, in milliseconds.
     pub first_tokens: Vec<(String, u64)>,
 }
 
-impl BurnBoard {
+impl SharedBurn {
     /// Counts one request of a team.
     pub fn note(&self, team: &str, seen: &Observation, objective_ms: u64, now_ms: u64) {
         let mut inner = lock(&self.inner);
@@ -46,15 +46,15 @@
 
     /// Takes what was counted since the last call. Nothing is kept for it
     /// before the first one, so that an instance without metrics pays nothing.
-    pub fn take_unsent(&self) -> Unsent {
+    pub fn take_unsent(&self) -> UnsentCounts {
         lock(&self.inner)
             .unsent
-            .replace(Unsent::default())
+            .replace(UnsentCounts::default())
             .unwrap_or_default()
     }
 }
 
-impl Unsent {
+impl UnsentCounts {
     fn note(&mut self, team: &str, seen: &Observation, objective_ms: u64) {
         let counts = self.counts.entry(team.to_owned()).or_default();
         counts.record(seen, objective_ms);
--- a/crates/mangowalkd/src/board/claims.rs
+++ b/crates/mangowalkd/src/shared_state/claims.rs
@@ -46,22 +46,22 @@
         /// Nonce of the claim.
         nonce: u64,
         /// Looks that are left: the claim's write may still be under way.
-        looks: u32,
+        checks_left: u32,
     },
 }
 
 /// Claims of this instance whose outcome is still to be written.
 #[derive(Debug)]
-pub struct ClaimBoard {
+pub struct SharedClaims {
     sender: Sender<ClaimWrite>,
     receiver: Receiver<ClaimWrite>,
     epoch: Mutex<EpochTracker>,
 }
 
-impl Default for ClaimBoard {
-    fn default() -> ClaimBoard {
+impl Default for SharedClaims {
+    fn default() -> SharedClaims {
         let (sender, receiver) = flume::bounded(MOST_WAITING);
-        ClaimBoard {
+        SharedClaims {
             sender,
             receiver,
             epoch: Mutex::default(),
@@ -69,7 +69,7 @@
     }
 }
 
-impl ClaimBoard {
+impl SharedClaims {
     /// Has an outcome written. One that does not fit any more is dropped:
     /// later callers are then told that it is unknown, which is true.
     pub fn settle(&self, mut claim: Claim<Settled>) {
@@ -98,13 +98,13 @@
         let write = ClaimWrite::WithdrawNonce {
             key,
             nonce,
-            looks: MOST_LOOKS,
+            checks_left: MOST_LOOKS,
         };
         let _ = self.sender.try_send(write);
     }
 
     /// Puts a write back that the platform did not take.
-    pub fn put_back(&self, write: ClaimWrite) {
+    pub fn requeue(&self, write: ClaimWrite) {
         let _ = self.sender.try_send(write);
     }
 
@@ -114,12 +114,12 @@
     }
 
     /// Returns how many writes wait.
-    pub fn waiting(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.receiver.len()
     }
 
     /// Notes the epoch that the platform holds.
-    pub fn see_epoch(&self, version: u64, body: EpochBody, now_ms: u64) {
+    pub fn observe_epoch(&self, version: u64, body: EpochBody, now_ms: u64) {
         lock(&self.epoch).observe(version, body, now_ms);
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Returns a copy of what is known of epochs.
-    pub fn epoch_watch(&self) -> EpochTracker {
+    pub fn epoch_tracker(&self) -> EpochTracker {
         lock(&self.epoch).clone()
     }
 }
--- a/crates/mangowalkd/src/board/config.rs
+++ b/crates/mangowalkd/src/shared_state/config.rs
@@ -7,13 +7,13 @@
 
 /// Records in force.
 #[derive(Debug, Default)]
-pub struct ConfigBoard {
+pub struct SharedConfig {
     store: Mutex<Store>,
     view: ArcSwap<View>,
     freshness: Mutex<Freshness>,
 }
 
-impl ConfigBoard {
+impl SharedConfig {
     /// Returns the view that requests use.
     pub fn view(&self) -> Arc<View> {
         self.view.load_full()
--- a/crates/mangowalkd/src/board/engines.rs
+++ b/crates/mangowalkd/src/shared_state/engines.rs
@@ -9,7 +9,7 @@
 
 /// An engine as last seen.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct EngineSight {
+pub struct KnownEngine {
     /// What it reported last; none if it did not answer.
     pub state: Option<EngineState>,
     /// When it reported.
@@ -20,23 +20,23 @@
 
 /// Engines as last seen, by name of record.
 #[derive(Debug, Clone, Default)]
-pub struct EngineBoard {
-    sights: Arc<Mutex<BTreeMap<String, EngineSight>>>,
+pub struct SharedEngines {
+    sights: Arc<Mutex<BTreeMap<String, KnownEngine>>>,
 }
 
-impl EngineBoard {
+impl SharedEngines {
     /// Returns a copy of every sight.
-    pub fn sights(&self) -> BTreeMap<String, EngineSight> {
+    pub fn snapshot(&self) -> BTreeMap<String, KnownEngine> {
         lock(&self.sights).clone()
     }
 
     /// Reads the sights without copying them.
-    pub fn read<T>(&self, reader: impl FnOnce(&BTreeMap<String, EngineSight>) -> T) -> T {
+    pub fn read<T>(&self, reader: impl FnOnce(&BTreeMap<String, KnownEngine>) -> T) -> T {
         reader(&lock(&self.sights))
     }
 
     /// Changes one engine's sight.
-    pub fn update(&self, name: &str, writer: impl FnOnce(&mut EngineSight)) {
+    pub fn update(&self, name: &str, writer: impl FnOnce(&mut KnownEngine)) {
         let mut sights = lock(&self.sights);
         writer(sights.entry(name.to_owned()).or_default());
     }
@@ -47,9 +47,9 @@
     }
 
     /// Counts an attempt as in flight until the guard is dropped.
-    pub fn start(&self, name: &str) -> InFlight {
+    pub fn start(&self, name: &str) -> InFlightGuard {
         self.update(name, |s| s.in_flight += 1);
-        InFlight {
+        InFlightGuard {
             board: self.clone(),
             name: name.to_owned(),
         }
@@ -58,12 +58,12 @@
 
 /// An attempt that is counted on its engine while this guard lives.
 #[derive(Debug)]
-pub struct InFlight {
-    board: EngineBoard,
+pub struct InFlightGuard {
+    board: SharedEngines,
     name: String,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.board
             .update(&self.name, |s| s.in_flight = s.in_flight.saturating_sub(1));
--- a/crates/mangowalkd/src/board/life.rs
+++ b/crates/mangowalkd/src/shared_state/lifecycle.rs
@@ -18,15 +18,15 @@
 
 /// Phase of the process and its open requests.
 #[derive(Debug)]
-pub struct Life {
+pub struct Lifecycle {
     phase: Mutex<Phase>,
     stopped: AtomicBool,
     open: Arc<AtomicUsize>,
 }
 
-impl Default for Life {
-    fn default() -> Life {
-        Life {
+impl Default for Lifecycle {
+    fn default() -> Lifecycle {
+        Lifecycle {
             phase: Mutex::new(Phase::Starting(Instance::starting(0))),
             stopped: AtomicBool::default(),
             open: Arc::default(),
@@ -34,7 +34,7 @@
     }
 }
 
-impl Life {
+impl Lifecycle {
     /// Becomes ready if the facts allow it, and returns whether it did now.
     pub fn try_ready(&self, facts: StartingFacts, now_ms: u64) -> bool {
         let mut phase = lock(&self.phase);
@@ -104,9 +104,9 @@
 
     /// Counts a request as open until the guard is dropped, unless as many
     /// are open already.
-    pub fn open(&self, most: usize) -> Option<OpenRequest> {
+    pub fn open(&self, most: usize) -> Option<OpenRequestGuard> {
         let before = self.open.fetch_add(1, Ordering::SeqCst);
-        let guard = OpenRequest {
+        let guard = OpenRequestGuard {
             open: self.open.clone(),
         };
         (before < most).then_some(guard)
@@ -115,11 +115,11 @@
 
 /// A request that is counted as open while this guard lives.
 #[derive(Debug)]
-pub struct OpenRequest {
+pub struct OpenRequestGuard {
     open: Arc<AtomicUsize>,
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.open.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/mangowalkd/src/board/limits.rs
+++ b/crates/mangowalkd/src/shared_state/limits.rs
@@ -14,7 +14,7 @@
 /// Tokens of every team that this instance may spend, and the slots from
 /// which they come.
 #[derive(Debug)]
-pub struct LimitBoard {
+pub struct SharedLimits {
     inner: Mutex<Inner>,
 }
 
@@ -25,15 +25,15 @@
     scarcity: ShortageTracker,
 }
 
-impl LimitBoard {
+impl SharedLimits {
     /// Returns the board of an instance that holds nothing yet.
-    pub fn new(identity: &Identity) -> LimitBoard {
+    pub fn new(identity: &Identity) -> SharedLimits {
         let inner = Inner {
             holding: InstanceLimits::new(identity.caller_address, identity.incarnation),
             retry_times: RetrySchedule::default(),
             scarcity: ShortageTracker::default(),
         };
-        LimitBoard {
+        SharedLimits {
             inner: Mutex::new(inner),
         }
     }
@@ -49,12 +49,12 @@
     }
 
     /// Takes a list of every slot.
-    pub fn see(&self, list: &SlotList, now_ms: u64) {
+    pub fn apply_list(&self, list: &SlotList, now_ms: u64) {
         lock(&self.inner).holding.apply_list(list, now_ms);
     }
 
     /// Takes the result of writing a slot in a call begun at `begun_ms`.
-    pub fn written(
+    pub fn apply_write_result(
         &self,
         slot: u32,
         begun_ms: u64,
@@ -68,12 +68,12 @@
     }
 
     /// Stops to mint on a slot, before its release is sent.
-    pub fn stop_minting(&self, slot: u32, now_ms: u64) {
+    pub fn stop_refill(&self, slot: u32, now_ms: u64) {
         lock(&self.inner).holding.stop_refill(slot, now_ms);
     }
 
     /// Takes the result of releasing a slot.
-    pub fn released(
+    pub fn apply_release_result(
         &self,
         slot: u32,
         result: &Result<u64, PlatformError>,
@@ -121,7 +121,7 @@
 
     /// Adds up to so many tokens to a reservation, which asks peers for the
     /// rest.
-    pub fn draw(&self, reservation: &mut Reservation, rate: &Rate, tokens: u64, now_ms: u64) {
+    pub fn take_up_to(&self, reservation: &mut Reservation, rate: &Rate, tokens: u64, now_ms: u64) {
         let mut inner = lock(&self.inner);
         let ledger = inner.holding.ledger();
         ledger.take_up_to(reservation, rate, tokens, now_ms);
@@ -151,7 +151,7 @@
     }
 
     /// Reads or changes what is known of teams that are short of tokens.
-    pub fn scarcity<T>(&self, change: impl FnOnce(&mut ShortageTracker) -> T) -> T {
+    pub fn shortages<T>(&self, change: impl FnOnce(&mut ShortageTracker) -> T) -> T {
         change(&mut lock(&self.inner).scarcity)
     }
 
--- a/crates/mangowalkd/src/board/mod.rs
+++ b/crates/mangowalkd/src/shared_state/mod.rs
@@ -9,28 +9,28 @@
 mod config;
 mod engines;
 mod identity;
-mod life;
+mod lifecycle;
 mod limits;
 mod peers;
-mod placed;
+mod placed_attempt;
 mod poison;
+mod state;
 mod upstreams;
-mod whole;
 
 pub use {
-    admission::{DispatchBoard, DispatchSettings},
-    burn::{BurnBoard, Unsent},
-    claims::{ClaimBoard, ClaimWrite},
-    config::ConfigBoard,
-    engines::{EngineBoard, EngineSight, InFlight},
+    admission::{DispatchSettings, SharedDispatcher},
+    burn::{SharedBurn, UnsentCounts},
+    claims::{ClaimWrite, SharedClaims},
+    config::SharedConfig,
+    engines::{InFlightGuard, KnownEngine, SharedEngines},
     identity::Identity,
-    life::{Life, OpenRequest},
-    limits::LimitBoard,
-    peers::{PeerBoard, PeerSight},
-    placed::Placed,
-    poison::{PoisonBoard, Running},
-    upstreams::{UpstreamBoard, UpstreamRun},
-    whole::Board,
+    lifecycle::{Lifecycle, OpenRequestGuard},
+    limits::SharedLimits,
+    peers::{KnownPeer, SharedPeers},
+    placed_attempt::PlacedAttempt,
+    poison::{RunningRequest, SharedPoison},
+    state::SharedState,
+    upstreams::{SharedUpstreams, UpstreamAttempt},
 };
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/crates/mangowalkd/src/board/peers.rs
+++ b/crates/mangowalkd/src/shared_state/peers.rs
@@ -14,28 +14,28 @@
 };
 
 /// Another instance as last heard of.
-pub use mangowalk_core::membership::Member as PeerSight;
+pub use mangowalk_core::membership::Member as KnownPeer;
 
 /// Other instances, by their address towards callers.
 #[derive(Debug, Default)]
-pub struct PeerBoard {
+pub struct SharedPeers {
     members: Mutex<Members>,
     own_heartbeat: AtomicU64,
 }
 
-impl PeerBoard {
+impl SharedPeers {
     /// Takes news of an instance; older news than held is dropped.
-    pub fn hear(&self, view: &InstanceView, now_ms: u64) {
+    pub fn merge_indirect(&self, view: &InstanceView, now_ms: u64) {
         lock(&self.members).merge_indirect(view, now_ms);
     }
 
     /// Takes what an instance says of itself.
-    pub fn hear_direct(&self, view: &InstanceView, now_ms: u64) {
+    pub fn merge_direct(&self, view: &InstanceView, now_ms: u64) {
         lock(&self.members).merge_direct(view, now_ms);
     }
 
     /// Returns a copy of every sight of an instance that answers.
-    pub fn sights(&self) -> Vec<PeerSight> {
+    pub fn reachable(&self) -> Vec<KnownPeer> {
         self.read(|m| m.all().filter(|m| !m.view.suspected).cloned().collect())
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Returns the news for one message.
-    pub fn news(&self) -> Vec<InstanceView> {
+    pub fn next_updates(&self) -> Vec<InstanceView> {
         lock(&self.members).next_updates()
     }
 
@@ -79,7 +79,7 @@
 
     /// Raises the counter above what others tell, so that this instance's
     /// own word counts.
-    pub fn outdo(&self, heartbeat: u64) {
+    pub fn raise_own_heartbeat(&self, heartbeat: u64) {
         self.own_heartbeat
             .fetch_max(heartbeat + 1, Ordering::SeqCst);
     }
--- a/crates/mangowalkd/src/board/placed.rs
+++ b/crates/mangowalkd/src/shared_state/placed_attempt.rs
@@ -1,5 +1,5 @@
 use {
-    super::Board,
+    super::SharedState,
     mangowalk_core::{
         engine::Usage,
         placement::{BLOCK_BYTES, Choice, TOKEN_BYTES},
@@ -12,16 +12,16 @@
 /// An attempt that counts on the engine where it was placed, until it ends or
 /// this guard is dropped.
 #[derive(Debug)]
-pub struct Placed {
-    board: Arc<Board>,
+pub struct PlacedAttempt {
+    board: Arc<SharedState>,
     choice: RefCell<Choice>,
     ended: bool,
 }
 
-impl Placed {
+impl PlacedAttempt {
     /// Returns the guard of an attempt that was noted as sent.
-    pub fn new(board: Arc<Board>, choice: Choice) -> Placed {
-        Placed {
+    pub fn new(board: Arc<SharedState>, choice: Choice) -> PlacedAttempt {
+        PlacedAttempt {
             board,
             choice: RefCell::new(choice),
             ended: false,
@@ -43,7 +43,7 @@
     }
 }
 
-impl Drop for Placed {
+impl Drop for PlacedAttempt {
     fn drop(&mut self) {
         if !self.ended {
             self.board.dispatch.broke_off(&self.choice.borrow());
--- a/crates/mangowalkd/src/board/poison.rs
+++ b/crates/mangowalkd/src/shared_state/poison.rs
@@ -9,7 +9,7 @@
 
 /// Requests that crash upstreams, and which run on which upstream now.
 #[derive(Debug, Clone, Default)]
-pub struct PoisonBoard {
+pub struct SharedPoison {
     inner: Arc<Mutex<Inner>>,
 }
 
@@ -21,13 +21,13 @@
     judged: HashMap<u64, u64>,
 }
 
-impl PoisonBoard {
+impl SharedPoison {
     /// Counts a request as running on an upstream until the guard is dropped.
-    pub fn start(&self, upstream: &str, request: u64) -> Running {
+    pub fn start(&self, upstream: &str, request: u64) -> RunningRequest {
         let mut inner = lock(&self.inner);
         let running = inner.running.entry(upstream.to_owned()).or_default();
         *running.entry(request).or_default() += 1;
-        Running {
+        RunningRequest {
             board: self.clone(),
             upstream: upstream.to_owned(),
             request,
@@ -84,7 +84,7 @@
     }
 
     /// Returns what to tell a peer.
-    pub fn sights(&self, now_ms: u64) -> Vec<CrashReport> {
+    pub fn reports(&self, now_ms: u64) -> Vec<CrashReport> {
         lock(&self.inner).ledger.reports(now_ms)
     }
 
@@ -102,13 +102,13 @@
 
 /// A request that counts as running on an upstream while this guard lives.
 #[derive(Debug)]
-pub struct Running {
-    board: PoisonBoard,
+pub struct RunningRequest {
+    board: SharedPoison,
     upstream: String,
     request: u64,
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         let mut inner = lock(&self.board.inner);
         let Some(running) = inner.running.get_mut(&self.upstream) else {
--- a/crates/mangowalkd/src/board/whole.rs
+++ b/crates/mangowalkd/src/shared_state/state.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        BurnBoard, ClaimBoard, ConfigBoard, DispatchBoard, DispatchSettings, EngineBoard, Identity,
-        Life, LimitBoard, PeerBoard, PoisonBoard, UpstreamBoard,
+        DispatchSettings, Identity, Lifecycle, SharedBurn, SharedClaims, SharedConfig,
+        SharedDispatcher, SharedEngines, SharedLimits, SharedPeers, SharedPoison, SharedUpstreams,
     },
     crate::edge::Traffic,
     mangowalk_core::{config::View, placement::EngineSpec},
@@ -10,53 +10,53 @@
 
 /// The state of one instance.
 #[derive(Debug)]
-pub struct Board {
+pub struct SharedState {
     /// Address towards operators, if there is one.
     pub operator_address: Option<SocketAddr>,
     /// What became of every team's requests.
-    pub burn: BurnBoard,
+    pub burn: SharedBurn,
     /// Who the instance is.
     pub identity: Identity,
     /// Claims whose outcome is still to be written.
-    pub claims: ClaimBoard,
+    pub claims: SharedClaims,
     /// Requests that crash upstreams.
-    pub poison: PoisonBoard,
+    pub poison: SharedPoison,
     /// Records in force.
-    pub config: ConfigBoard,
+    pub config: SharedConfig,
     /// Engines as last seen.
-    pub engines: EngineBoard,
+    pub engines: SharedEngines,
     /// Admission, queue and placement.
-    pub dispatch: DispatchBoard,
+    pub dispatch: SharedDispatcher,
     /// What each upstream can take, and the budget of retries.
-    pub upstreams: UpstreamBoard,
+    pub upstreams: SharedUpstreams,
     /// Other instances as last heard of.
-    pub peers: PeerBoard,
+    pub peers: SharedPeers,
     /// Tokens of every team.
-    pub limits: LimitBoard,
+    pub limits: SharedLimits,
     /// What is spent on control.
     pub traffic: Arc<Traffic>,
     /// Phase of the process and its open requests.
-    pub life: Life,
+    pub lifecycle: Lifecycle,
 }
 
-impl Board {
+impl SharedState {
     /// Returns the board of an instance that starts.
-    pub fn new(identity: Identity, settings: DispatchSettings) -> Board {
-        let upstreams = UpstreamBoard::default();
-        Board {
-            limits: LimitBoard::new(&identity),
-            claims: ClaimBoard::default(),
-            poison: PoisonBoard::default(),
+    pub fn new(identity: Identity, settings: DispatchSettings) -> SharedState {
+        let upstreams = SharedUpstreams::default();
+        SharedState {
+            limits: SharedLimits::new(&identity),
+            claims: SharedClaims::default(),
+            poison: SharedPoison::default(),
             operator_address: None,
-            burn: BurnBoard::default(),
+            burn: SharedBurn::default(),
             identity,
-            config: ConfigBoard::default(),
-            engines: EngineBoard::default(),
-            dispatch: DispatchBoard::new(settings, upstreams.clone()),
+            config: SharedConfig::default(),
+            engines: SharedEngines::default(),
+            dispatch: SharedDispatcher::new(settings, upstreams.clone()),
             upstreams,
-            peers: PeerBoard::default(),
+            peers: SharedPeers::default(),
             traffic: Arc::default(),
-            life: Life::default(),
+            lifecycle: Lifecycle::default(),
         }
     }
 
@@ -65,7 +65,7 @@
     /// A request asks for this before it is placed. Were only the poll to tell
     /// placement, requests in between would be sent to an engine that drains
     /// or departs, and refused when that is found out.
-    pub fn take_engines(&self, view: &Arc<View>) {
+    pub fn apply_engines(&self, view: &Arc<View>) {
         if !self.dispatch.is_new(view) {
             return;
         }
--- a/crates/mangowalkd/src/board/upstreams.rs
+++ b/crates/mangowalkd/src/shared_state/upstreams.rs
@@ -13,12 +13,12 @@
 
 /// What each upstream can take, judged from this instance's own attempts.
 ///
-/// Placement asks [`UpstreamBoard::usable`] for each engine that it weighs
+/// Placement asks [`SharedUpstreams::usable`] for each engine that it weighs
 /// and leaves out those that are not. Where nothing is usable, an engine that
-/// [`UpstreamBoard::allows`] an attempt is better than a refusal, unless the
+/// [`SharedUpstreams::allows`] an attempt is better than a refusal, unless the
 /// request can wait.
 #[derive(Debug, Clone, Default)]
-pub struct UpstreamBoard {
+pub struct SharedUpstreams {
     inner: Arc<Mutex<Inner>>,
 }
 
@@ -34,7 +34,7 @@
     serves: String,
 }
 
-impl UpstreamBoard {
+impl SharedUpstreams {
     /// Returns whether an upstream may get one more attempt: its breaker is
     /// closed or due for a probe, and it is below its limit.
     pub fn usable(&self, name: &str, now_ms: u64) -> bool {
@@ -73,13 +73,13 @@
 
     /// Counts an attempt on an upstream, unless its breaker holds it back.
     /// Upstreams that serve the same are each other's measure.
-    pub fn start(&self, name: &str, serves: &str, now_ms: u64) -> Option<UpstreamRun> {
+    pub fn start(&self, name: &str, serves: &str, now_ms: u64) -> Option<UpstreamAttempt> {
         let mut inner = lock(&self.inner);
         let entry = inner.upstreams.entry(name.to_owned()).or_default();
         if entry.serves != serves {
             entry.serves = serves.to_owned();
         }
-        entry.health.start(now_ms).then(|| UpstreamRun {
+        entry.health.start(now_ms).then(|| UpstreamAttempt {
             board: self.clone(),
             name: name.to_owned(),
             is_waiting: Cell::new(true),
@@ -112,13 +112,13 @@
 
 /// An attempt that is counted on its upstream while this guard lives.
 #[derive(Debug)]
-pub struct UpstreamRun {
-    board: UpstreamBoard,
+pub struct UpstreamAttempt {
+    board: SharedUpstreams,
     name: String,
     is_waiting: Cell<bool>,
 }
 
-impl UpstreamRun {
+impl UpstreamAttempt {
     /// Notes the time to first token.
     pub fn first_token(&self, took_ms: u64, now_ms: u64) {
         self.is_waiting.set(false);
@@ -156,7 +156,7 @@
     }
 }
 
-impl Drop for UpstreamRun {
+impl Drop for UpstreamAttempt {
     /// A request's thread that panics must not hold its place for ever.
     fn drop(&mut self) {
         if !self.is_waiting.get() {
--- a/crates/mangowalkd/tests/membership.rs
+++ b/crates/mangowalkd/tests/membership.rs
@@ -7,9 +7,9 @@
     },
     mangowalk_standins::{Answer, Fleet, FleetSettings, RouterProcess, eventually, free_address},
     mangowalkd::{
-        board::{Board, DispatchSettings, Identity},
         controller::answer,
         edge::LiveEdges,
+        shared_state::{DispatchSettings, Identity, SharedState},
     },
     serde_json::json,
     std::{collections::BTreeSet, net::SocketAddr},
@@ -118,7 +118,7 @@
         failure_domain: "a".to_owned(),
         incarnation: 7,
     };
-    let board = Board::new(identity, DispatchSettings::default());
+    let board = SharedState::new(identity, DispatchSettings::default());
     let view = |port: u16, heartbeat, suspected| InstanceView {
         caller_address: SocketAddr::from(([127, 0, 0, 1], port)),
         peer_address: SocketAddr::from(([127, 0, 0, 1], port)),
