--- a/crates/core/tests/full.rs
+++ b/crates/core/tests/full.rs
@@ -1,8 +1,8 @@
-//! What callers get while more comes than the engines can read.
+//! What callers get under overload.
 //!
-//! A small model of engines that read prompts one after the other, behind
-//! instances that each choose and refuse by what they have sent themselves and
-//! what the others told up to 200 ms before.
+//! A small model of engines that read prompts one after the other. Each
+//! instance chooses and refuses by what it has sent itself and what the others
+//! reported up to 200 ms before.
 
 mod support;
 
@@ -23,27 +23,27 @@
 const ENGINES: usize = 8;
 const SESSIONS: u64 = 160;
 
-/// Tokens that an engine reads in a millisecond.
+/// Prefill rate of an engine.
 const TOKENS_PER_MS: f64 = 41.4;
 
-/// Time within which a first event is on time, and after which callers leave.
+/// Target time of the first event, and the time after which callers give up.
 const TARGET_MS: f64 = 800.0;
 const DEADLINE_MS: f64 = 6_000.0;
 
-/// Tokens of the shared parts and of a request's own.
+/// Prompt tokens of the shared part and of the part of one request.
 const SHARED_TOKENS: u32 = 6_300;
 const OWN_TOKENS: u32 = 2_900;
 
-/// Shared parts that an engine's memory holds beside what runs.
+/// Shared parts that the memory of an engine holds besides running requests.
 const MEMORY_PARTS: usize = 12;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Policy {
-    /// The decisions of this package.
+    /// The choice and the refusals of this crate.
     ChooseAndRefuse,
-    /// The same choice, and nothing is refused.
+    /// The same choice without refusals.
     NeverRefuse,
-    /// The engine with the fewest requests, and nothing is refused.
+    /// The engine with the fewest requests, without refusals.
     LeastLoaded,
 }
 
@@ -54,7 +54,7 @@
     ends: Vec<(f64, usize, Load)>,
 }
 
-/// What callers got, in parts of all that was asked.
+/// What callers got, as shares of all requests.
 #[derive(Debug, Default)]
 struct Outcome {
     on_time: f64,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Plays ten seconds with so many requests a second.
+/// Simulates ten seconds at `per_s` requests per second.
 fn simulate(policy: Policy, per_s: f64, seed: u64) -> Outcome {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut engines: Vec<Engine> = (0..ENGINES).map(|_| Engine::default()).collect();
@@ -92,7 +92,7 @@
     let (settings, admit) = (ChoiceSettings::default(), AdmitSettings::default());
     let rate = PrefillRate::default();
     let mut result = Outcome::default();
-    let mut asked = 0.0;
+    let mut requests = 0.0;
     for now_ms in 0..10_000_u64 {
         let now = now_ms as f64;
         for engine in 0..ENGINES {
@@ -100,8 +100,8 @@
                 .ends
                 .extract_if(.., |end| end.0 <= now)
                 .collect();
-            for (_, at, load) in done {
-                known_engines[at][engine].own.remove(load);
+            for (_, instance, load) in done {
+                known_engines[instance][engine].own.remove(load);
             }
         }
         if now_ms % 200 == 0 {
@@ -110,19 +110,19 @@
         if !random.random_bool(per_s / 1_000.0) {
             continue;
         }
-        asked += 1.0;
-        let at = random.random_range(0..INSTANCES);
+        requests += 1.0;
+        let instance = random.random_range(0..INSTANCES);
         let session = random.random_range(0..SESSIONS);
         let requirements = requirements(session, now_ms);
         let chosen = match policy {
             Policy::LeastLoaded => {
-                let loads = known_engines[at].iter().enumerate();
+                let loads = known_engines[instance].iter().enumerate();
                 loads
                     .min_by_key(|(_, known)| known.load().requests)
                     .map(|(n, _)| n)
             }
             _ => {
-                let all = known_engines[at].iter();
+                let all = known_engines[instance].iter();
                 let draw = random.random();
                 let best = choose(
                     all,
@@ -139,17 +139,21 @@
                     result.refused += 1.0;
                     continue;
                 }
-                best.and_then(|best| known_engines[at].iter().position(|b| std::ptr::eq(b, best)))
+                best.and_then(|best| {
+                    known_engines[instance]
+                        .iter()
+                        .position(|b| std::ptr::eq(b, best))
+                })
             }
         };
-        let engine = chosen.expect("all engines take work");
-        let waited = read(&mut engines[engine], at, session, now);
+        let engine = chosen.expect("all engines accept work");
+        let waited = read(&mut engines[engine], instance, session, now);
         let load = engines[engine]
             .ends
             .last()
-            .expect("it was just put there")
+            .expect("the request was just added")
             .2;
-        known_engines[at][engine].own.add(load);
+        known_engines[instance][engine].own.add(load);
         for known in &mut known_engines {
             known[engine].record_part(session, now_ms);
         }
@@ -157,15 +161,15 @@
         result.late += f64::from(u8::from(waited > TARGET_MS && waited <= DEADLINE_MS));
     }
     Outcome {
-        on_time: result.on_time / asked,
-        late: result.late / asked,
-        refused: result.refused / asked,
+        on_time: result.on_time / requests,
+        late: result.late / requests,
+        refused: result.refused / requests,
     }
 }
 
-/// Lets an engine read a prompt, and returns after how many milliseconds its
-/// first event comes.
-fn read(engine: &mut Engine, at: usize, session: u64, now: f64) -> f64 {
+/// Adds a prompt to the queue of an engine, and returns the time until its
+/// first event.
+fn read(engine: &mut Engine, instance: usize, session: u64, now: f64) -> f64 {
     let is_cached = engine.parts.contains(&session);
     engine.parts.retain(|part| *part != session);
     engine.parts.push_back(session);
@@ -184,7 +188,7 @@
         prefill_tokens: tokens,
         must_finish: 1,
     };
-    engine.ends.push((engine.free_ms, at, load));
+    engine.ends.push((engine.free_ms, instance, load));
     engine.free_ms - now
 }
 
@@ -198,12 +202,13 @@
     }
 }
 
-/// Nearly twice as much comes as eight engines can read. Refusing what would
-/// wait too long keeps most of what is admitted on time, and looking at a few
-/// engines only keeps instances from all sending to the one that was free at
-/// the last heartbeat. On time, means of five seeds: 0.05 where nothing is
-/// refused, with this choice or with the fewest requests first; 0.24 with
-/// refusals and all engines looked at; 0.35 with both.
+/// With nearly twice the load that eight engines can read, most admitted
+/// requests must still be on time. Requests that would wait too long are
+/// refused, and each choice considers only a few engines, so that instances do
+/// not all send to the engine that was idle at the last heartbeat. On time,
+/// means of five seeds: 0.05 without refusals, with this choice or with the
+/// fewest requests; 0.24 with refusals and all engines considered; 0.35 with
+/// both.
 #[test]
 fn callers_are_served_on_time_under_overload() {
     let (ours, never, least) = (
@@ -217,8 +222,8 @@
     assert!(ours.late < 0.25, "{ours:?}");
 }
 
-/// On a calm day nothing is refused, and sessions meet the engines that keep
-/// their parts more often than with the fewest requests first.
+/// Below capacity nothing must be refused, and sessions must reach the engines
+/// that have their parts cached at least as often as with the fewest requests.
 #[test]
 fn nothing_is_refused_while_there_is_room() {
     let (ours, least) = (
--- a/crates/core/tests/mixed.rs
+++ b/crates/core/tests/mixed.rs
@@ -1,9 +1,9 @@
 //! What callers get while long prompts and short streams share engines.
 //!
-//! A small model of engines that read prompts in pieces between the tokens of
-//! what runs there: while a long prompt is read, every stream on its engine
-//! gets a token only after each piece. Six instances choose by what they have
-//! sent themselves and what the others told up to 200 ms before.
+//! A small model of engines that read prompts in chunks between the tokens of
+//! running requests: while a long prompt is read, every stream on its engine
+//! gets one token per chunk. Six instances choose by what they have sent
+//! themselves and what the others reported up to 200 ms before.
 
 mod support;
 
@@ -23,22 +23,22 @@
 const INSTANCES: usize = 6;
 const ENGINES: usize = 6;
 
-/// Tokens that an engine reads in a millisecond, and in one piece.
+/// Prefill rate of an engine, and the maximum number of prompt tokens per step.
 const TOKENS_PER_MS: f64 = 37.9;
 const CHUNK_TOKENS: u32 = 2_048;
 
-/// Time of a step of an engine that reads nothing, and what each request adds.
+/// Duration of a step without prefill, and the addition per running request.
 const STEP_MS: f64 = 4.63;
 const STEP_MS_PER_REQUEST: f64 = 0.15;
 
-/// Long parts that an engine's memory holds beside what runs.
+/// Long parts that the memory of an engine holds besides running requests.
 const MEMORY_PARTS: usize = 4;
 const MEMORY_TOKENS: u64 = 150_000;
 
-/// Time that is played.
+/// Simulated time.
 const DURATION_MS: u64 = 15_000;
 
-/// One kind of request.
+/// A kind of requests.
 struct Kind {
     sessions: u64,
     shared_tokens: u32,
@@ -74,12 +74,12 @@
 
 /// A request at an engine.
 struct Run {
-    at: usize,
+    instance: usize,
     load: Load,
     unread: u32,
     answer_left: u32,
-    asked_ms: f64,
-    begun_ms: Option<f64>,
+    sent_ms: f64,
+    first_token_ms: Option<f64>,
     is_long: bool,
 }
 
@@ -90,10 +90,10 @@
     parts: VecDeque<u64>,
 }
 
-/// What callers of one kind got.
+/// What callers of one kind got: request counts, or shares of `requests`.
 #[derive(Debug, Default, Clone, Copy)]
 struct Outcome {
-    asked: f64,
+    requests: f64,
     on_time: f64,
     refused: f64,
     failed: f64,
@@ -140,22 +140,23 @@
         }
     }
 
-    /// Sends one request where the instance that got it wants it.
+    /// Sends one request to the engine that a random instance chooses, unless
+    /// it is refused.
     fn send(&mut self, kind: &Kind, now_ms: u64, random: &mut SmallRng) {
         let is_long = !kind.is_first;
-        let at = random.random_range(0..INSTANCES);
+        let instance = random.random_range(0..INSTANCES);
         let session = random.random_range(0..kind.sessions) + if is_long { 10_000 } else { 0 };
         let requirements = requirements(kind, session, now_ms);
         self.prompt_length.record(requirements.prompt_tokens);
         let outcome = &mut self.outcome[usize::from(is_long)];
-        outcome.asked += 1.0;
+        outcome.requests += 1.0;
         let settings = ChoiceSettings {
             sample: self
                 .prompt_length
                 .sample_size(self.choice.sample, requirements.prompt_tokens),
             ..self.choice
         };
-        let all = self.known_engines[at].iter();
+        let all = self.known_engines[instance].iter();
         let (wanted, draw) = (VersionBounds::default(), random.random());
         let best = choose(
             all,
@@ -166,7 +167,7 @@
             draw,
             now_ms,
         );
-        let best = best.expect("all engines take work");
+        let best = best.expect("all engines accept work");
         let (rate, admit) = (PrefillRate::default(), AdmitSettings::default());
         let own_tokens = u64::from(kind.own_tokens);
         let target_ms = kind.target_ms as u64;
@@ -174,9 +175,9 @@
             outcome.refused += 1.0;
             return;
         }
-        let mut known_engines = self.known_engines[at].iter();
+        let mut known_engines = self.known_engines[instance].iter();
         let chosen = known_engines.position(|known| std::ptr::eq(known, best));
-        let chosen = chosen.expect("it is one of them");
+        let chosen = chosen.expect("the chosen engine is one of them");
         let is_cached = self.engines[chosen].parts.contains(&session);
         let unread = kind.own_tokens + if is_cached { 0 } else { kind.shared_tokens };
         let load = Load {
@@ -185,7 +186,7 @@
             prefill_tokens: unread,
             must_finish: 0,
         };
-        self.known_engines[at][chosen].own.add(load);
+        self.known_engines[instance][chosen].own.add(load);
         for known in &mut self.known_engines {
             known[chosen].record_part(session, now_ms);
         }
@@ -197,20 +198,20 @@
                 engine.parts.pop_front();
             }
         }
-        // Half of the answers are short, a few as long as they may be.
+        // Half of the answers are short, a few have the maximum length.
         let length: f64 = random.random();
         engine.runs.push(Run {
-            at,
+            instance,
             load,
             unread,
             answer_left: 1 + (f64::from(kind.max_answer_tokens) * length.powi(3)) as u32,
-            asked_ms: now_ms as f64,
-            begun_ms: None,
+            sent_ms: now_ms as f64,
+            first_token_ms: None,
             is_long,
         });
     }
 
-    /// Lets an engine take its next step.
+    /// Runs the next step of an engine if it is idle and has work.
     fn step(&mut self, engine: usize, now_ms: f64) {
         let Engine {
             busy_until_ms,
@@ -231,38 +232,39 @@
         let until_ms = *busy_until_ms;
         for run in runs.iter_mut().filter(|run| run.unread == 0) {
             run.answer_left -= 1;
-            if run.begun_ms.is_none() {
-                run.begun_ms = Some(until_ms);
-                let own = &mut self.known_engines[run.at][engine].own;
+            if run.first_token_ms.is_none() {
+                run.first_token_ms = Some(until_ms);
+                let own = &mut self.known_engines[run.instance][engine].own;
                 own.prefill_tokens -= run.load.prefill_tokens;
                 run.load.prefill_tokens = 0;
             }
         }
         for run in runs.extract_if(.., |run| {
             let kind = if run.is_long { &LONG } else { &SHORT };
-            run.answer_left == 0 || until_ms > run.asked_ms + kind.deadline_ms
+            run.answer_left == 0 || until_ms > run.sent_ms + kind.deadline_ms
         }) {
-            self.known_engines[run.at][engine].own.remove(run.load);
+            self.known_engines[run.instance][engine]
+                .own
+                .remove(run.load);
             let kind = if run.is_long { &LONG } else { &SHORT };
             let outcome = &mut self.outcome[usize::from(run.is_long)];
-            let begun_ms = run.begun_ms.unwrap_or(f64::MAX);
+            let first_token_ms = run.first_token_ms.unwrap_or(f64::MAX);
             if run.answer_left > 0 {
                 outcome.failed += 1.0;
-            } else if begun_ms <= run.asked_ms + kind.target_ms {
+            } else if first_token_ms <= run.sent_ms + kind.target_ms {
                 outcome.on_time += 1.0;
             }
         }
     }
 }
 
-/// Returns what callers of short and of long prompts got, as parts of what was
-/// asked, as a mean of five seeds.
+/// Returns the outcomes of short and of long prompts, as means of five seeds.
 fn simulate(choice: ChoiceSettings) -> [Outcome; 2] {
     simulate_load(choice, 1.0)
 }
 
-/// Returns the same where so many times the usual comes.
-fn simulate_load(choice: ChoiceSettings, times: f64) -> [Outcome; 2] {
+/// Returns the same at `load_factor` times the usual load.
+fn simulate_load(choice: ChoiceSettings, load_factor: f64) -> [Outcome; 2] {
     let mut sum = [Outcome::default(); 2];
     for seed in 1..=5 {
         let mut random = SmallRng::seed_from_u64(seed);
@@ -273,32 +275,33 @@
             }
             (0..ENGINES).for_each(|engine| fleet.step(engine, now_ms as f64));
             for kind in [&LONG, &SHORT] {
-                if random.random_bool(times * kind.per_s / 1_000.0) {
+                if random.random_bool(load_factor * kind.per_s / 1_000.0) {
                     fleet.send(kind, now_ms, &mut random);
                 }
             }
         }
         for (sum, outcome) in sum.iter_mut().zip(fleet.outcome) {
-            sum.asked += outcome.asked;
+            sum.requests += outcome.requests;
             sum.on_time += outcome.on_time;
             sum.refused += outcome.refused;
             sum.failed += outcome.failed;
         }
     }
     sum.map(|outcome| Outcome {
-        asked: outcome.asked,
-        on_time: outcome.on_time / outcome.asked,
-        refused: outcome.refused / outcome.asked,
-        failed: outcome.failed / outcome.asked,
+        requests: outcome.requests,
+        on_time: outcome.on_time / outcome.requests,
+        refused: outcome.refused / outcome.requests,
+        failed: outcome.failed / outcome.requests,
     })
 }
 
-/// Short requests share six engines with scripts of 17,000 tokens, nearly as
-/// many as the engines can read. With long prompts spread evenly each step of
-/// each engine reads a piece of one, and an answer of a hundred tokens takes
-/// longer than its caller waits. Kept together, they leave engines to the
-/// others. Without and with it, means of five seeds: short ones on time 0.47
-/// and 0.85, never finished 0.123 and 0.009; long ones on time 0.52 and 0.61.
+/// Short requests share six engines with scripts of 17,000 tokens, at nearly
+/// the load that the engines can read. If long prompts are spread evenly, every
+/// step of every engine reads a chunk of one, and an answer of a hundred tokens
+/// takes longer than its caller waits. Kept together, they leave engines to the
+/// short ones. Without and with `delay_ratio`, means of five seeds: short ones
+/// on time 0.47 and 0.85, never finished 0.123 and 0.009; long ones on time
+/// 0.52 and 0.61.
 #[test]
 fn short_streams_are_not_slowed_by_long_prompts() {
     let [short, long] = simulate(ChoiceSettings::default());
@@ -318,7 +321,7 @@
     );
 }
 
-/// With room for all, nothing is refused and hardly anything fails.
+/// Below capacity, nothing must be refused and hardly anything may fail.
 #[test]
 fn a_mix_below_capacity_is_served_without_refusals() {
     let is_unaffected = |kind: &Outcome| kind.refused < 0.005 && kind.failed < 0.005;
