--- a/crates/core/src/claim/epoch.rs
+++ b/crates/core/src/claim/epoch.rs
@@ -8,7 +8,7 @@
 pub const CLAIM_RETENTION_EPOCHS: u64 = 150;
 
 /// Time for which an epoch that was read counts as the present one.
-const READ_COUNTS_MS: u64 = 1_800_000;
+const MAX_EPOCH_AGE_MS: u64 = 1_800_000;
 
 /// The epoch as the platform holds it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,56 +28,56 @@
 /// A hundred and fifty epochs took 25 hours, whoever wrote them.
 #[derive(Debug, Clone, Default)]
 pub struct EpochTracker {
-    seen: Option<Seen>,
+    observed: Option<ObservedEpoch>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct ObservedEpoch {
     version: u64,
     number: u64,
-    first_ms: u64,
-    last_ms: u64,
+    first_seen_ms: u64,
+    last_seen_ms: u64,
 }
 
 impl EpochTracker {
     /// Notes what the platform holds, read or written by `now_ms`.
     pub fn observe(&mut self, version: u64, body: EpochBody, now_ms: u64) {
-        let first_ms = match &self.seen {
-            Some(seen) if seen.version == version => seen.first_ms,
+        let first_seen_ms = match &self.observed {
+            Some(observed) if observed.version == version => observed.first_seen_ms,
             _ => now_ms,
         };
-        self.seen = Some(Seen {
+        self.observed = Some(ObservedEpoch {
             version,
             number: body.number,
-            first_ms,
-            last_ms: now_ms,
+            first_seen_ms,
+            last_seen_ms: now_ms,
         });
     }
 
     /// Returns the version to write over and the next epoch, if this one has
     /// lasted.
     pub fn next_epoch(&self, now_ms: u64) -> Option<(u64, EpochBody)> {
-        let seen = self.seen?;
-        let lasted = now_ms.saturating_sub(seen.first_ms) >= MIN_EPOCH_MS;
+        let observed = self.observed?;
+        let lasted = now_ms.saturating_sub(observed.first_seen_ms) >= MIN_EPOCH_MS;
         let body = EpochBody {
             schema: 1,
-            number: seen.number + 1,
+            number: observed.number + 1,
         };
-        lasted.then_some((seen.version, body))
+        lasted.then_some((observed.version, body))
     }
 
     /// Returns the present epoch, if it was read lately.
     pub fn current_epoch(&self, now_ms: u64) -> Option<u64> {
-        let seen = self.seen?;
-        let fresh = now_ms.saturating_sub(seen.last_ms) < READ_COUNTS_MS;
-        fresh.then_some(seen.number)
+        let observed = self.observed?;
+        let fresh = now_ms.saturating_sub(observed.last_seen_ms) < MAX_EPOCH_AGE_MS;
+        fresh.then_some(observed.number)
     }
 
     /// Returns whether a claim of an epoch may be deleted.
     pub fn is_expired(&self, claim_epoch: Option<u64>) -> bool {
-        let (Some(seen), Some(epoch)) = (self.seen, claim_epoch) else {
+        let (Some(observed), Some(epoch)) = (self.observed, claim_epoch) else {
             return false;
         };
-        seen.number > epoch.saturating_add(CLAIM_RETENTION_EPOCHS)
+        observed.number > epoch.saturating_add(CLAIM_RETENTION_EPOCHS)
     }
 }
--- a/crates/core/src/claim/lifecycle.rs
+++ b/crates/core/src/claim/lifecycle.rs
@@ -8,7 +8,7 @@
 
 /// Longest time between making a claim and sending the request. A process
 /// paused for longer must not send: its claim may have been deleted.
-const LONGEST_UNSENT_MS: u64 = 3_600_000;
+const MAX_UNSENT_MS: u64 = 3_600_000;
 
 /// A claim in one phase of its life.
 ///
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct Claimed {
     version: u64,
-    begun_ms: u64,
+    started_ms: u64,
 }
 
 /// Sent, or about to be.
@@ -75,12 +75,15 @@
     }
 
     /// Notes that the platform holds the claim, at a version, by a write
-    /// begun at `begun_ms`.
-    pub fn created(self, version: u64, begun_ms: u64) -> Claim<Claimed> {
+    /// begun at `started_ms`.
+    pub fn created(self, version: u64, started_ms: u64) -> Claim<Claimed> {
         Claim {
             name: self.name,
             body: self.body,
-            state: Claimed { version, begun_ms },
+            state: Claimed {
+                version,
+                started_ms,
+            },
         }
     }
 }
@@ -92,7 +95,7 @@
     ///
     /// Fails where the claim is so old that it may be gone.
     pub fn send(self, now_ms: u64) -> Result<Claim<Sent>, ClaimTooOld> {
-        if now_ms.saturating_sub(self.state.begun_ms) > LONGEST_UNSENT_MS {
+        if now_ms.saturating_sub(self.state.started_ms) > MAX_UNSENT_MS {
             return Err(ClaimTooOld(Box::new(self)));
         }
         Ok(Claim {
--- a/crates/core/src/rollout/memory.rs
+++ b/crates/core/src/rollout/drained_engine.rs
@@ -2,34 +2,34 @@
 /// that takes over starts with nothing, which costs repeated steps and no
 /// wrong ones.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Memory {
+pub(super) struct DrainedEngine {
     /// When the mark was first seen.
-    pub(super) drained_ms: u64,
+    pub(super) drained_since_ms: u64,
     /// When the engine last answered.
-    pub(super) answered_ms: u64,
+    pub(super) last_answer_ms: u64,
     /// The last order: its version, and when it was given.
-    pub(super) ordered: Option<(String, u64)>,
+    pub(super) last_order: Option<(String, u64)>,
     /// Orders of that version.
-    pub(super) orders: u32,
+    pub(super) order_count: u32,
     /// Incarnation and version that answered a probe.
-    pub(super) probed: Option<(u64, String)>,
+    pub(super) successful_probe: Option<(u64, String)>,
     /// Probes that failed in a row.
     pub(super) failed_probes: u32,
 }
 
-impl Memory {
-    pub(super) fn new(now_ms: u64) -> Memory {
-        Memory {
-            drained_ms: now_ms,
-            answered_ms: now_ms,
-            ..Memory::default()
+impl DrainedEngine {
+    pub(super) fn new(now_ms: u64) -> DrainedEngine {
+        DrainedEngine {
+            drained_since_ms: now_ms,
+            last_answer_ms: now_ms,
+            ..DrainedEngine::default()
         }
     }
 
     /// Returns whether an order for this version was given so lately that its
     /// effect may not show yet.
-    pub(super) fn awaits(&self, version: &str, retry_ms: u64, now_ms: u64) -> bool {
-        self.ordered
+    pub(super) fn has_recent_order(&self, version: &str, retry_ms: u64, now_ms: u64) -> bool {
+        self.last_order
             .as_ref()
             .is_some_and(|(v, at_ms)| v == version && now_ms.saturating_sub(*at_ms) < retry_ms)
     }
--- a/crates/core/src/rollout/machine.rs
+++ b/crates/core/src/rollout/machine.rs
@@ -1,5 +1,7 @@
 use {
-    super::{Action, EngineSnapshot, Failure, Plan, RolloutSettings, memory::Memory},
+    super::{
+        Action, EngineSnapshot, Failure, Plan, RolloutSettings, drained_engine::DrainedEngine,
+    },
     crate::engine::OrderReply,
     std::collections::BTreeMap,
 };
@@ -9,8 +11,8 @@
 pub struct Rollout {
     settings: RolloutSettings,
     plan: Plan,
-    since_ms: u64,
-    out: BTreeMap<String, Memory>,
+    resumed_ms: u64,
+    drained_engines: BTreeMap<String, DrainedEngine>,
 }
 
 impl Rollout {
@@ -19,8 +21,8 @@
         Rollout {
             settings,
             plan,
-            since_ms: now_ms,
-            out: BTreeMap::new(),
+            resumed_ms: now_ms,
+            drained_engines: BTreeMap::new(),
         }
     }
 
@@ -42,7 +44,7 @@
 
     /// Returns what to do now.
     pub fn decide<'a>(&mut self, engines: &[EngineSnapshot<'a>], now_ms: u64) -> Vec<Action<'a>> {
-        self.out
+        self.drained_engines
             .retain(|name, _| engines.iter().any(|e| e.name == name && e.drained));
         let mut loading = engines
             .iter()
@@ -50,12 +52,12 @@
             .count();
         let mut actions = Vec::new();
         for engine in engines.iter().filter(|e| e.drained) {
-            let action = self.advance(engine, loading, now_ms);
+            let action = self.next_action(engine, loading, now_ms);
             loading += usize::from(matches!(action, Some(Action::Order { .. })));
             actions.extend(action);
         }
-        actions.extend(self.take_out(engines));
-        self.note_done(engines);
+        actions.extend(self.next_drain(engines));
+        self.update_done(engines);
         actions
     }
 
@@ -74,10 +76,10 @@
                 format!("Version {version} was refused: {reason}; write a version that loads."),
             );
         }
-        let memory = self.memory(engine, now_ms);
-        let again = memory.ordered.as_ref().is_some_and(|(v, _)| v == version);
-        memory.orders = if again { memory.orders + 1 } else { 1 };
-        memory.ordered = Some((version.to_owned(), now_ms));
+        let state = self.drained_engine(engine, now_ms);
+        let again = state.last_order.as_ref().is_some_and(|(v, _)| v == version);
+        state.order_count = if again { state.order_count + 1 } else { 1 };
+        state.last_order = Some((version.to_owned(), now_ms));
     }
 
     /// Notes how a probe ended.
@@ -89,16 +91,16 @@
         ok: bool,
         now_ms: u64,
     ) {
-        let most = self.settings.most_probes;
-        let memory = self.memory(engine, now_ms);
+        let max_failed_probes = self.settings.max_failed_probes;
+        let state = self.drained_engine(engine, now_ms);
         if ok {
-            memory.failed_probes = 0;
-            memory.probed = Some((incarnation, version.to_owned()));
+            state.failed_probes = 0;
+            state.successful_probe = Some((incarnation, version.to_owned()));
             return;
         }
-        memory.failed_probes += 1;
-        if memory.failed_probes >= most {
-            memory.failed_probes = 0;
+        state.failed_probes += 1;
+        if state.failed_probes >= max_failed_probes {
+            state.failed_probes = 0;
             self.fail(
                 engine,
                 format!("Version {version} gave no answer to a probe; write a version that does."),
@@ -106,10 +108,10 @@
         }
     }
 
-    fn memory(&mut self, engine: &str, now_ms: u64) -> &mut Memory {
-        self.out
+    fn drained_engine(&mut self, engine: &str, now_ms: u64) -> &mut DrainedEngine {
+        self.drained_engines
             .entry(engine.to_owned())
-            .or_insert_with(|| Memory::new(now_ms))
+            .or_insert_with(|| DrainedEngine::new(now_ms))
     }
 
     /// Stops the rollout. A fault on the way back changes nothing: the reason
@@ -124,49 +126,51 @@
     }
 
     fn is_loading(&self, engine: &EngineSnapshot<'_>, now_ms: u64) -> bool {
-        let wanted = self.plan.wanted();
-        let awaits = self
-            .out
-            .get(engine.name)
-            .is_some_and(|memory| memory.awaits(wanted, self.settings.order_retry_ms, now_ms));
-        engine.loading || (awaits && engine.version != Some(wanted))
+        let desired_version = self.plan.desired_version();
+        let has_recent_order = self.drained_engines.get(engine.name).is_some_and(|state| {
+            state.has_recent_order(desired_version, self.settings.order_retry_ms, now_ms)
+        });
+        engine.loading || (has_recent_order && engine.version != Some(desired_version))
     }
 
     /// Returns the next step of an engine that is out.
-    fn advance<'a>(
+    fn next_action<'a>(
         &mut self,
         engine: &EngineSnapshot<'a>,
         loading: usize,
         now_ms: u64,
     ) -> Option<Action<'a>> {
-        let wanted = self.plan.wanted().to_owned();
-        let lost_ms = self.settings.lost_ms;
-        let memory = self.memory(engine.name, now_ms);
+        let desired_version = self.plan.desired_version().to_owned();
+        let unresponsive_timeout_ms = self.settings.unresponsive_timeout_ms;
+        let state = self.drained_engine(engine.name, now_ms);
         let Some(version) = engine.version else {
-            let silent_ms = now_ms.saturating_sub(memory.answered_ms);
-            return (silent_ms >= lost_ms).then_some(Action::Undrain {
+            let silent_ms = now_ms.saturating_sub(state.last_answer_ms);
+            return (silent_ms >= unresponsive_timeout_ms).then_some(Action::Undrain {
                 engine: engine.name,
             });
         };
-        memory.answered_ms = now_ms;
+        state.last_answer_ms = now_ms;
         if engine.departing {
             return Some(Action::Undrain {
                 engine: engine.name,
             });
         }
         if engine.loading {
-            self.check_load(engine.name, now_ms);
+            self.check_load_timeout(engine.name, now_ms);
             return None;
         }
-        if version == wanted {
-            return Some(self.finish(engine, wanted));
+        if version == desired_version {
+            return Some(self.probe_or_undrain(engine, desired_version));
         }
-        self.order(engine, wanted, loading, now_ms)
+        self.order_if_ready(engine, desired_version, loading, now_ms)
     }
 
-    fn check_load(&mut self, engine: &str, now_ms: u64) {
+    fn check_load_timeout(&mut self, engine: &str, now_ms: u64) {
         let limit_ms = self.settings.load_timeout_ms;
-        let ordered = self.out.get(engine).and_then(|m| m.ordered.clone());
+        let ordered = self
+            .drained_engines
+            .get(engine)
+            .and_then(|m| m.last_order.clone());
         let Some((version, at_ms)) = ordered else {
             return;
         };
@@ -180,80 +184,92 @@
 
     /// Puts an engine back that answered with the version it shall serve. An
     /// answer of the engine before its last restart does not count.
-    fn finish<'a>(&self, engine: &EngineSnapshot<'a>, wanted: String) -> Action<'a> {
-        let probed = self.out.get(engine.name).and_then(|m| m.probed.as_ref());
-        if probed == Some(&(engine.incarnation, wanted.clone())) {
+    fn probe_or_undrain<'a>(
+        &self,
+        engine: &EngineSnapshot<'a>,
+        desired_version: String,
+    ) -> Action<'a> {
+        let probed = self
+            .drained_engines
+            .get(engine.name)
+            .and_then(|m| m.successful_probe.as_ref());
+        if probed == Some(&(engine.incarnation, desired_version.clone())) {
             return Action::Undrain {
                 engine: engine.name,
             };
         }
         Action::Probe {
             engine: engine.name,
-            version: wanted,
+            version: desired_version,
         }
     }
 
-    fn order<'a>(
+    fn order_if_ready<'a>(
         &mut self,
         engine: &EngineSnapshot<'a>,
-        wanted: String,
+        desired_version: String,
         loading: usize,
         now_ms: u64,
     ) -> Option<Action<'a>> {
         let settings = self.settings.clone();
-        let early = now_ms.saturating_sub(self.since_ms) < settings.unfenced_wait_ms;
-        let memory = self.memory(engine.name, now_ms);
-        let drained_ms = now_ms.saturating_sub(memory.drained_ms);
+        let in_unfenced_wait = now_ms.saturating_sub(self.resumed_ms) < settings.unfenced_wait_ms;
+        let state = self.drained_engine(engine.name, now_ms);
+        let drained_ms = now_ms.saturating_sub(state.drained_since_ms);
         let idle = engine.open_requests == 0 || drained_ms >= settings.drain_timeout_ms;
-        let waits = drained_ms < settings.settle_ms
+        let must_wait = drained_ms < settings.drain_propagation_ms
             || !idle
-            || memory.awaits(&wanted, settings.order_retry_ms, now_ms)
+            || state.has_recent_order(&desired_version, settings.order_retry_ms, now_ms)
             || loading >= settings.concurrent_loads
-            || (early && !engine.checks_fencing);
-        if waits {
+            || (in_unfenced_wait && !engine.checks_fencing);
+        if must_wait {
             return None;
         }
-        let tried = memory.ordered.as_ref().is_some_and(|(v, _)| *v == wanted);
-        if tried && memory.orders >= settings.most_orders && self.plan.failure.is_none() {
+        let tried = state
+            .last_order
+            .as_ref()
+            .is_some_and(|(v, _)| *v == desired_version);
+        if tried && state.order_count >= settings.max_orders && self.plan.failure.is_none() {
             self.fail(
                 engine.name,
-                format!("Version {wanted} was ordered and does not load; look at the engine."),
+                format!(
+                    "Version {desired_version} was ordered and does not load; look at the engine."
+                ),
             );
             return None;
         }
         Some(Action::Order {
             engine: engine.name,
-            version: wanted,
+            version: desired_version,
         })
     }
 
     /// Returns the next engine to take out, if capacity allows it.
-    fn take_out<'a>(&self, engines: &[EngineSnapshot<'a>]) -> Option<Action<'a>> {
-        let out = engines.iter().filter(|e| e.drained).count();
-        if self.plan.failure.is_some() || out >= self.settings.concurrent_loads {
+    fn next_drain<'a>(&self, engines: &[EngineSnapshot<'a>]) -> Option<Action<'a>> {
+        let drained = engines.iter().filter(|e| e.drained).count();
+        if self.plan.failure.is_some() || drained >= self.settings.concurrent_loads {
             return None;
         }
         let total = engines.iter().filter(|e| !e.departing).count();
         let serving = engines.iter().filter(|e| e.serves()).count();
-        let floor = self.floor(total);
+        let min_serving = self.min_serving(total);
         engines
             .iter()
             .filter(|e| !e.drained && !e.departing && !e.loading)
             .filter(|e| e.version.is_some_and(|v| v != self.plan.target))
-            .find(|e| serving - usize::from(e.serves()) >= floor)
+            .find(|e| serving - usize::from(e.serves()) >= min_serving)
             .map(|e| Action::Drain { engine: e.name })
     }
 
     /// Returns how many of this many engines must go on serving. It is one at
     /// least: the last engine of a model is never taken out.
-    fn floor(&self, total: usize) -> usize {
-        let most_out = (total * self.settings.most_out_percent / 100).max(1);
-        total.saturating_sub(most_out).max(1)
+    fn min_serving(&self, total: usize) -> usize {
+        let max_drained = (total * self.settings.max_drained_percent / 100).max(1);
+        total.saturating_sub(max_drained).max(1)
     }
 
     /// Notes that every engine that answers serves the target. One that is
     /// dead gets it when it comes back.
-    fn note_done(&mut self, engines: &[EngineSnapshot<'_>]) {
+    fn update_done(&mut self, engines: &[EngineSnapshot<'_>]) {
         let target = self.plan.target.as_str();
         let mut answering = engines
             .iter()
@@ -262,7 +278,7 @@
         let any = answering.peek().is_some();
         if any && answering.all(|e| !e.drained && e.version == Some(target)) {
             self.plan.done = true;
-            self.plan.good.clone_from(&self.plan.target);
+            self.plan.fallback.clone_from(&self.plan.target);
         }
     }
 }
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -8,15 +8,15 @@
 //! answer is met by one engine, which goes back to the version before.
 
 mod action;
-mod facts;
+mod drained_engine;
+mod engine_snapshot;
 mod machine;
-mod memory;
 mod plan;
 mod settings;
 
 pub use {
     action::Action,
-    facts::EngineSnapshot,
+    engine_snapshot::EngineSnapshot,
     machine::Rollout,
     plan::{Failure, Plan},
     settings::RolloutSettings,
--- a/crates/core/src/rollout/plan.rs
+++ b/crates/core/src/rollout/plan.rs
@@ -21,7 +21,8 @@
     /// Version to be served by every engine.
     pub target: String,
     /// The version before, to which a failed engine goes back.
-    pub good: String,
+    #[serde(rename = "good")]
+    pub fallback: String,
     /// Whether every engine served the target at once.
     pub done: bool,
     /// Why the rollout stopped, if it did.
@@ -36,19 +37,19 @@
     /// what to go back to.
     pub fn set_target(&mut self, target: &str, engines: &[EngineSnapshot<'_>]) {
         if self.target == target {
-            return self.find_good(engines);
+            return self.set_missing_fallback(engines);
         }
-        let good = if self.done {
+        let fallback = if self.done {
             std::mem::take(&mut self.target)
-        } else if self.good.is_empty() {
-            most_served(engines)
+        } else if self.fallback.is_empty() {
+            most_common_version(engines)
         } else {
-            std::mem::take(&mut self.good)
+            std::mem::take(&mut self.fallback)
         };
         *self = Plan {
             schema: 1,
             target: target.to_owned(),
-            good,
+            fallback,
             done: false,
             failure: None,
         };
@@ -57,24 +58,24 @@
     /// Notes what engines served before, if no engine answered when the
     /// rollout began. Without it a failed engine would have nothing to go
     /// back to and stay out.
-    fn find_good(&mut self, engines: &[EngineSnapshot<'_>]) {
-        if self.good.is_empty() {
+    fn set_missing_fallback(&mut self, engines: &[EngineSnapshot<'_>]) {
+        if self.fallback.is_empty() {
             let before = |e: &&EngineSnapshot<'_>| e.version != Some(self.target.as_str());
             let before: Vec<_> = engines.iter().filter(before).copied().collect();
-            self.good = most_served(&before);
+            self.fallback = most_common_version(&before);
         }
     }
 
     /// Returns the version that an engine which is out shall load.
-    pub fn wanted(&self) -> &str {
-        if self.failure.is_some() && !self.good.is_empty() {
-            return &self.good;
+    pub fn desired_version(&self) -> &str {
+        if self.failure.is_some() && !self.fallback.is_empty() {
+            return &self.fallback;
         }
         &self.target
     }
 }
 
-fn most_served(engines: &[EngineSnapshot<'_>]) -> String {
+fn most_common_version(engines: &[EngineSnapshot<'_>]) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for version in engines.iter().filter_map(|e| e.version) {
         *counts.entry(version).or_default() += usize::from(!version.is_empty());
--- a/crates/core/src/weights/named.rs
+++ b/crates/core/src/weights/history.rs
@@ -2,7 +2,7 @@
 
 /// Versions remembered of one model. Operators may name several before the
 /// first is in place everywhere.
-const MOST: usize = 16;
+const MAX_VERSIONS: usize = 16;
 
 /// When a version was named.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -15,7 +15,7 @@
 
 /// Time without word from the store up to which a version that is then read
 /// counts as named at its beginning.
-const MOST_GAP_MS: u64 = 1_000;
+const MAX_GAP_MS: u64 = 1_000;
 
 impl PublishedAt {
     /// Returns when a version was named that a reading of the store shows for
@@ -25,7 +25,7 @@
     /// meanwhile for a new one, and use old weights past their time. After a
     /// longer gap nothing is known; a peer that saw it tells better.
     pub fn after_gap(gap_ms: Option<u64>) -> PublishedAt {
-        match gap_ms.filter(|gap_ms| *gap_ms <= MOST_GAP_MS) {
+        match gap_ms.filter(|gap_ms| *gap_ms <= MAX_GAP_MS) {
             Some(gap_ms) => PublishedAt::Ago(gap_ms),
             None => PublishedAt::Unknown,
         }
@@ -33,17 +33,17 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Named {
+struct Publication {
     version: u64,
-    named_ms: u64,
-    is_known: bool,
+    published_ms: u64,
+    is_age_known: bool,
 }
 
 /// When versions of one model's weights were named.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WeightsHistory {
     /// Rising by version.
-    history: VecDeque<Named>,
+    history: VecDeque<Publication>,
 }
 
 /// What weights a request should meet.
@@ -83,7 +83,7 @@
         settings: &WeightsSettings,
         now_ms: u64,
     ) -> bool {
-        let (named_ms, is_known) = match at {
+        let (published_ms, is_age_known) = match at {
             PublishedAt::Ago(age_ms) => (now_ms.saturating_sub(age_ms), true),
             PublishedAt::Unknown => {
                 let age_ms = settings
@@ -93,21 +93,21 @@
             }
         };
         let mut history = self.history.iter_mut();
-        if let Some(known) = history.find(|named| named.version == version) {
-            known.learn(named_ms, is_known);
+        if let Some(existing) = history.find(|publication| publication.version == version) {
+            existing.merge(published_ms, is_age_known);
             return false;
         }
         let is_newest = version > self.newest();
-        let place = self
+        let index = self
             .history
-            .partition_point(|named| named.version < version);
-        let named = Named {
+            .partition_point(|publication| publication.version < version);
+        let publication = Publication {
             version,
-            named_ms,
-            is_known,
+            published_ms,
+            is_age_known,
         };
-        self.history.insert(place, named);
-        if self.history.len() > MOST {
+        self.history.insert(index, publication);
+        if self.history.len() > MAX_VERSIONS {
             self.history.pop_front();
         }
         is_newest
@@ -115,7 +115,9 @@
 
     /// Returns the newest version; 0 where none was named.
     pub fn newest(&self) -> u64 {
-        self.history.back().map_or(0, |named| named.version)
+        self.history
+            .back()
+            .map_or(0, |publication| publication.version)
     }
 
     /// Returns the versions that bound the use of older ones, and when they were
@@ -130,32 +132,38 @@
         now_ms: u64,
     ) -> impl Iterator<Item = (u64, PublishedAt)> {
         // All before the last one that is past its time are out of use anyway.
-        let is_past = |named: &Named| now_ms >= named.named_ms + settings.start_until_ms;
-        let first = self.history.iter().rposition(is_past).unwrap_or(0);
-        self.history.iter().skip(first).map(move |named| {
-            let at = match named.is_known {
-                true => PublishedAt::Ago(now_ms.saturating_sub(named.named_ms)),
+        let is_expired = |publication: &Publication| {
+            now_ms >= publication.published_ms + settings.start_until_ms
+        };
+        let first = self.history.iter().rposition(is_expired).unwrap_or(0);
+        self.history.iter().skip(first).map(move |publication| {
+            let at = match publication.is_age_known {
+                true => PublishedAt::Ago(now_ms.saturating_sub(publication.published_ms)),
                 false => PublishedAt::Unknown,
             };
-            (named.version, at)
+            (publication.version, at)
         })
     }
 
     /// Returns when a request may no longer begin on a version, if newer ones
     /// were named.
     pub fn start_deadline_ms(&self, version: u64, settings: &WeightsSettings) -> Option<u64> {
-        let mut newer = self.history.iter().filter(|named| named.version > version);
+        let mut newer = self
+            .history
+            .iter()
+            .filter(|publication| publication.version > version);
         newer
             .next()
-            .map(|named| named.named_ms + settings.start_until_ms)
+            .map(|publication| publication.published_ms + settings.start_until_ms)
     }
 
     /// Returns what a request should meet now.
     pub fn version_bounds(&self, settings: &WeightsSettings, now_ms: u64) -> VersionBounds {
         let older_than = |age_ms: u64| {
-            let named = self.history.iter().rev();
-            let mut old = named.filter(|named| now_ms >= named.named_ms + age_ms);
-            old.next().map_or(0, |named| named.version)
+            let publication = self.history.iter().rev();
+            let mut old =
+                publication.filter(|publication| now_ms >= publication.published_ms + age_ms);
+            old.next().map_or(0, |publication| publication.version)
         };
         VersionBounds {
             newest: self.newest(),
@@ -165,14 +173,14 @@
     }
 }
 
-impl Named {
+impl Publication {
     /// Whoever heard of it first knows its age best; a guess knows less.
-    fn learn(&mut self, named_ms: u64, is_known: bool) {
-        match (self.is_known, is_known) {
-            (true, true) => self.named_ms = self.named_ms.min(named_ms),
+    fn merge(&mut self, published_ms: u64, is_age_known: bool) {
+        match (self.is_age_known, is_age_known) {
+            (true, true) => self.published_ms = self.published_ms.min(published_ms),
             (false, true) => {
-                self.named_ms = named_ms;
-                self.is_known = true;
+                self.published_ms = published_ms;
+                self.is_age_known = true;
             }
             (_, false) => {}
         }
--- a/crates/core/src/weights/lease.rs
+++ b/crates/core/src/weights/lease.rs
@@ -49,8 +49,8 @@
     pub fence: u64,
     /// Revision of the record, for the next renewal.
     pub revision: u64,
-    renewed_ms: u64,
-    first_order_ms: u64,
+    renewal_sent_ms: u64,
+    earliest_order_ms: u64,
 }
 
 /// What this instance saw of the record that another holds.
@@ -59,7 +59,7 @@
     /// Revision of the record.
     pub revision: u64,
     /// When it was first seen at this revision.
-    pub first_ms: u64,
+    pub first_seen_ms: u64,
 }
 
 /// The right to give orders to engines, in one of its states.
@@ -80,9 +80,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HolderReport {
     /// From when on it gave no order.
-    pub quiet_since_ms: u64,
+    pub no_orders_since_ms: u64,
     /// When that was heard.
-    pub heard_ms: u64,
+    pub received_ms: u64,
     /// Whether it has started again since it wrote the record.
     pub is_restarted: bool,
 }
@@ -91,8 +91,8 @@
     /// Returns from when on the record's holder can give no order, if the
     /// record is still as it was seen: it may have renewed just before the
     /// record was seen at this revision, not later.
-    pub fn quiet_since_ms(&self, settings: &LeaseSettings) -> u64 {
-        self.first_ms + settings.valid_ms
+    pub fn no_orders_since_ms(&self, settings: &LeaseSettings) -> u64 {
+        self.first_seen_ms + settings.valid_ms
     }
 
     /// Returns whether the record may be taken from its holder, and from when
@@ -104,22 +104,23 @@
     /// can; each waits for the one before to be quiet, and nobody orders.
     pub fn check_takeover(
         &self,
-        told: Option<HolderReport>,
+        report: Option<HolderReport>,
         settings: &LeaseSettings,
         now_ms: u64,
     ) -> Option<u64> {
-        let told = told.filter(|told| told.is_restarted || told.heard_ms >= self.first_ms);
-        let (settled_ms, quiet_since_ms) = match told {
-            Some(told) => (
-                self.first_ms + settings.released_wait_ms,
-                told.quiet_since_ms,
+        let report =
+            report.filter(|report| report.is_restarted || report.received_ms >= self.first_seen_ms);
+        let (takeover_ms, no_orders_since_ms) = match report {
+            Some(report) => (
+                self.first_seen_ms + settings.released_wait_ms,
+                report.no_orders_since_ms,
             ),
             None => (
-                self.first_ms + settings.silent_wait_ms(),
-                self.quiet_since_ms(settings),
+                self.first_seen_ms + settings.silent_wait_ms(),
+                self.no_orders_since_ms(settings),
             ),
         };
-        (now_ms >= settled_ms).then_some(quiet_since_ms)
+        (now_ms >= takeover_ms).then_some(no_orders_since_ms)
     }
 }
 
@@ -134,27 +135,27 @@
 
     /// Takes the lease over, once the store has accepted the record.
     ///
-    /// `sent_ms` is when the write was sent. `quiet_since_ms` is from when on
+    /// `sent_ms` is when the write was sent. `no_orders_since_ms` is from when on
     /// the holder before gave no order, `None` where there was none or it was
     /// this instance.
     pub fn take(
         self,
         fence: u64,
         revision: u64,
-        quiet_since_ms: Option<u64>,
+        no_orders_since_ms: Option<u64>,
         sent_ms: u64,
     ) -> Lease<Held> {
         let settings = self.settings;
-        let first_order_ms = quiet_since_ms.map_or(sent_ms, |quiet_since_ms| {
-            quiet_since_ms + settings.exclusion_ms + settings.margin_ms
+        let earliest_order_ms = no_orders_since_ms.map_or(sent_ms, |no_orders_since_ms| {
+            no_orders_since_ms + settings.exclusion_ms + settings.margin_ms
         });
         Lease {
             settings,
             state: Held {
                 fence,
                 revision,
-                renewed_ms: sent_ms,
-                first_order_ms,
+                renewal_sent_ms: sent_ms,
+                earliest_order_ms,
             },
         }
     }
@@ -162,26 +163,26 @@
 
 impl Lease<Held> {
     /// Notes a renewal that the store has accepted.
-    pub fn renewed(&mut self, revision: u64, sent_ms: u64) {
+    pub fn record_renewal(&mut self, revision: u64, sent_ms: u64) {
         self.state.revision = revision;
-        self.state.renewed_ms = sent_ms;
+        self.state.renewal_sent_ms = sent_ms;
     }
 
     /// Takes over the revision of a renewal whose answer was lost. It doesn't
     /// count as a renewal: when it took effect isn't known.
-    pub fn adopt(&mut self, revision: u64) {
+    pub fn adopt_revision(&mut self, revision: u64) {
         self.state.revision = revision;
     }
 
     /// Returns whether an order may leave now.
     pub fn may_order(&self, now_ms: u64) -> bool {
-        now_ms >= self.state.first_order_ms
-            && now_ms < self.state.renewed_ms + self.settings.valid_ms
+        now_ms >= self.state.earliest_order_ms
+            && now_ms < self.state.renewal_sent_ms + self.settings.valid_ms
     }
 
     /// Returns whether orders have to wait for the holder before.
     pub fn is_waiting(&self, now_ms: u64) -> bool {
-        now_ms < self.state.first_order_ms
+        now_ms < self.state.earliest_order_ms
     }
 
     /// Returns the state, for the next write and for orders.
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -20,14 +20,14 @@
     }
 }
 
-fn told(verdict: DuplicateResponse) -> String {
+fn render(verdict: DuplicateResponse) -> String {
     match verdict {
         DuplicateResponse::Replay(reply) => format!("answer {} {:?}", reply.status, reply.body),
-        DuplicateResponse::Refuse(refusal) => told_refusal(&refusal),
+        DuplicateResponse::Refuse(refusal) => render_refusal(&refusal),
     }
 }
 
-fn told_refusal(refusal: &Refusal) -> String {
+fn render_refusal(refusal: &Refusal) -> String {
     let retry = refusal
         .retry_ms()
         .map_or_else(String::new, |ms| format!(", again in {ms} ms"));
@@ -37,7 +37,7 @@
 /// A caller sends again while the first run is in every possible state, and
 /// its router lives or is silent. No state lets it run a second time.
 #[test]
-fn what_a_caller_gets_that_meets_a_claim() {
+fn responses_to_duplicate_requests() {
     let ran = ClaimState::Ran(StoredReply {
         status: 200,
         content_type: "text/plain".to_owned(),
@@ -53,7 +53,7 @@
     for state in states {
         for holder in [HolderLiveness::Alive, HolderLiveness::Silent] {
             for request in ["digest", "another"] {
-                let verdict = told(duplicate_response(&claim(state.clone()), request, holder));
+                let verdict = render(duplicate_response(&claim(state.clone()), request, holder));
                 table += &format!("{state:?} {holder:?} {request}: {verdict}\n");
             }
         }
@@ -65,7 +65,7 @@
 /// epoch goes on all the same, never faster than its least time, and a claim
 /// is not deleted before a day has passed.
 #[test]
-fn a_claim_outlives_a_day_of_short_lived_instances() {
+fn a_claim_is_kept_for_a_day_across_short_lived_instances() {
     let mut held = (
         1,
         EpochBody {
@@ -73,22 +73,22 @@
             number: 1,
         },
     );
-    let mut watch = EpochTracker::default();
+    let mut tracker = EpochTracker::default();
     for minute in 0..24 * 60 {
         let now_ms = minute * 60_000;
         if minute % 15 == 0 {
-            watch = EpochTracker::default();
+            tracker = EpochTracker::default();
         }
-        watch.observe(held.0, held.1, now_ms);
-        if let Some((version, next)) = watch.next_epoch(now_ms) {
+        tracker.observe(held.0, held.1, now_ms);
+        if let Some((version, next)) = tracker.next_epoch(now_ms) {
             assert_eq!(version, held.0);
             held = (version + 1, next);
         }
         assert!(held.1.number <= now_ms / MIN_EPOCH_MS + 1);
-        assert!(!watch.is_expired(Some(1)));
+        assert!(!tracker.is_expired(Some(1)));
     }
     assert!(held.1.number > 90);
-    watch.observe(
+    tracker.observe(
         9_999,
         EpochBody {
             schema: 1,
@@ -96,13 +96,15 @@
         },
         0,
     );
-    assert!(watch.is_expired(Some(1)) && !watch.is_expired(Some(2)) && !watch.is_expired(None));
+    assert!(
+        tracker.is_expired(Some(1)) && !tracker.is_expired(Some(2)) && !tracker.is_expired(None)
+    );
 }
 
 /// Team and key are told apart: no other split of the same letters meets the
 /// claim of another team.
 #[test]
-fn names_of_claims_do_not_run_into_one_another() {
+fn claim_names_of_different_teams_and_keys_differ() {
     assert_ne!(
         digest_of_parts(&[b"a", b"b/c"]),
         digest_of_parts(&[b"a/b", b"c"])
--- a/crates/core/tests/rollout.rs
+++ b/crates/core/tests/rollout.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone)]
 enum Op {
     Pass { steps: u8 },
-    Aim { version: usize },
+    SetTarget { version: usize },
     Crash { engine: usize },
     Start { engine: usize },
     Busy { engine: usize, open: u32 },
@@ -33,7 +33,7 @@
     let engine = 0..12_usize;
     prop_oneof![
         8 => (1..12_u8).prop_map(|steps| Op::Pass { steps }),
-        2 => (0..VERSIONS.len()).prop_map(|version| Op::Aim { version }),
+        2 => (0..VERSIONS.len()).prop_map(|version| Op::SetTarget { version }),
         1 => engine.clone().prop_map(|engine| Op::Crash { engine }),
         2 => engine.clone().prop_map(|engine| Op::Start { engine }),
         1 => (engine.clone(), 0..3_u32).prop_map(|(engine, open)| Op::Busy { engine, open }),
@@ -56,7 +56,7 @@
 }
 
 impl Engine {
-    fn facts(&self) -> EngineSnapshot<'_> {
+    fn snapshot(&self) -> EngineSnapshot<'_> {
         EngineSnapshot {
             name: &self.name,
             version: self.alive.then_some(self.version.as_str()),
@@ -70,7 +70,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     engines: Vec<Engine>,
     rollout: Rollout,
     target: String,
@@ -78,8 +78,8 @@
     lose_reply: bool,
 }
 
-impl World {
-    fn of(size: usize) -> World {
+impl Simulation {
+    fn of(size: usize) -> Simulation {
         let engine = |i: usize| Engine {
             name: format!("engine-{i}"),
             version: OLD.to_owned(),
@@ -90,7 +90,7 @@
             drained: false,
             departing: false,
         };
-        World {
+        Simulation {
             engines: (0..size).map(engine).collect(),
             rollout: Rollout::resume(RolloutSettings::default(), Plan::default(), 0),
             target: OLD.to_owned(),
@@ -103,7 +103,7 @@
         let size = self.engines.len();
         match *op {
             Op::Pass { steps } => (0..steps).try_for_each(|_| self.step())?,
-            Op::Aim { version } => self.target = VERSIONS[version].to_owned(),
+            Op::SetTarget { version } => self.target = VERSIONS[version].to_owned(),
             Op::Crash { engine } => {
                 let engine = &mut self.engines[engine % size];
                 engine.alive = false;
@@ -144,9 +144,9 @@
             }
         }
         let engines = self.engines.clone();
-        let facts: Vec<EngineSnapshot<'_>> = engines.iter().map(Engine::facts).collect();
-        self.rollout.set_target(&self.target, 2, &facts);
-        for action in self.rollout.decide(&facts, self.now_ms) {
+        let snapshot: Vec<EngineSnapshot<'_>> = engines.iter().map(Engine::snapshot).collect();
+        self.rollout.set_target(&self.target, 2, &snapshot);
+        for action in self.rollout.decide(&snapshot, self.now_ms) {
             self.act(&action)?;
         }
         let loading = self.engines.iter().filter(|e| e.load.is_some()).count();
@@ -205,7 +205,10 @@
     }
 
     fn serving(&self) -> usize {
-        self.engines.iter().filter(|e| e.facts().serves()).count()
+        self.engines
+            .iter()
+            .filter(|e| e.snapshot().serves())
+            .count()
     }
 
     /// Lets the rollout come to its end without further faults.
@@ -230,16 +233,16 @@
         size in 2..13_usize,
         ops in prop::collection::vec(op(), 1..30),
     ) {
-        let mut world = World::of(size);
+        let mut simulation = Simulation::of(size);
         for op in &ops {
-            world.apply(op)?;
+            simulation.apply(op)?;
         }
-        world.settle()?;
-        let plan = world.rollout.plan();
-        for engine in world.engines.iter().filter(|e| !e.departing) {
+        simulation.settle()?;
+        let plan = simulation.rollout.plan();
+        for engine in simulation.engines.iter().filter(|e| !e.departing) {
             prop_assert!(!engine.drained, "{} stays out: {plan:?}", engine.name);
             if plan.failure.is_none() {
-                prop_assert_eq!(&engine.version, &world.target);
+                prop_assert_eq!(&engine.version, &simulation.target);
             } else {
                 prop_assert!(engine.version != "mute" && engine.version != "refused");
             }
@@ -249,28 +252,32 @@
 
 /// A fleet of one engine: taking it out would leave callers nothing.
 #[test]
-fn the_last_engine_is_never_taken_out() {
-    let mut world = World::of(1);
-    world.target = "v2".to_owned();
-    (0..100).for_each(|_| world.step().expect("a step"));
-    assert_eq!(world.serving(), 1);
-    assert_eq!(world.engines[0].version, OLD);
+fn the_last_engine_is_never_drained() {
+    let mut simulation = Simulation::of(1);
+    simulation.target = "v2".to_owned();
+    (0..100).for_each(|_| simulation.step().expect("a step"));
+    assert_eq!(simulation.serving(), 1);
+    assert_eq!(simulation.engines[0].version, OLD);
 }
 
 /// Two engines die while they are out, as many as may be out. The others must
 /// not wait for them.
 #[test]
-fn dead_engines_do_not_hold_up_the_others() {
-    let mut world = World::of(12);
-    world.target = "v2".to_owned();
-    while world.engines.iter().filter(|e| e.drained).count() < 2 {
-        world.step().expect("a step");
+fn dead_engines_do_not_block_the_rollout() {
+    let mut simulation = Simulation::of(12);
+    simulation.target = "v2".to_owned();
+    while simulation.engines.iter().filter(|e| e.drained).count() < 2 {
+        simulation.step().expect("a step");
     }
-    for engine in world.engines.iter_mut().filter(|e| e.drained) {
+    for engine in simulation.engines.iter_mut().filter(|e| e.drained) {
         engine.alive = false;
         engine.load = None;
     }
-    (0..400).for_each(|_| world.step().expect("a step"));
-    let new = world.engines.iter().filter(|e| e.version == "v2").count();
-    assert_eq!((new, world.serving()), (10, 10));
+    (0..400).for_each(|_| simulation.step().expect("a step"));
+    let new = simulation
+        .engines
+        .iter()
+        .filter(|e| e.version == "v2")
+        .count();
+    assert_eq!((new, simulation.serving()), (10, 10));
 }
--- a/crates/core/tests/weights.rs
+++ b/crates/core/tests/weights.rs
@@ -28,7 +28,7 @@
     Renew {
         at: usize,
         answer_is_lost: bool,
-        way_ms: u64,
+        delay_ms: u64,
     },
     /// It gives an order if it believes that it may.
     Order { at: usize },
@@ -42,7 +42,7 @@
         4 => (1..1_500_u64).prop_map(|ms| Op::Pass { ms }),
         2 => (at.clone(), any::<bool>()).prop_map(|(at, answer_is_lost)| Op::Take { at, answer_is_lost }),
         4 => (at.clone(), any::<bool>(), 0..600_u64)
-            .prop_map(|(at, answer_is_lost, way_ms)| Op::Renew { at, answer_is_lost, way_ms }),
+            .prop_map(|(at, answer_is_lost, delay_ms)| Op::Renew { at, answer_is_lost, delay_ms }),
         6 => at.clone().prop_map(|at| Op::Order { at }),
         1 => Just(Op::Freeze),
     ]
@@ -71,7 +71,7 @@
 /// Whatever the order, two of them never give orders within the time in which
 /// only one may, and the numbers of their leases never go down.
 #[test]
-fn two_holders_never_order_side_by_side() {
+fn two_lease_holders_never_order_within_the_exclusion_time() {
     let settings = LeaseSettings::default();
     proptest!(|(ops in prop::collection::vec(op(), 1..120))| {
         let mut now_ms = 10_000_u64;
@@ -88,11 +88,11 @@
                     let instance = &mut instances[at];
                     let Hold::Vacant(vacant) = &instance.hold else { continue };
                     let seen = instance.seen.filter(|seen| seen.revision == record.revision);
-                    let seen = seen.unwrap_or(ObservedRecord { revision: record.revision, first_ms: now_ms });
+                    let seen = seen.unwrap_or(ObservedRecord { revision: record.revision, first_seen_ms: now_ms });
                     instance.seen = Some(seen);
                     let is_own = record.holder == Some(at) && record.is_settled;
                     let is_other = record.holder.is_some() && !is_own;
-                    let quiet_ms = is_other.then(|| seen.quiet_since_ms(&settings));
+                    let no_orders_since_ms = is_other.then(|| seen.no_orders_since_ms(&settings));
                     record = Record {
                         holder: Some(at),
                         fence: record.fence + 1,
@@ -100,13 +100,13 @@
                         is_settled: !is_other,
                     };
                     if !answer_is_lost {
-                        let held = vacant.clone().take(record.fence, record.revision, quiet_ms, now_ms);
+                        let held = vacant.clone().take(record.fence, record.revision, no_orders_since_ms, now_ms);
                         instance.hold = Hold::Held(held);
                     }
                 }
-                Op::Renew { at, answer_is_lost, way_ms } => {
+                Op::Renew { at, answer_is_lost, delay_ms } => {
                     let sent_ms = now_ms;
-                    now_ms += way_ms;
+                    now_ms += delay_ms;
                     let instance = &mut instances[at];
                     let Hold::Held(lease) = &mut instance.hold else { continue };
                     let is_own = record.holder == Some(at) && record.fence == lease.held().fence;
@@ -115,12 +115,12 @@
                     } else if lease.is_waiting(now_ms) {
                         // Renewed only when orders may leave.
                     } else if lease.held().revision != record.revision {
-                        lease.adopt(record.revision);
+                        lease.adopt_revision(record.revision);
                     } else {
                         record.revision += 1;
                         record.is_settled = true;
                         if !answer_is_lost {
-                            lease.renewed(record.revision, sent_ms);
+                            lease.record_renewal(record.revision, sent_ms);
                         }
                     }
                 }
@@ -142,33 +142,33 @@
 }
 
 #[test]
-fn an_own_record_needs_no_wait() {
+fn retaking_an_own_record_allows_orders_at_once() {
     let lease = Lease::new(LeaseSettings::default()).take(2, 7, None, 1_000);
     assert!(lease.may_order(1_001));
     assert!(!lease.may_order(1_900), "a renewal is due");
 }
 
-fn turn(engine: &str, version: u64, requests: u32) -> OutdatedEngine {
+fn outdated_engine(engine: &str, version: u64, requests: u32) -> OutdatedEngine {
     OutdatedEngine {
-        engine: engine.to_owned(),
+        id: engine.to_owned(),
         steered_since_ms: None,
-        is_ordered: false,
+        has_pending_order: false,
         version,
         requests,
         must_finish: requests,
-        answers: true,
+        is_responsive: true,
     }
 }
 
 #[test]
 fn engines_with_the_oldest_weights_and_the_least_work_go_first() {
-    let turns = [
-        turn("a", 2, 0),
-        turn("b", 1, 5),
-        turn("c", 1, 1),
-        turn("d", 2, 9),
+    let outdated = [
+        outdated_engine("a", 2, 0),
+        outdated_engine("b", 1, 5),
+        outdated_engine("c", 1, 1),
+        outdated_engine("d", 2, 9),
     ];
-    let steps = plan(&turns, 4, 6, 2, 100, &PlanSettings::default(), 0);
+    let steps = plan(&outdated, 4, 6, 2, 100, &PlanSettings::default(), 0);
     insta::assert_debug_snapshot!(steps, @r#"
     [
         Steer(
@@ -185,26 +185,26 @@
 /// once, and they are cut off; one with others finishes them first, for a
 /// limited time.
 #[test]
-fn an_order_cuts_off_only_what_can_go_on() {
+fn an_order_interrupts_only_resumable_requests() {
     let settings = PlanSettings::default();
-    let mut free = turn("free", 1, 3);
+    let mut free = outdated_engine("free", 1, 3);
     free.must_finish = 0;
     free.steered_since_ms = Some(0);
-    let mut bound = turn("bound", 1, 3);
+    let mut bound = outdated_engine("bound", 1, 3);
     bound.steered_since_ms = Some(0);
-    let turns = [free, bound];
-    let early = plan(&turns, 4, 6, 2, 100, &settings, settings.steer_ms);
-    let late = plan(&turns, 4, 6, 2, 100, &settings, settings.finish_ms);
-    let none_left = plan(&turns, 4, 6, 2, 2, &settings, settings.steer_ms);
+    let outdated = [free, bound];
+    let early = plan(&outdated, 4, 6, 2, 100, &settings, settings.min_steer_ms);
+    let late = plan(&outdated, 4, 6, 2, 100, &settings, settings.max_finish_ms);
+    let none_left = plan(&outdated, 4, 6, 2, 2, &settings, settings.min_steer_ms);
     insta::assert_debug_snapshot!((early, late, none_left));
 }
 
 #[test]
-fn an_engine_that_does_not_answer_holds_up_nobody() {
-    let mut dead = turn("dead", 1, 0);
-    dead.answers = false;
-    dead.is_ordered = true;
-    let mut ready = turn("ready", 1, 0);
+fn an_unresponsive_engine_does_not_delay_the_others() {
+    let mut dead = outdated_engine("dead", 1, 0);
+    dead.is_responsive = false;
+    dead.has_pending_order = true;
+    let mut ready = outdated_engine("ready", 1, 0);
     ready.steered_since_ms = Some(0);
     let steps = plan(
         &[dead, ready],
@@ -219,10 +219,13 @@
 }
 
 #[test]
-fn busy_engines_are_left_in_more_places() {
-    let turns: Vec<OutdatedEngine> = (0..12).map(|n| turn(&format!("e{n:02}"), 1, 1)).collect();
-    let away = |requests| plan(&turns, 12, requests, 2, 100, &PlanSettings::default(), 0).len();
-    insta::assert_debug_snapshot!((away(12), away(45), away(200)), @"
+fn fewer_engines_are_unavailable_under_load() {
+    let outdated: Vec<OutdatedEngine> = (0..12)
+        .map(|n| outdated_engine(&format!("e{n:02}"), 1, 1))
+        .collect();
+    let unavailable =
+        |requests| plan(&outdated, 12, requests, 2, 100, &PlanSettings::default(), 0).len();
+    insta::assert_debug_snapshot!((unavailable(12), unavailable(45), unavailable(200)), @"
     (
         6,
         4,
@@ -234,72 +237,72 @@
 /// Where only two engines load at full speed, a third one is tried, seen to
 /// be slow and given up; where more do, more are used.
 #[test]
-fn the_number_that_load_at_once_is_found_by_trying() {
+fn load_concurrency_converges_on_the_full_speed_limit() {
     let mut narrow = LoadConcurrency::default();
     let mut wide = LoadConcurrency::default();
     for _ in 0..40 {
-        let loading = narrow.at_once(0, 1);
-        narrow.loaded(if loading > 2 { 900 } else { 500 }, loading);
-        let loading = wide.at_once(0, 1);
-        wide.loaded(if loading > 6 { 900 } else { 500 }, loading);
+        let concurrent = narrow.limit(0, 1);
+        narrow.record_load(if concurrent > 2 { 900 } else { 500 }, concurrent);
+        let concurrent = wide.limit(0, 1);
+        wide.record_load(if concurrent > 6 { 900 } else { 500 }, concurrent);
     }
-    assert_eq!(narrow.at_once(0, 1), 2);
-    assert_eq!(wide.at_once(0, 1), 6);
+    assert_eq!(narrow.limit(0, 1), 2);
+    assert_eq!(wide.limit(0, 1), 6);
 }
 
 #[test]
-fn old_weights_are_bounded_by_the_first_newer_ones() {
-    let mut named = WeightsHistory::default();
-    named.insert(1, PublishedAt::Ago(60_000), &WEIGHTS, 100_000);
-    named.insert(2, PublishedAt::Ago(0), &WEIGHTS, 100_000);
-    named.insert(3, PublishedAt::Ago(0), &WEIGHTS, 104_000);
-    assert_eq!(named.version_bounds(&WEIGHTS, 104_000).newest, 3);
-    assert_eq!(named.version_bounds(&WEIGHTS, 104_000).min_preferred, 2);
-    assert_eq!(named.version_bounds(&WEIGHTS, 104_000).min_allowed, 1);
-    assert_eq!(named.version_bounds(&WEIGHTS, 106_800).min_allowed, 2);
-    assert_eq!(named.start_deadline_ms(1, &WEIGHTS), Some(107_700));
-    assert_eq!(named.start_deadline_ms(2, &WEIGHTS), Some(111_700));
-    assert_eq!(named.start_deadline_ms(3, &WEIGHTS), None);
+fn deadlines_of_old_weights_follow_the_first_newer_version() {
+    let mut history = WeightsHistory::default();
+    history.insert(1, PublishedAt::Ago(60_000), &WEIGHTS, 100_000);
+    history.insert(2, PublishedAt::Ago(0), &WEIGHTS, 100_000);
+    history.insert(3, PublishedAt::Ago(0), &WEIGHTS, 104_000);
+    assert_eq!(history.version_bounds(&WEIGHTS, 104_000).newest, 3);
+    assert_eq!(history.version_bounds(&WEIGHTS, 104_000).min_preferred, 2);
+    assert_eq!(history.version_bounds(&WEIGHTS, 104_000).min_allowed, 1);
+    assert_eq!(history.version_bounds(&WEIGHTS, 106_800).min_allowed, 2);
+    assert_eq!(history.start_deadline_ms(1, &WEIGHTS), Some(107_700));
+    assert_eq!(history.start_deadline_ms(2, &WEIGHTS), Some(111_700));
+    assert_eq!(history.start_deadline_ms(3, &WEIGHTS), None);
 }
 
 /// All instances lose power right after new weights were named. None knows
 /// when that was, so old ones are used only for a moment; a peer that saw it
 /// knows better than the guess, and the guess teaches nobody.
 #[test]
-fn a_version_of_unknown_age_counts_as_old() {
-    let mut named = WeightsHistory::default();
-    named.insert(4, PublishedAt::Unknown, &WEIGHTS, 50_000);
-    assert_eq!(named.start_deadline_ms(3, &WEIGHTS), Some(52_600));
-    let publications: Vec<_> = named.publications(&WEIGHTS, 50_000).collect();
+fn a_version_of_unknown_age_shortens_the_use_of_old_weights() {
+    let mut history = WeightsHistory::default();
+    history.insert(4, PublishedAt::Unknown, &WEIGHTS, 50_000);
+    assert_eq!(history.start_deadline_ms(3, &WEIGHTS), Some(52_600));
+    let publications: Vec<_> = history.publications(&WEIGHTS, 50_000).collect();
     assert_eq!(publications, [(4, PublishedAt::Unknown)]);
-    named.insert(4, PublishedAt::Ago(200), &WEIGHTS, 50_100);
-    assert_eq!(named.start_deadline_ms(3, &WEIGHTS), Some(57_600));
-    named.insert(4, PublishedAt::Unknown, &WEIGHTS, 50_200);
-    assert_eq!(named.start_deadline_ms(3, &WEIGHTS), Some(57_600));
+    history.insert(4, PublishedAt::Ago(200), &WEIGHTS, 50_100);
+    assert_eq!(history.start_deadline_ms(3, &WEIGHTS), Some(57_600));
+    history.insert(4, PublishedAt::Unknown, &WEIGHTS, 50_200);
+    assert_eq!(history.start_deadline_ms(3, &WEIGHTS), Some(57_600));
 }
 
 #[test]
 fn an_older_version_never_replaces_a_newer_one() {
-    let mut named = WeightsHistory::default();
-    assert!(named.insert(5, PublishedAt::Ago(0), &WEIGHTS, 1_000));
-    assert!(!named.insert(4, PublishedAt::Ago(0), &WEIGHTS, 2_000));
-    assert_eq!(named.newest(), 5);
+    let mut history = WeightsHistory::default();
+    assert!(history.insert(5, PublishedAt::Ago(0), &WEIGHTS, 1_000));
+    assert!(!history.insert(4, PublishedAt::Ago(0), &WEIGHTS, 2_000));
+    assert_eq!(history.newest(), 5);
 }
 
 /// An instance takes the lease; another last heard of it before that, and reads
 /// its record. What it heard then must not pass for word that the lease was
 /// left: it would take it at once, and the first would have waited in vain.
 #[test]
-fn word_from_before_a_record_was_seen_is_not_believed() {
+fn holder_reports_older_than_the_observed_record_are_ignored() {
     let settings = LeaseSettings::default();
     let seen = ObservedRecord {
         revision: 7,
-        first_ms: 10_000,
+        first_seen_ms: 10_000,
     };
-    let report = |heard_ms, is_restarted| {
+    let report = |received_ms, is_restarted| {
         Some(HolderReport {
-            quiet_since_ms: 9_000,
-            heard_ms,
+            no_orders_since_ms: 9_000,
+            received_ms,
             is_restarted,
         })
     };
@@ -328,7 +331,7 @@
 /// down; a peer tells of both, the newer one first. Engines with weights 1 are
 /// out of bounds when 2 is too old, not when 3 is.
 #[test]
-fn a_new_instance_learns_when_the_first_newer_weights_were_named() {
+fn a_new_instance_learns_when_the_first_newer_weights_were_published() {
     let mut peer = WeightsHistory::default();
     peer.insert(1, PublishedAt::Ago(60_000), &WEIGHTS, 100_000);
     peer.insert(2, PublishedAt::Ago(0), &WEIGHTS, 100_000);
@@ -354,49 +357,49 @@
 /// Loads of 1.3 s on ninety engines, eighteen of which load at full speed, have
 /// to be through within 7 s. One more at a time took 17 s.
 #[test]
-fn a_large_fleet_is_through_in_time() {
-    let mut pace = LoadConcurrency::default();
+fn a_large_fleet_finishes_loading_in_time() {
+    let mut concurrency = LoadConcurrency::default();
     let (mut left, mut passed_ms) = (90_usize, 0);
     while left > 0 {
-        let loading = pace.at_once(90, 7_000).min(left);
-        let took_ms = if loading > 18 {
-            1_300 * loading as u64 / 18
+        let concurrent = concurrency.limit(90, 7_000).min(left);
+        let took_ms = if concurrent > 18 {
+            1_300 * concurrent as u64 / 18
         } else {
             1_300
         };
-        for _ in 0..loading {
-            pace.loaded(took_ms, loading);
+        for _ in 0..concurrent {
+            concurrency.record_load(took_ms, concurrent);
         }
-        left -= loading;
+        left -= concurrent;
         passed_ms += took_ms;
     }
-    assert!(passed_ms <= 9_000, "{passed_ms} {pace:?}");
+    assert!(passed_ms <= 9_000, "{passed_ms} {concurrency:?}");
 }
 
 /// Many load together where only a few do at full speed. The orderer goes back
 /// to about that many, not to the fewest.
 #[test]
-fn the_pace_goes_back_to_what_loads_at_full_speed() {
-    let mut pace = LoadConcurrency::default();
-    pace.loaded(1_000, 2);
+fn load_concurrency_falls_back_to_the_full_speed_limit() {
+    let mut concurrency = LoadConcurrency::default();
+    concurrency.record_load(1_000, 2);
     for _ in 0..20 {
-        let loading = pace.at_once(60, 3_000);
-        let took_ms = if loading > 8 {
-            1_000 * loading as u64 / 8
+        let concurrent = concurrency.limit(60, 3_000);
+        let took_ms = if concurrent > 8 {
+            1_000 * concurrent as u64 / 8
         } else {
             1_000
         };
-        pace.loaded(took_ms, loading);
+        concurrency.record_load(took_ms, concurrent);
     }
-    let settled = pace.at_once(60, 3_000);
-    assert!((8..=11).contains(&settled), "{pace:?}");
+    let settled = concurrency.limit(60, 3_000);
+    assert!((8..=11).contains(&settled), "{concurrency:?}");
 }
 
 /// An instance stands still for four seconds, in which new weights are named,
 /// and reads the store when it goes on. It must not take them for new: callers
 /// would get answers on old weights past their time.
 #[test]
-fn weights_that_were_named_during_a_gap_are_not_new() {
+fn weights_published_during_a_gap_have_unknown_age() {
     assert_eq!(PublishedAt::after_gap(Some(300)), PublishedAt::Ago(300));
     assert_eq!(PublishedAt::after_gap(Some(4_000)), PublishedAt::Unknown);
     assert_eq!(PublishedAt::after_gap(None), PublishedAt::Unknown);
--- a/crates/gateway/src/weights/right.rs
+++ b/crates/gateway/src/weights/lease.rs
@@ -13,83 +13,83 @@
 };
 
 /// Name of the record that says who orders.
-const RECORD: &str = "orders";
+const RECORD_NAME: &str = "orders";
 
 /// Time for which each instance waits for the one before it to begin.
-const TURN_MS: u64 = 700;
+const TAKEOVER_STAGGER_MS: u64 = 700;
 
 /// Time for which an instance that could not renew the lease leaves it to
 /// others.
-const UNABLE_MS: u64 = 3_000;
+const RENEWAL_FAILURE_BACKOFF_MS: u64 = 3_000;
 
 /// Time of failed renewals after which the lease is left to others.
-const FAILING_MS: u64 = 450;
+const MAX_RENEWAL_FAILURE_MS: u64 = 450;
 
 /// Pause between two looks at the record.
-const LOOK_AGAIN_MS: u64 = 300;
+const RECORD_READ_INTERVAL_MS: u64 = 300;
 
 /// Time for which a stopping instance goes on with orders that it has begun.
-const DEPARTING_MS: u64 = 2_500;
+const DRAIN_TIMEOUT_MS: u64 = 2_500;
 
-enum Hold {
+enum LeaseState {
     Vacant(Lease<Vacant>),
     Held(Lease<Held>),
 }
 
 /// Whose a record was that this instance takes over.
-enum Before {
+enum PreviousHolder {
     /// Its own, from this start or one before. Orders of one machine never
     /// clash with each other.
-    Own,
+    SameMachine,
     /// Another's, who gave no order from this time on.
-    Left(u64),
+    Replaceable(u64),
     /// Another's, who may hold the lease.
-    Fresh,
+    MayBeActive,
 }
 
 /// The right to give orders, and the calls to the store that it takes.
-pub(super) struct Right {
+pub(super) struct OrderLease {
     instance: Rc<Instance>,
     store: Rc<CallClient>,
-    hold: Hold,
+    state: LeaseState,
     seen: Option<ObservedRecord>,
     /// Until then this instance leaves the lease to others.
-    unable_until_ms: u64,
+    next_attempt_ms: u64,
     failing_since_ms: Option<u64>,
     /// Episode of lacking weights in which the record was looked at.
-    looked_since_ms: Option<u64>,
-    departing_since_ms: Option<u64>,
+    record_read_for_ms: Option<u64>,
+    draining_since_ms: Option<u64>,
 }
 
-impl Right {
-    pub(super) fn new(instance: Rc<Instance>, store: Rc<CallClient>) -> Right {
-        Right {
-            hold: Hold::Vacant(Lease::new(instance.settings.lease)),
+impl OrderLease {
+    pub(super) fn new(instance: Rc<Instance>, store: Rc<CallClient>) -> OrderLease {
+        OrderLease {
+            state: LeaseState::Vacant(Lease::new(instance.settings.lease)),
             instance,
             store,
             seen: None,
-            unable_until_ms: 0,
+            next_attempt_ms: 0,
             failing_since_ms: None,
-            looked_since_ms: None,
-            departing_since_ms: None,
+            record_read_for_ms: None,
+            draining_since_ms: None,
         }
     }
 
     /// Returns the lease, where it is held here.
     pub(super) fn held(&self) -> Option<&Lease<Held>> {
-        match &self.hold {
-            Hold::Held(lease) => Some(lease),
-            Hold::Vacant(_) => None,
+        match &self.state {
+            LeaseState::Held(lease) => Some(lease),
+            LeaseState::Vacant(_) => None,
         }
     }
 
     /// Leaves the lease to others.
-    fn leave(&mut self, reason: &'static str) {
+    fn release(&mut self, reason: &'static str) {
         if self.held().is_some() {
             log::warn!("event=lease_left reason={reason}");
             self.instance.counters.count("lease_left", reason);
         }
-        self.hold = Hold::Vacant(Lease::new(self.instance.settings.lease));
+        self.state = LeaseState::Vacant(Lease::new(self.instance.settings.lease));
         self.failing_since_ms = None;
         self.instance.holds_lease.set(false);
         self.instance.notes.heartbeat.notify_one();
@@ -97,22 +97,22 @@
 
     /// Leaves the lease when the instance stops: at once if nothing is begun,
     /// else a little later.
-    pub(super) fn look_at_drain(&mut self, is_busy: bool) {
+    pub(super) fn release_when_draining(&mut self, is_busy: bool) {
         if *self.instance.drain.borrow() == Drain::Serving {
             return;
         }
         let now_ms = now_ms();
-        let since_ms = *self.departing_since_ms.get_or_insert(now_ms);
-        if self.held().is_some() && (!is_busy || now_ms >= since_ms + DEPARTING_MS) {
-            self.leave("stopping");
+        let since_ms = *self.draining_since_ms.get_or_insert(now_ms);
+        if self.held().is_some() && (!is_busy || now_ms >= since_ms + DRAIN_TIMEOUT_MS) {
+            self.release("stopping");
         }
     }
 
     /// Returns whether another instance says that it holds the lease.
     fn is_held_elsewhere(&self) -> bool {
         let members = self.instance.members.borrow();
-        let mut heard = members.heard(&self.instance.settings.mesh, now_ms());
-        heard.any(|member| member.last.holds_lease)
+        let mut responsive = members.heard(&self.instance.settings.mesh, now_ms());
+        responsive.any(|member| member.last.holds_lease)
     }
 
     /// Returns whether it is this instance's turn to take the lease from
@@ -121,93 +121,95 @@
     /// Instances take turns by the time of their start, the youngest first:
     /// while instances are restarted one after the other, the one that has
     /// just started is the last to be restarted again.
-    fn is_turn(&self, since_ms: u64) -> bool {
+    fn is_own_turn(&self, since_ms: u64) -> bool {
         let members = self.instance.members.borrow();
         let now_ms = now_ms();
         let own = (self.instance.incarnation, &self.instance.machine().name);
-        let before = members
+        let instances_ahead = members
             .heard(&self.instance.settings.mesh, now_ms)
             .filter(|member| member.last.ready)
             .filter(|member| (member.last.incarnation, &member.last.name) > own)
             .count() as u64;
-        now_ms >= since_ms + before * TURN_MS
+        now_ms >= since_ms + instances_ahead * TAKEOVER_STAGGER_MS
     }
 
     /// Takes the lease if it is this instance's turn. `since_ms` is when
     /// engines began to lack weights.
-    pub(super) async fn seek(&mut self, since_ms: u64) {
+    pub(super) async fn acquire_if_due(&mut self, since_ms: u64) {
         let now = now_ms();
-        let is_able = now >= self.unable_until_ms && self.instance.is_ready();
-        if self.held().is_some() || !is_able || self.is_held_elsewhere() {
+        let may_try = now >= self.next_attempt_ms && self.instance.is_ready();
+        if self.held().is_some() || !may_try || self.is_held_elsewhere() {
             return;
         }
         // Only the first look tells whose the record is; further ones are for
         // those whose turn it is.
-        let looked = self.looked_since_ms == Some(since_ms);
-        if looked && !self.is_turn(since_ms) {
+        let was_read = self.record_read_for_ms == Some(since_ms);
+        if was_read && !self.is_own_turn(since_ms) {
             return;
         }
-        self.looked_since_ms = Some(since_ms);
-        self.unable_until_ms = now + LOOK_AGAIN_MS;
-        self.try_to_take(since_ms).await;
+        self.record_read_for_ms = Some(since_ms);
+        self.next_attempt_ms = now + RECORD_READ_INTERVAL_MS;
+        self.try_acquire(since_ms).await;
     }
 
-    async fn try_to_take(&mut self, since_ms: u64) {
+    async fn try_acquire(&mut self, since_ms: u64) {
         let within_ms = self.instance.settings.store_ms;
-        let call = Call::get(path_of_object(Kind::Leases, RECORD));
-        let (quiet_since_ms, write) = match self.store.call(&call, within_ms).await {
-            Ok((404, _)) if self.is_turn(since_ms) => (
+        let call = Call::get(path_of_object(Kind::Leases, RECORD_NAME));
+        let (no_orders_since_ms, write) = match self.store.call(&call, within_ms).await {
+            Ok((404, _)) if self.is_own_turn(since_ms) => (
                 None,
-                encode_create(Kind::Leases, RECORD, &self.record(1, 1, true)),
+                encode_create(Kind::Leases, RECORD_NAME, &self.record(1, 1, true)),
             ),
             Ok((200, body)) => {
                 let Ok(stored) = decode_object(&body) else {
-                    log::warn!("event=lease_unreadable record={RECORD}");
+                    log::warn!("event=lease_unreadable record={RECORD_NAME}");
                     return;
                 };
-                match self.before(&stored, now_ms()) {
-                    Before::Own => (None, self.replacement(&stored, true)),
-                    Before::Left(quiet_since_ms) if self.is_turn(since_ms) => {
-                        (Some(quiet_since_ms), self.replacement(&stored, false))
+                match self.previous_holder(&stored, now_ms()) {
+                    PreviousHolder::SameMachine => (None, self.replacement(&stored, true)),
+                    PreviousHolder::Replaceable(no_orders_since_ms)
+                        if self.is_own_turn(since_ms) =>
+                    {
+                        (Some(no_orders_since_ms), self.replacement(&stored, false))
                     }
-                    Before::Left(_) | Before::Fresh => return,
+                    PreviousHolder::Replaceable(_) | PreviousHolder::MayBeActive => return,
                 }
             }
             _ => return,
         };
-        self.write(write, quiet_since_ms).await;
+        self.write_record(write, no_orders_since_ms).await;
     }
 
-    async fn write(&mut self, write: Call, quiet_since_ms: Option<u64>) {
+    async fn write_record(&mut self, write: Call, no_orders_since_ms: Option<u64>) {
         let sent_ms = now_ms();
         let within_ms = self.instance.settings.store_ms;
         let Ok((200 | 201, body)) = self.store.call(&write, within_ms).await else {
             return;
         };
-        let Some((stored, record)) = written(&body) else {
+        let Some((stored, record)) = decode_record(&body) else {
             return;
         };
-        if let Hold::Vacant(vacant) = &self.hold {
+        if let LeaseState::Vacant(vacant) = &self.state {
             let vacant = vacant.clone();
-            let held = vacant.take(record.fence, stored.revision, quiet_since_ms, sent_ms);
-            self.hold = Hold::Held(held);
+            let held = vacant.take(record.fence, stored.revision, no_orders_since_ms, sent_ms);
+            self.state = LeaseState::Held(held);
         }
         self.instance.holds_lease.set(true);
         self.instance.notes.heartbeat.notify_one();
-        let waits_ms = quiet_since_ms.map(|quiet_ms| now_ms().saturating_sub(quiet_ms));
+        let no_orders_ms = no_orders_since_ms.map(|since_ms| now_ms().saturating_sub(since_ms));
         log::info!(
-            "event=lease_taken fence={} revision={} quiet_ms={waits_ms:?}",
+            "event=lease_taken fence={} revision={} quiet_ms={no_orders_ms:?}",
             record.fence,
             stored.revision,
         );
     }
 
     /// Returns whose a record is.
-    fn before(&mut self, stored: &Stored, now_ms: u64) -> Before {
+    fn previous_holder(&mut self, stored: &Stored, now_ms: u64) -> PreviousHolder {
         let seen = self.seen.filter(|seen| seen.revision == stored.revision);
         let seen = seen.unwrap_or(ObservedRecord {
             revision: stored.revision,
-            first_ms: now_ms,
+            first_seen_ms: now_ms,
         });
         self.seen = Some(seen);
         let record: Option<LeaseRecord> = serde_json::from_value(stored.spec.clone()).ok();
@@ -217,20 +219,20 @@
         // just before a restart: that other's orders may be too fresh still.
         let is_settled = record.as_ref().is_some_and(|record| record.is_settled);
         if is_own && is_settled {
-            return Before::Own;
+            return PreviousHolder::SameMachine;
         }
-        let told = record
+        let report = record
             .filter(|_| !is_own)
-            .and_then(|record| self.told(&record));
+            .and_then(|record| self.holder_report(&record));
         let settings = &self.instance.settings.lease;
-        let quiet_since_ms = seen.check_takeover(told, settings, now_ms);
-        quiet_since_ms.map_or(Before::Fresh, Before::Left)
+        let no_orders_since_ms = seen.check_takeover(report, settings, now_ms);
+        no_orders_since_ms.map_or(PreviousHolder::MayBeActive, PreviousHolder::Replaceable)
     }
 
     /// Returns when the holder of a record gave its last order, if that can be
     /// told: it has left the lease and says when, or it has started again,
     /// and what ordered before it did so is gone.
-    fn told(&self, record: &LeaseRecord) -> Option<HolderReport> {
+    fn holder_report(&self, record: &LeaseRecord) -> Option<HolderReport> {
         let members = self.instance.members.borrow();
         let mut members = members.iter();
         let holder = members.find(|member| member.last.name == record.holder)?;
@@ -245,8 +247,8 @@
             _ => up_ms,
         };
         Some(HolderReport {
-            quiet_since_ms: holder.heard_ms.saturating_sub(ago_ms),
-            heard_ms: holder.heard_ms,
+            no_orders_since_ms: holder.heard_ms.saturating_sub(ago_ms),
+            received_ms: holder.heard_ms,
             is_restarted,
         })
     }
@@ -262,11 +264,11 @@
     }
 
     fn replacement(&self, stored: &Stored, is_own: bool) -> Call {
-        let before: Option<LeaseRecord> = serde_json::from_value(stored.spec.clone()).ok();
+        let previous: Option<LeaseRecord> = serde_json::from_value(stored.spec.clone()).ok();
         let (fence, renewals) =
-            before.map_or((1, 1), |record| (record.fence + 1, record.renewals + 1));
+            previous.map_or((1, 1), |record| (record.fence + 1, record.renewals + 1));
         let record = self.record(fence, renewals, is_own);
-        encode_replace(Kind::Leases, RECORD, stored.revision, &record)
+        encode_replace(Kind::Leases, RECORD_NAME, stored.revision, &record)
     }
 
     /// Renews the lease, so that orders may leave for a moment.
@@ -276,59 +278,60 @@
         };
         let (fence, revision) = (lease.held().fence, lease.held().revision);
         let record = self.record(fence, revision, true);
-        let call = encode_replace(Kind::Leases, RECORD, revision, &record);
+        let call = encode_replace(Kind::Leases, RECORD_NAME, revision, &record);
         let sent_ms = now_ms();
         match self
             .store
             .call(&call, self.instance.settings.store_ms)
             .await
         {
-            Ok((200, body)) => self.renewed(&body, sent_ms),
+            Ok((200, body)) => self.apply_renewal(&body, sent_ms),
             Ok((404 | 409, body)) => {
-                self.refused(&body, fence);
+                self.handle_conflict(&body, fence);
                 false
             }
             _ => {
-                self.failed();
+                self.handle_failure();
                 false
             }
         }
     }
 
-    fn renewed(&mut self, body: &[u8], sent_ms: u64) -> bool {
-        let (Some((stored, _)), Hold::Held(lease)) = (written(body), &mut self.hold) else {
+    fn apply_renewal(&mut self, body: &[u8], sent_ms: u64) -> bool {
+        let (Some((stored, _)), LeaseState::Held(lease)) = (decode_record(body), &mut self.state)
+        else {
             return false;
         };
-        lease.renewed(stored.revision, sent_ms);
+        lease.record_renewal(stored.revision, sent_ms);
         self.failing_since_ms = None;
         true
     }
 
     /// Either another has taken the lease, or an earlier renewal took effect
     /// and its answer was lost.
-    fn refused(&mut self, body: &[u8], fence: u64) {
-        let found = written(body);
+    fn handle_conflict(&mut self, body: &[u8], fence: u64) {
+        let found = decode_record(body);
         let own = found.filter(|(_, record)| {
             record.fence == fence && record.holder == self.instance.machine().name
         });
-        match (own, &mut self.hold) {
-            (Some((stored, _)), Hold::Held(lease)) => lease.adopt(stored.revision),
-            _ => self.leave("taken"),
+        match (own, &mut self.state) {
+            (Some((stored, _)), LeaseState::Held(lease)) => lease.adopt_revision(stored.revision),
+            _ => self.release("taken"),
         }
     }
 
-    fn failed(&mut self) {
+    fn handle_failure(&mut self) {
         let now_ms = now_ms();
         let since_ms = *self.failing_since_ms.get_or_insert(now_ms);
         log::warn!("event=lease_not_renewed failing_ms={}", now_ms - since_ms);
-        if now_ms >= since_ms + FAILING_MS {
-            self.unable_until_ms = now_ms + UNABLE_MS;
-            self.leave("store_lost");
+        if now_ms >= since_ms + MAX_RENEWAL_FAILURE_MS {
+            self.next_attempt_ms = now_ms + RENEWAL_FAILURE_BACKOFF_MS;
+            self.release("store_lost");
         }
     }
 }
 
-fn written(body: &[u8]) -> Option<(Stored, LeaseRecord)> {
+fn decode_record(body: &[u8]) -> Option<(Stored, LeaseRecord)> {
     let stored = decode_object(body).ok()?;
     let record = serde_json::from_value(stored.spec.clone()).ok()?;
     Some((stored, record))
--- a/crates/gateway/src/weights/mod.rs
+++ b/crates/gateway/src/weights/mod.rs
@@ -1,8 +1,8 @@
 //! Brings new weights to all engines.
 
-mod orderer;
-mod orders;
+mod engine_calls;
+mod lease;
 mod progress;
-mod right;
+mod updater;
 
-pub use orderer::run_weights_updater;
+pub use updater::run_weights_updater;
--- /dev/null
+++ b/crates/gateway/src/weights/updater.rs
@@ -0,0 +1,287 @@
+use {
+    super::{
+        engine_calls::{fetch_report, send_order},
+        lease::OrderLease,
+        progress::{PendingUpdate, Progress},
+    },
+    crate::{clock::now_ms, instance::Instance, store::CallClient},
+    mangowalk_core::{
+        mesh::OrderPhase,
+        pool::EngineEntry,
+        weights::{OutdatedEngine, Step, plan},
+    },
+    mangowalk_platform::{EngineReport, OrderAnswer, WeightsOrder},
+    std::{rc::Rc, time::Duration},
+    tokio::{
+        sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel},
+        task::spawn_local,
+        time::sleep,
+    },
+};
+
+/// Pause between two looks while engines lack the newest weights.
+const ACTIVE_POLL_INTERVAL: Duration = Duration::from_millis(40);
+
+/// Pause between two looks where another instance orders.
+const STANDBY_POLL_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Longest pause between two looks while nothing is to be done.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
+
+/// What came back from an engine.
+enum EngineResponse {
+    Answer(PendingUpdate, OrderAnswer),
+    Report(EngineEntry, Option<EngineReport>),
+}
+
+struct WeightsUpdater {
+    instance: Rc<Instance>,
+    order_lease: OrderLease,
+    progress: Progress,
+    responses_tx: UnboundedSender<EngineResponse>,
+    responses_rx: UnboundedReceiver<EngineResponse>,
+    outdated_since_ms: Option<u64>,
+}
+
+/// Gives orders to engines whenever some lack the newest weights.
+pub async fn run_weights_updater(instance: Rc<Instance>, store: Rc<CallClient>) {
+    let (responses_tx, responses_rx) = unbounded_channel();
+    let mut updater = WeightsUpdater {
+        order_lease: OrderLease::new(instance.clone(), store),
+        progress: Progress::new(instance.clone()),
+        instance: instance.clone(),
+        responses_tx,
+        responses_rx,
+        outdated_since_ms: None,
+    };
+    loop {
+        let pause = updater.poll().await;
+        tokio::select! {
+            () = sleep(pause) => {}
+            () = instance.notes.orders.notified() => {}
+        }
+    }
+}
+
+impl WeightsUpdater {
+    /// Does what is due, and returns the pause until the next look.
+    async fn poll(&mut self) -> Duration {
+        self.apply_responses();
+        let pending = self.pending_updates();
+        self.order_lease
+            .release_when_draining(self.progress.is_busy());
+        if pending.is_empty() {
+            self.outdated_since_ms = None;
+        } else {
+            let since_ms = *self.outdated_since_ms.get_or_insert(now_ms());
+            self.order_lease.acquire_if_due(since_ms).await;
+        }
+        if self.order_lease.held().is_none() {
+            if !self.progress.is_empty() {
+                self.progress.clear();
+            }
+            self.instance.orders.borrow_mut().clear();
+            return if pending.is_empty() {
+                IDLE_POLL_INTERVAL
+            } else {
+                STANDBY_POLL_INTERVAL
+            };
+        }
+        if !pending.is_empty() {
+            self.advance(&pending).await;
+        }
+        *self.instance.orders.borrow_mut() = self.progress.peer_notes();
+        if pending.is_empty() && !self.progress.is_busy() {
+            return IDLE_POLL_INTERVAL;
+        }
+        ACTIVE_POLL_INTERVAL
+    }
+
+    fn apply_responses(&mut self) {
+        while let Ok(response) = self.responses_rx.try_recv() {
+            match response {
+                EngineResponse::Answer(update, answer) => {
+                    self.progress.apply_answer(&update, answer)
+                }
+                EngineResponse::Report(entry, report) => {
+                    self.progress.apply_report(&entry, report.as_ref())
+                }
+            }
+        }
+    }
+
+    fn pending_updates(&self) -> Vec<PendingUpdate> {
+        let newest = self.instance.newest.borrow();
+        let engines = self.instance.engines.borrow();
+        let mut pending = Vec::new();
+        for engine in engines.staying(now_ms()) {
+            for model in &engine.entry.models {
+                let version = newest
+                    .get(&model.model)
+                    .map_or(0, |history| history.newest());
+                if engine.version(&model.model) < version {
+                    pending.push(PendingUpdate {
+                        entry: engine.entry.clone(),
+                        model: model.model.clone(),
+                        version,
+                    });
+                }
+            }
+        }
+        pending
+    }
+
+    async fn advance(&mut self, pending: &[PendingUpdate]) {
+        for entry in self.progress.reports_due() {
+            self.request_report(entry);
+        }
+        if self
+            .order_lease
+            .held()
+            .is_none_or(|lease| lease.is_waiting(now_ms()))
+        {
+            return;
+        }
+        let mut ready = Vec::new();
+        for (step, update) in self.plan_steps(pending) {
+            match step {
+                Step::Steer(_) => self.progress.set_phase(&update, OrderPhase::Planned),
+                Step::Order { cut, .. } => ready.push((update, cut)),
+            }
+        }
+        ready.retain(|(update, _)| !self.progress.has_call_in_flight(&update.entry.incarnation));
+        // An order names how many came before it; that has to be known.
+        ready.retain(|(update, _)| {
+            let is_known = self
+                .progress
+                .accepted_orders(&update.entry.incarnation)
+                .is_some();
+            if !is_known {
+                self.request_report(update.entry.clone());
+            }
+            is_known
+        });
+        if ready.is_empty() || !self.order_lease.renew().await {
+            return;
+        }
+        for (update, cut) in ready {
+            self.send_order(update, cut);
+        }
+    }
+
+    fn request_report(&mut self, entry: EngineEntry) {
+        self.progress.mark_call_started(&entry.incarnation);
+        let responses_tx = self.responses_tx.clone();
+        let instance = self.instance.clone();
+        spawn_local(async move {
+            let report = fetch_report(&entry).await;
+            // The receiver lives as long as the program.
+            let _ = responses_tx.send(EngineResponse::Report(entry, report));
+            instance.notes.orders.notify_one();
+        });
+    }
+
+    fn send_order(&mut self, update: PendingUpdate, cut: bool) {
+        let (Some(lease), Some(accepted_before)) = (
+            self.order_lease.held(),
+            self.progress.accepted_orders(&update.entry.incarnation),
+        ) else {
+            return;
+        };
+        if !lease.may_order(now_ms()) {
+            return;
+        }
+        let fence = lease.held().fence;
+        self.progress.mark_call_started(&update.entry.incarnation);
+        self.instance.ordered_ms.set(Some(now_ms()));
+        let (responses_tx, instance) = (self.responses_tx.clone(), self.instance.clone());
+        spawn_local(async move {
+            let order = WeightsOrder {
+                engine: &update.entry.incarnation.id,
+                model: &update.model,
+                version: update.version,
+                cut,
+                holder: &instance.machine().name,
+                fence,
+                accepted_before,
+            };
+            let answer = send_order(&update.entry, &order).await;
+            log::info!(
+                "event=ordered engine={} model={} version={} cut={cut} fence={fence} accepted_before={accepted_before} answer={answer:?}",
+                update.entry.incarnation.id,
+                update.model,
+                update.version,
+            );
+            // The receiver lives as long as the program.
+            let _ = responses_tx.send(EngineResponse::Answer(update, answer));
+            instance.notes.orders.notify_one();
+        });
+    }
+
+    fn plan_steps(&self, pending: &[PendingUpdate]) -> Vec<(Step, PendingUpdate)> {
+        let mut steps = Vec::new();
+        let mut models: Vec<&String> = pending.iter().map(|update| &update.model).collect();
+        models.sort();
+        models.dedup();
+        let now_ms = now_ms();
+        for model in models {
+            let model_updates: Vec<&PendingUpdate> = pending
+                .iter()
+                .filter(|update| update.model == *model)
+                .collect();
+            let outdated: Vec<OutdatedEngine> = model_updates
+                .iter()
+                .map(|update| self.progress.outdated_engine(update, now_ms))
+                .collect();
+            let (engines, requests) = self.responsive_engines(model);
+            let load_limit = self.progress.load_limit(engines);
+            let settings = &self.instance.settings.plan;
+            let max_cut_requests = self.max_cut_requests(model);
+            for step in plan(
+                &outdated,
+                engines,
+                requests,
+                load_limit,
+                max_cut_requests,
+                settings,
+                now_ms,
+            ) {
+                let (Step::Steer(engine) | Step::Order { engine, .. }) = &step;
+                let mut model_updates = model_updates.iter();
+                let update = model_updates.find(|update| update.entry.incarnation.id == *engine);
+                if let Some(update) = update {
+                    steps.push((step.clone(), (*update).clone()));
+                }
+            }
+        }
+        steps
+    }
+
+    /// Returns how many requests of a model may be cut off: each is sent once
+    /// more, which takes a repeat of its service's budget.
+    fn max_cut_requests(&self, model: &str) -> u32 {
+        let now_ms = now_ms();
+        let instances = self.instance.instances();
+        let engines = self.instance.engines.borrow();
+        let mut engines = engines.iter();
+        let serves = |entry: &EngineEntry| entry.models.iter().any(|m| m.model == model);
+        let Some(engine) = engines.find(|engine| serves(&engine.entry)) else {
+            return 0;
+        };
+        let mut budgets = self.instance.budgets.borrow_mut();
+        let budget = budgets.entry(engine.entry.service.clone()).or_default();
+        budget.room(&self.instance.machine().retries, instances, now_ms)
+    }
+
+    /// Returns how many engines of a model answer, and the requests there.
+    fn responsive_engines(&self, model: &str) -> (usize, u32) {
+        let now_ms = now_ms();
+        let engines = self.instance.engines.borrow();
+        let serves = |entry: &EngineEntry| entry.models.iter().any(|m| m.model == model);
+        let answering = engines
+            .staying(now_ms)
+            .filter(|engine| serves(&engine.entry) && !engine.is_silent(now_ms));
+        let requests = answering.clone().map(|engine| engine.load().requests).sum();
+        (answering.count(), requests)
+    }
+}
