--- a/crates/core/src/weights/history.rs
+++ b/crates/core/src/weights/history.rs
@@ -1,29 +1,32 @@
 use std::collections::VecDeque;
 
-/// Versions remembered of one model. Operators may name several before the
-/// first is in place everywhere.
+/// Maximum number of versions remembered per model. Operators may publish
+/// several before the first is loaded on every engine.
 const MAX_VERSIONS: usize = 16;
 
-/// When a version was named.
+/// When a version was published.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PublishedAt {
-    /// So many milliseconds ago; this instance or a peer saw it.
+    /// This many milliseconds ago, as observed by this instance or a peer.
     Ago(u64),
-    /// Before this instance began to follow the store.
+    /// At an unobserved time: before this instance followed the store, or
+    /// during a gap in the store's answers.
     Unknown,
 }
 
-/// Time without word from the store up to which a version that is then read
-/// counts as named at its beginning.
+/// Maximum time since the store's last answer, in milliseconds, after which a
+/// version that is new in a read counts as published at the time of that answer.
 const MAX_GAP_MS: u64 = 1_000;
 
 impl PublishedAt {
-    /// Returns when a version was named that a reading of the store shows for
-    /// the first time, so long after the last word from the store.
+    /// Returns the publication time of a version that first appears in a read
+    /// of the store `gap_ms` after the store's last answer; `None` means that
+    /// there was no earlier answer.
     ///
-    /// An instance that was frozen or cut off would take a version that was named
-    /// meanwhile for a new one, and use old weights past their time. After a
-    /// longer gap nothing is known; a peer that saw it tells better.
+    /// After a long gap the time is unknown: an instance that was frozen or
+    /// partitioned would otherwise treat a version published meanwhile as new
+    /// and use old weights past their deadline. A peer that observed the
+    /// publication reports its age.
     pub fn after_gap(gap_ms: Option<u64>) -> PublishedAt {
         match gap_ms.filter(|gap_ms| *gap_ms <= MAX_GAP_MS) {
             Some(gap_ms) => PublishedAt::Ago(gap_ms),
@@ -36,46 +39,51 @@
 struct Publication {
     version: u64,
     published_ms: u64,
+    /// Whether the publication was observed; otherwise `published_ms` is an
+    /// assumption.
     is_age_known: bool,
 }
 
-/// When versions of one model's weights were named.
+/// Publication times of the versions of one model's weights.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WeightsHistory {
-    /// Rising by version.
+    /// Sorted by version, in ascending order.
     history: VecDeque<Publication>,
 }
 
-/// What weights a request should meet.
+/// Versions of a model's weights that a request may be served with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct VersionBounds {
-    /// The newest that were named.
+    /// Newest published version; 0 if none was published.
     pub newest: u64,
-    /// Older ones make an answer worth less.
+    /// Oldest version whose answers have their full value.
     pub min_preferred: u64,
-    /// Older ones may not begin a request any more.
+    /// Oldest version on which a request may still be sent to an engine.
     pub min_allowed: u64,
 }
 
-/// Ages from which on older weights are worth less, and are out of bounds.
+/// How long older weights may be used after a newer version was published.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WeightsSettings {
-    /// Age of a version from which on answers by older ones are worth less.
+    /// Age of a version, in milliseconds, from which answers by older ones
+    /// lose value.
     pub penalty_after_ms: u64,
-    /// Age of a version from which on no request is sent to older ones. It may
-    /// wait in an engine's queue before it begins.
+    /// Age of a version, in milliseconds, from which no request is sent to
+    /// older ones. Less than `start_until_ms`, since a request may wait in the
+    /// engine's queue before it starts.
     pub dispatch_until_ms: u64,
-    /// Age of a version from which on no request may begin on older ones; one
-    /// that still waits is withdrawn.
+    /// Age of a version, in milliseconds, from which no request may start on
+    /// older ones; a request that is still queued is withdrawn.
     pub start_until_ms: u64,
-    /// Time for which older weights are used at most if it isn't known when a
-    /// version was named. All instances may have lost power just after, so
-    /// that nobody knows; it may have been long before.
+    /// Maximum time, in milliseconds, for which older weights may be used after
+    /// a version of unknown age is read. If all instances lose power after a
+    /// publication, none knows its age, and it may be long ago.
     pub unknown_age_grace_ms: u64,
 }
 
 impl WeightsHistory {
-    /// Notes that a version was named. Returns whether it is the newest.
+    /// Records that a version was published. A known version only gets a better
+    /// publication time. Returns whether the version is the newest.
     pub fn insert(
         &mut self,
         version: u64,
@@ -113,25 +121,27 @@
         is_newest
     }
 
-    /// Returns the newest version; 0 where none was named.
+    /// Returns the newest version, or 0 if none was published.
     pub fn newest(&self) -> u64 {
         self.history
             .back()
             .map_or(0, |publication| publication.version)
     }
 
-    /// Returns the versions that bound the use of older ones, and when they were
-    /// named, for peers.
+    /// Returns the versions that peers need to compute the deadlines of older
+    /// ones, with their publication times.
     ///
-    /// The newest alone is not enough. An instance that starts after a second
-    /// version was named would take the first weights for replaced when the
-    /// second was named, and send requests to them long after their time.
+    /// The newest version alone is not enough. An instance that starts after
+    /// two publications would count the deadline of the weights before them
+    /// from the second one, and send requests to those weights past their
+    /// deadline.
     pub fn publications(
         &self,
         settings: &WeightsSettings,
         now_ms: u64,
     ) -> impl Iterator<Item = (u64, PublishedAt)> {
-        // All before the last one that is past its time are out of use anyway.
+        // The newest version whose `start_until_ms` has passed already rules
+        // out everything before it.
         let is_expired = |publication: &Publication| {
             now_ms >= publication.published_ms + settings.start_until_ms
         };
@@ -145,8 +155,8 @@
         })
     }
 
-    /// Returns when a request may no longer begin on a version, if newer ones
-    /// were named.
+    /// Returns the time from which no request may start on a version, in
+    /// milliseconds; `None` if no newer version was published.
     pub fn start_deadline_ms(&self, version: u64, settings: &WeightsSettings) -> Option<u64> {
         let mut newer = self
             .history
@@ -157,7 +167,7 @@
             .map(|publication| publication.published_ms + settings.start_until_ms)
     }
 
-    /// Returns what a request should meet now.
+    /// Returns the versions that a request may be served with now.
     pub fn version_bounds(&self, settings: &WeightsSettings, now_ms: u64) -> VersionBounds {
         let older_than = |age_ms: u64| {
             let publication = self.history.iter().rev();
@@ -174,7 +184,8 @@
 }
 
 impl Publication {
-    /// Whoever heard of it first knows its age best; a guess knows less.
+    /// Updates the publication time: the earliest observed time wins, and an
+    /// observed time replaces an assumed one.
     fn merge(&mut self, published_ms: u64, is_age_known: bool) {
         match (self.is_age_known, is_age_known) {
             (true, true) => self.published_ms = self.published_ms.min(published_ms),
--- a/crates/core/src/weights/lease.rs
+++ b/crates/core/src/weights/lease.rs
@@ -1,27 +1,31 @@
-/// Times of the lease under which orders are given.
+/// Durations of the lease under which orders are sent to engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseSettings {
-    /// Time for which two instances may not both have given orders.
+    /// Minimum time between orders of two different instances, in milliseconds.
     pub exclusion_ms: u64,
-    /// Time after a renewal was sent within which orders may leave. Short:
-    /// whoever takes over waits it out, and a renewal takes only one call.
-    /// Long enough for a renewal that a slow store takes half a second for.
+    /// Time after sending a renewal during which orders may be sent, in
+    /// milliseconds. Short, because a new holder waits for it to pass and a
+    /// renewal takes only one call; but long enough for a renewal that takes
+    /// half a second in a slow store.
     pub valid_ms: u64,
-    /// What an order may be on its way, and clocks may differ in speed.
+    /// Allowance for the delivery of an order and for clock drift, in
+    /// milliseconds.
     pub margin_ms: u64,
-    /// Time for which a record must have been as it is before it is taken from
-    /// a holder that says that it has left: three heartbeats, within which
-    /// whoever has just written it is heard to hold the lease.
+    /// Time, in milliseconds, for which a record must be unchanged before it is
+    /// taken from a holder that reports that it does not hold the lease. Three
+    /// heartbeats, within which an instance that has just written the record
+    /// reports that it holds the lease.
     pub released_wait_ms: u64,
 }
 
 impl LeaseSettings {
-    /// Returns the time for which a record must have been as it is before it is
-    /// taken from a holder that isn't heard.
+    /// Returns the time, in milliseconds, for which a record must be unchanged
+    /// before it is taken from a holder that sends no reports.
     ///
-    /// It may live behind a cut, waiting for the holder before it; taking the
-    /// lease from it then would make everybody wait again. No time is lost by
-    /// it: whoever takes over could not order sooner anyway.
+    /// The holder may be behind a partition, waiting for the exclusion time of
+    /// the previous holder; taking the lease from it would start that wait
+    /// anew. The wait costs no time, because a new holder could not send orders
+    /// earlier anyway.
     pub fn silent_wait_ms(&self) -> u64 {
         self.valid_ms + self.exclusion_ms
     }
@@ -38,70 +42,72 @@
     }
 }
 
-/// The lease is not held here.
+/// State of a lease that this instance does not hold.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Vacant;
 
-/// The lease is held here.
+/// State of a lease that this instance holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Held {
-    /// Number that goes with each order.
+    /// Fencing number that is sent with each order.
     pub fence: u64,
-    /// Revision of the record, for the next renewal.
+    /// Revision of the record, which the next renewal is conditional on.
     pub revision: u64,
     renewal_sent_ms: u64,
     earliest_order_ms: u64,
 }
 
-/// What this instance saw of the record that another holds.
+/// Record of another holder, as observed by this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ObservedRecord {
     /// Revision of the record.
     pub revision: u64,
-    /// When it was first seen at this revision.
+    /// When it was first read at this revision, in milliseconds.
     pub first_seen_ms: u64,
 }
 
-/// The right to give orders to engines, in one of its states.
+/// Lease under which orders are sent to engines, as a state machine.
 ///
-/// Engines don't check who orders, so the record alone doesn't keep two
-/// instances apart: an instance that was frozen, or whose renewal's answer
-/// was lost, may believe that it still holds the lease. Therefore an order
-/// leaves only shortly after a renewal was *sent*, by a clock that counts
-/// while the machine is suspended, and whoever takes over waits until the
-/// holder before can have no order under way.
+/// Engines don't check the sender of an order, so the record alone doesn't
+/// exclude two concurrent senders: an instance that was frozen, or lost the
+/// answer to a renewal, may still act as the holder. Therefore orders are sent
+/// only for a short time after a renewal was *sent*, measured by a clock that
+/// advances while the machine is suspended, and a new holder waits until no
+/// order of the previous one can still be in flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Lease<S> {
     settings: LeaseSettings,
     state: S,
 }
 
-/// What a record's holder says of itself: it doesn't hold the lease.
+/// Report of a record's holder that it does not hold the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HolderReport {
-    /// From when on it gave no order.
+    /// Time since which it has sent no order, in milliseconds.
     pub no_orders_since_ms: u64,
-    /// When that was heard.
+    /// When the report was received, in milliseconds.
     pub received_ms: u64,
-    /// Whether it has started again since it wrote the record.
+    /// Whether it has restarted since it wrote the record.
     pub is_restarted: bool,
 }
 
 impl ObservedRecord {
-    /// Returns from when on the record's holder can give no order, if the
-    /// record is still as it was seen: it may have renewed just before the
-    /// record was seen at this revision, not later.
+    /// Returns the time from which the record's holder can send no order, in
+    /// milliseconds, provided that the record is unchanged: the holder's last
+    /// renewal happened before the record was first read at this revision.
     pub fn no_orders_since_ms(&self, settings: &LeaseSettings) -> u64 {
         self.first_seen_ms + settings.valid_ms
     }
 
-    /// Returns whether the record may be taken from its holder, and from when
-    /// on that gave no order.
+    /// Returns the time since which the holder has sent no order, in
+    /// milliseconds, if the record may be taken from it; `None` if it may not.
     ///
-    /// What was heard before the record was seen may be older than the record:
-    /// in a large fleet a heartbeat takes a second to reach everyone. Instances
-    /// that believed it would take the lease from each other as fast as they
-    /// can; each waits for the one before to be quiet, and nobody orders.
+    /// A report that was received before the record was first read may be older
+    /// than the record, because a heartbeat takes a second to reach all
+    /// instances of a large fleet; it counts only if the holder has restarted
+    /// since. Acting on such reports, instances would keep taking the lease from
+    /// each other, each waiting for the exclusion time of the one before, and no
+    /// orders would be sent.
     pub fn check_takeover(
         &self,
         report: Option<HolderReport>,
@@ -125,7 +131,7 @@
 }
 
 impl Lease<Vacant> {
-    /// Returns a lease that isn't held.
+    /// Returns a lease that is not held.
     pub fn new(settings: LeaseSettings) -> Lease<Vacant> {
         Lease {
             settings,
@@ -133,11 +139,11 @@
         }
     }
 
-    /// Takes the lease over, once the store has accepted the record.
+    /// Takes the lease after the store has accepted the record.
     ///
-    /// `sent_ms` is when the write was sent. `no_orders_since_ms` is from when on
-    /// the holder before gave no order, `None` where there was none or it was
-    /// this instance.
+    /// `sent_ms` is the time when the write was sent. `no_orders_since_ms` is the
+    /// time since which the previous holder has sent no order; `None` if there
+    /// was no previous holder or it was this instance.
     pub fn take(
         self,
         fence: u64,
@@ -162,30 +168,32 @@
 }
 
 impl Lease<Held> {
-    /// Notes a renewal that the store has accepted.
+    /// Records a renewal that the store has accepted; `sent_ms` is the time when
+    /// it was sent.
     pub fn record_renewal(&mut self, revision: u64, sent_ms: u64) {
         self.state.revision = revision;
         self.state.renewal_sent_ms = sent_ms;
     }
 
-    /// Takes over the revision of a renewal whose answer was lost. It doesn't
-    /// count as a renewal: when it took effect isn't known.
+    /// Adopts the revision of a renewal whose answer was lost. It does not extend
+    /// the lease, because the time when it took effect is unknown.
     pub fn adopt_revision(&mut self, revision: u64) {
         self.state.revision = revision;
     }
 
-    /// Returns whether an order may leave now.
+    /// Returns whether an order may be sent now.
     pub fn may_order(&self, now_ms: u64) -> bool {
         now_ms >= self.state.earliest_order_ms
             && now_ms < self.state.renewal_sent_ms + self.settings.valid_ms
     }
 
-    /// Returns whether orders have to wait for the holder before.
+    /// Returns whether orders must wait until the exclusion time of the previous
+    /// holder has passed.
     pub fn is_waiting(&self, now_ms: u64) -> bool {
         now_ms < self.state.earliest_order_ms
     }
 
-    /// Returns the state, for the next write and for orders.
+    /// Returns the fencing number and revision for orders and renewals.
     pub fn held(&self) -> &Held {
         &self.state
     }
--- a/crates/core/src/weights/load_concurrency.rs
+++ b/crates/core/src/weights/load_concurrency.rs
@@ -1,31 +1,31 @@
-/// Loads at once that are always tried.
+/// Minimum limit of concurrent loads.
 const MIN_CONCURRENT_LOADS: usize = 2;
 
-/// Loads in a row that must be quick before one more is tried.
+/// Number of fast loads at the limit before the limit is raised by one.
 const FAST_LOADS_TO_RAISE: u32 = 4;
 
-/// Part of the usual time above which a load counts as slowed. Times are
-/// read off reports that lie up to two hundred milliseconds behind.
+/// Multiple of the typical duration above which a load counts as slow. The
+/// durations come from engine reports, which lag by up to 200 ms.
 const SLOW_FACTOR: f64 = 1.35;
 
-/// Part of the usual time below which a load counts as quick.
+/// Multiple of the typical duration up to which a load counts as fast.
 const FAST_FACTOR: f64 = 1.2;
 
-/// Time that a load is taken to last before one was seen.
+/// Assumed duration of a load before one was measured, in milliseconds.
 const INITIAL_LOAD_MS: f64 = 500.0;
 
-/// Finds how many engines may load at once.
+/// Adaptive limit of concurrent loads.
 ///
-/// Where weights lie, only so many engines read them at full speed; beyond
-/// that each load takes longer than one fewer at once would save. How many it
-/// is isn't told. An orderer begins with as many as it takes to be through in
-/// time, tries one more at a time, and goes back at the first load that was
-/// slowed.
+/// The storage of the weights serves only a limited number of engines at full
+/// speed; beyond it, every load slows down by more than the added concurrency
+/// gains. That number is unknown. The limit starts at what is needed to finish
+/// in time, rises by one after a run of fast loads, and falls after the first
+/// slow load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadConcurrency {
     limit: usize,
     max_limit: usize,
-    /// Most that were seen to load at full speed together.
+    /// Highest concurrency at which a load ran at full speed.
     full_speed_loads: usize,
     typical_ms: Option<f64>,
     fast_loads: u32,
@@ -44,19 +44,19 @@
 }
 
 impl LoadConcurrency {
-    /// Returns how many engines may load at once now, where so many have to be
-    /// through within a time.
+    /// Returns how many engines may load concurrently, given that `engines`
+    /// engines have to finish within `within_ms` milliseconds.
     ///
-    /// One more at a time alone takes a fleet of ninety engines longer than the
-    /// old weights may be used.
+    /// Raising the limit only one by one would take a fleet of 90 engines longer
+    /// than the old weights may be used.
     pub fn limit(&self, engines: usize, within_ms: u64) -> usize {
         let load_ms = self.typical_ms.unwrap_or(INITIAL_LOAD_MS);
         let needed = (engines as f64 * load_ms / within_ms.max(1) as f64).ceil() as usize;
         self.limit.max(needed).min(self.max_limit)
     }
 
-    /// Notes how long a load took on an engine that had nothing to finish,
-    /// while so many loaded at the most.
+    /// Adjusts the limit by a finished load: its duration on an engine without
+    /// running requests, and the maximum number of concurrent loads during it.
     pub fn record_load(&mut self, took_ms: u64, concurrent: usize) {
         let took_ms = took_ms as f64;
         let typical_ms = match self.typical_ms {
--- a/crates/core/src/weights/mod.rs
+++ b/crates/core/src/weights/mod.rs
@@ -1,4 +1,6 @@
-//! Bringing new weights to all engines: who orders, and in what pace.
+//! Updates of engines to newly published weights: which instance may send
+//! orders, how many engines load concurrently, and which versions requests may
+//! still use meanwhile.
 
 mod history;
 mod lease;
--- a/crates/core/src/weights/plan.rs
+++ b/crates/core/src/weights/plan.rs
@@ -1,28 +1,31 @@
-/// Pace of a change of weights.
+/// Limits for updating a model's engines to new weights.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlanSettings {
-    /// Part of a model's engines that may be away at once while they have
-    /// little to do, one in so many. Those that don't load yet finish what
-    /// runs there.
+    /// One in this many engines of a model may be unavailable (steered around,
+    /// ordered or loading) at the same time under low load. Those that don't
+    /// load yet finish their running requests.
     pub max_unavailable_divisor: usize,
-    /// Part that is away at once however busy the others are: each takes a
-    /// while to finish what runs there, and all have to be through in time.
+    /// One in this many engines may be unavailable at any load. Each needs time
+    /// to finish its running requests, and all have to be updated in time.
     pub min_unavailable_divisor: usize,
-    /// Part of the time for which old weights may be used, within which all
-    /// loads have to fit. The rest is for finishing what runs, and for trouble.
+    /// Fraction of the time for which old weights may be used, within which all
+    /// loads have to fit. The rest is for finishing running requests and for
+    /// failures.
     pub load_time_fraction: f64,
-    /// Requests an engine up to which it has little to do.
+    /// Mean number of requests per engine up to which the load is low.
     pub low_load_requests: f64,
-    /// Requests an engine from which on only those that load are away; each
-    /// further one would overload the rest.
+    /// Mean number of requests per engine from which only loading engines and
+    /// the `min_unavailable_divisor` share are unavailable; each further one
+    /// would overload the rest.
     pub high_load_requests: f64,
-    /// Shortest time between keeping new work away and the order. A heartbeat
-    /// leaves at once for it; by then all instances know.
+    /// Minimum time, in milliseconds, between steering new requests away from an
+    /// engine and its order. A heartbeat is sent at once, so that all instances
+    /// know by then.
     pub min_steer_ms: u64,
-    /// Longest time for which an engine may finish what can't go on elsewhere
-    /// before it gets its order. With the order it would finish everything
-    /// else as well, which takes streams up to four seconds, and refuse what
-    /// it has queued.
+    /// Maximum time, in milliseconds, for which an engine finishes requests that
+    /// can't be resumed elsewhere before it gets its order. An order without
+    /// cutting off makes it finish all other requests too, which takes up to
+    /// four seconds for streams, and refuse its queued ones.
     pub max_finish_ms: u64,
 }
 
@@ -40,46 +43,50 @@
     }
 }
 
-/// One engine that lacks the newest weights.
+/// State of an engine that lacks the newest weights of a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutdatedEngine {
-    /// The engine.
+    /// ID of the engine.
     pub id: String,
-    /// When work began to be kept away; `None` if it isn't.
+    /// Since when new requests are steered to other engines, in milliseconds;
+    /// `None` if they are not.
     pub steered_since_ms: Option<u64>,
-    /// Whether its order was sent and isn't done.
+    /// Whether an order was sent and is not completed yet.
     pub has_pending_order: bool,
-    /// Weights that it has.
+    /// Version of the weights that it serves.
     pub version: u64,
-    /// Requests that run there, by all that is known.
+    /// Requests at the engine, as estimated by this instance.
     pub requests: u32,
-    /// Those of them that can't go on elsewhere.
+    /// Number of these requests that can't be resumed on another engine.
     pub must_finish: u32,
-    /// Whether the engine answers.
+    /// Whether the engine answers calls.
     pub is_responsive: bool,
 }
 
-/// What to do with an engine now.
+/// Next step for one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Keep new work away.
+    /// Steer new requests of the engine with this ID to other engines.
     Steer(String),
-    /// Send the order. What runs is cut off if it says so, and goes on at
-    /// other engines; else the engine finishes it first.
+    /// Send the order to load the newest weights.
     Order {
-        /// The engine.
+        /// ID of the engine.
         engine: String,
-        /// Whether what runs is cut off.
+        /// Whether running requests are cut off and resumed on other engines;
+        /// otherwise the engine finishes them first.
         cut: bool,
     },
 }
 
-/// Returns the next steps for one model, of which so many engines answer, with
-/// so many requests, and so many may load at once; so many requests may be cut
-/// off.
+/// Returns the next steps to update a model's engines.
 ///
-/// Engines with the oldest weights go first, as requests there are worth the
-/// least; among them those with the least running, which are done soonest.
+/// `engine_count` is the number of the model's responsive engines, `requests`
+/// the number of requests at them, `max_loading` the limit of concurrent loads,
+/// and `max_cut_requests` the number of running requests that may be cut off.
+///
+/// Engines with the oldest weights go first, because answers by them have the
+/// least value; among these, the ones with the fewest requests, because they
+/// finish soonest.
 pub fn plan(
     outdated: &[OutdatedEngine],
     engine_count: usize,
@@ -90,7 +97,7 @@
     now_ms: u64,
 ) -> Vec<Step> {
     let mut steps = Vec::new();
-    // One that still finishes what runs there doesn't load yet.
+    // An ordered engine that still finishes requests is not loading yet.
     let mut loading = outdated
         .iter()
         .filter(|engine| engine.has_pending_order && engine.is_responsive && engine.requests == 0)
@@ -113,7 +120,7 @@
         )
     });
     for (engine, _) in ready {
-        // One that doesn't answer takes no place from those that do.
+        // Unresponsive engines don't count against the limit of concurrent loads.
         if engine.is_responsive && loading >= max_loading {
             break;
         }
@@ -142,6 +149,8 @@
     steps
 }
 
+/// Returns how many engines may be unavailable at the same time, interpolated
+/// between low and high load.
 fn max_unavailable(
     engine_count: usize,
     max_loading: usize,
