--- a/crates/core/src/rollout/action.rs
+++ b/crates/core/src/rollout/action.rs
@@ -1,7 +1,7 @@
-/// What the holder of the lease does next. Each may be repeated.
+/// Next action of the lease holder. Every action is idempotent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action<'a> {
-    /// Mark the engine, so that no instance sends it new work.
+    /// Set the engine's drain mark, so that no instance sends it new requests.
     Drain {
         /// Name of the engine.
         engine: &'a str,
@@ -10,17 +10,17 @@
     Order {
         /// Name of the engine.
         engine: &'a str,
-        /// Version.
+        /// Version to load.
         version: String,
     },
-    /// Let the engine generate a token with a version.
+    /// Have the engine generate a token with a version.
     Probe {
         /// Name of the engine.
         engine: &'a str,
-        /// Version.
+        /// Version that has to answer.
         version: String,
     },
-    /// Remove the mark.
+    /// Remove the engine's drain mark.
     Undrain {
         /// Name of the engine.
         engine: &'a str,
--- a/crates/core/src/rollout/drained_engine.rs
+++ b/crates/core/src/rollout/drained_engine.rs
@@ -1,19 +1,18 @@
-/// What a holder of the lease remembers of one engine that is out. A holder
-/// that takes over starts with nothing, which costs repeated steps and no
-/// wrong ones.
+/// In-memory state of the lease holder for one drained engine. A new holder
+/// starts without it, which repeats steps but causes no wrong ones.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DrainedEngine {
-    /// When the mark was first seen.
+    /// Time when the drain mark was first observed, in milliseconds.
     pub(super) drained_since_ms: u64,
-    /// When the engine last answered.
+    /// Time of the engine's last answer, in milliseconds.
     pub(super) last_answer_ms: u64,
-    /// The last order: its version, and when it was given.
+    /// Version and time, in milliseconds, of the last order.
     pub(super) last_order: Option<(String, u64)>,
-    /// Orders of that version.
+    /// Number of orders for that version.
     pub(super) order_count: u32,
-    /// Incarnation and version that answered a probe.
+    /// Incarnation and version of the last successful probe.
     pub(super) successful_probe: Option<(u64, String)>,
-    /// Probes that failed in a row.
+    /// Number of consecutive failed probes.
     pub(super) failed_probes: u32,
 }
 
@@ -26,8 +25,8 @@
         }
     }
 
-    /// Returns whether an order for this version was given so lately that its
-    /// effect may not show yet.
+    /// Returns whether the last order was for this version and was sent less than
+    /// `retry_ms` milliseconds ago, so that its effect may not be visible yet.
     pub(super) fn has_recent_order(&self, version: &str, retry_ms: u64, now_ms: u64) -> bool {
         self.last_order
             .as_ref()
--- a/crates/core/src/rollout/machine.rs
+++ b/crates/core/src/rollout/machine.rs
@@ -6,7 +6,7 @@
     std::collections::BTreeMap,
 };
 
-/// One model's rollout, as the holder of its lease runs it.
+/// Rollout of one model, run by the holder of its lease.
 #[derive(Debug, Clone)]
 pub struct Rollout {
     settings: RolloutSettings,
@@ -16,7 +16,7 @@
 }
 
 impl Rollout {
-    /// Takes a rollout up at the plan that the platform holds.
+    /// Continues a rollout from the plan stored on the platform.
     pub fn resume(settings: RolloutSettings, plan: Plan, now_ms: u64) -> Rollout {
         Rollout {
             settings,
@@ -26,12 +26,13 @@
         }
     }
 
-    /// Returns the plan, to be kept on the platform when it changes.
+    /// Returns the plan, which the caller stores on the platform when it changes.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Takes the record in force.
+    /// Applies the model's current record: its version and limit of concurrent
+    /// loads.
     pub fn set_target(
         &mut self,
         target: &str,
@@ -42,7 +43,8 @@
         self.plan.set_target(target, engines);
     }
 
-    /// Returns what to do now.
+    /// Updates the plan from the state of the engines, and returns the actions that
+    /// are due.
     pub fn decide<'a>(&mut self, engines: &[EngineSnapshot<'a>], now_ms: u64) -> Vec<Action<'a>> {
         self.drained_engines
             .retain(|name, _| engines.iter().any(|e| e.name == name && e.drained));
@@ -61,8 +63,8 @@
         actions
     }
 
-    /// Notes the reply to an order, none if it was lost. A lost one may have
-    /// been followed; the engine's state will tell.
+    /// Records the reply to an order; `None` if it was lost. The engine may have
+    /// accepted such an order, which its state will show.
     pub fn record_order_reply(
         &mut self,
         engine: &str,
@@ -82,7 +84,7 @@
         state.last_order = Some((version.to_owned(), now_ms));
     }
 
-    /// Notes how a probe ended.
+    /// Records the result of a probe.
     pub fn record_probe(
         &mut self,
         engine: &str,
@@ -114,8 +116,8 @@
             .or_insert_with(|| DrainedEngine::new(now_ms))
     }
 
-    /// Stops the rollout. A fault on the way back changes nothing: the reason
-    /// that counts is the first.
+    /// Stops the rollout. A later failure, on the way back to the fallback, does
+    /// not replace the first one.
     fn fail(&mut self, engine: &str, reason: String) {
         if self.plan.failure.is_none() {
             self.plan.failure = Some(Failure {
@@ -133,7 +135,7 @@
         engine.loading || (has_recent_order && engine.version != Some(desired_version))
     }
 
-    /// Returns the next step of an engine that is out.
+    /// Returns the next action for a drained engine.
     fn next_action<'a>(
         &mut self,
         engine: &EngineSnapshot<'a>,
@@ -182,8 +184,8 @@
         }
     }
 
-    /// Puts an engine back that answered with the version it shall serve. An
-    /// answer of the engine before its last restart does not count.
+    /// Undrains an engine that has answered a probe with the desired version, or
+    /// else probes it. Probes before the engine's last restart do not count.
     fn probe_or_undrain<'a>(
         &self,
         engine: &EngineSnapshot<'a>,
@@ -243,7 +245,7 @@
         })
     }
 
-    /// Returns the next engine to take out, if capacity allows it.
+    /// Drains the next engine if the remaining capacity allows it.
     fn next_drain<'a>(&self, engines: &[EngineSnapshot<'a>]) -> Option<Action<'a>> {
         let drained = engines.iter().filter(|e| e.drained).count();
         if self.plan.failure.is_some() || drained >= self.settings.concurrent_loads {
@@ -260,15 +262,15 @@
             .map(|e| Action::Drain { engine: e.name })
     }
 
-    /// Returns how many of this many engines must go on serving. It is one at
-    /// least: the last engine of a model is never taken out.
+    /// Returns how many of `total` engines must keep serving. At least one: the
+    /// last engine of a model is never drained.
     fn min_serving(&self, total: usize) -> usize {
         let max_drained = (total * self.settings.max_drained_percent / 100).max(1);
         total.saturating_sub(max_drained).max(1)
     }
 
-    /// Notes that every engine that answers serves the target. One that is
-    /// dead gets it when it comes back.
+    /// Marks the rollout as done when all responsive engines serve the target. A
+    /// dead engine is updated after it returns.
     fn update_done(&mut self, engines: &[EngineSnapshot<'_>]) {
         let target = self.plan.target.as_str();
         let mut answering = engines
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -1,11 +1,11 @@
-//! Changes of weights versions, a few engines at a time.
+//! Rolling updates of a model's engines to a new weights version.
 //!
-//! Load pattern: engines serve at half their capacity or more while the
-//! version changes. Ordered all at once, every engine would load together,
-//! slowly, and nothing would be served; ordered without draining, open
-//! streams would be cut. So an engine is drained, ordered, probed and put
-//! back, and the next follows; a version that can't be loaded or doesn't
-//! answer is met by one engine, which goes back to the version before.
+//! Load pattern: engines run at half their capacity or more during the rollout.
+//! If all engines were ordered to load at the same time, the loads would be
+//! slow and nothing would be served; without draining, open streams would be
+//! cut off. Therefore each engine is drained, ordered, probed and undrained
+//! before the next one follows. A version that can't be loaded or gives no
+//! answer affects one engine, which returns to the previous version.
 
 mod action;
 mod drained_engine;
--- a/crates/core/src/rollout/plan.rs
+++ b/crates/core/src/rollout/plan.rs
@@ -7,34 +7,38 @@
 /// Why a rollout stopped.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// Engine that met the fault.
+    /// Name of the engine on which the version failed.
     pub engine: String,
     /// What happened, and what the operator can do.
     pub reason: String,
 }
 
-/// The part of a rollout that outlives its holder, kept on the platform.
+/// Persistent state of a rollout, stored on the platform so that a new lease
+/// holder can continue it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Schema number of the object.
+    /// Schema version of the object.
     pub schema: u32,
-    /// Version to be served by every engine.
+    /// Version that every engine shall serve.
     pub target: String,
-    /// The version before, to which a failed engine goes back.
+    /// Previous version, to which engines return if the target fails; empty if
+    /// unknown.
     #[serde(rename = "good")]
     pub fallback: String,
-    /// Whether every engine served the target at once.
+    /// Whether all responsive engines were seen serving the target at the same
+    /// time.
     pub done: bool,
-    /// Why the rollout stopped, if it did.
+    /// Why the rollout stopped; `None` if it did not.
     pub failure: Option<Failure>,
 }
 
 impl Plan {
-    /// Returns the plan that follows when the record asks for a version.
+    /// Sets the target version from the model's record.
     ///
-    /// A record that changes while a rollout runs, or after it stopped, is a
-    /// new decision of the operators: it starts anew, and what was good stays
-    /// what to go back to.
+    /// A record that changes during a rollout or after it stopped is a new
+    /// decision of the operators: the rollout starts over, without its failure,
+    /// and keeps the fallback version. After a completed rollout, its target
+    /// becomes the fallback.
     pub fn set_target(&mut self, target: &str, engines: &[EngineSnapshot<'_>]) {
         if self.target == target {
             return self.set_missing_fallback(engines);
@@ -55,9 +59,9 @@
         };
     }
 
-    /// Notes what engines served before, if no engine answered when the
-    /// rollout began. Without it a failed engine would have nothing to go
-    /// back to and stay out.
+    /// Sets the fallback version if no engine answered when the rollout began.
+    /// Without it, engines could not leave a failed version and would stay
+    /// drained.
     fn set_missing_fallback(&mut self, engines: &[EngineSnapshot<'_>]) {
         if self.fallback.is_empty() {
             let before = |e: &&EngineSnapshot<'_>| e.version != Some(self.target.as_str());
@@ -66,7 +70,8 @@
         }
     }
 
-    /// Returns the version that an engine which is out shall load.
+    /// Returns the version that a drained engine shall load: the target, or the
+    /// fallback after a failure.
     pub fn desired_version(&self) -> &str {
         if self.failure.is_some() && !self.fallback.is_empty() {
             return &self.fallback;
@@ -75,6 +80,7 @@
     }
 }
 
+/// Returns the version that most engines serve; empty if none serves the model.
 fn most_common_version(engines: &[EngineSnapshot<'_>]) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for version in engines.iter().filter_map(|e| e.version) {
--- a/crates/core/src/rollout/settings.rs
+++ b/crates/core/src/rollout/settings.rs
@@ -1,31 +1,32 @@
-/// Times and bounds of a rollout.
+/// Timeouts and limits of a rollout.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutSettings {
-    /// Engines that load at the same time. More would load slower, and each
-    /// is capacity that is missing.
+    /// Maximum number of engines that load at the same time. More would load
+    /// more slowly, and each one takes away capacity.
     pub concurrent_loads: usize,
-    /// Most engines out at once, in percent of all. One may be out in any
-    /// fleet of two or more.
+    /// Maximum share of engines drained at the same time, in percent. In any
+    /// fleet of two or more, one engine may be drained.
     pub max_drained_percent: usize,
-    /// Time after a drain mark in which every instance takes notice.
+    /// Time for a drain mark to reach all instances, in milliseconds.
     pub drain_propagation_ms: u64,
-    /// Time for which a drained engine may go on serving what it has. It is
-    /// as long as a request may take.
+    /// Time for which a drained engine may finish its requests, in milliseconds.
+    /// Equals the maximum duration of a request.
     pub drain_timeout_ms: u64,
-    /// Time after which an order without visible effect is repeated.
+    /// Time after which an order without visible effect is sent again, in
+    /// milliseconds.
     pub order_retry_ms: u64,
-    /// Orders without effect after which the version is given up.
+    /// Number of orders without effect after which the version fails.
     pub max_orders: u32,
-    /// Time for which weights may load.
+    /// Maximum duration of a load, in milliseconds.
     pub load_timeout_ms: u64,
-    /// Failed probes after which the version is given up.
+    /// Number of consecutive failed probes after which the version fails.
     pub max_failed_probes: u32,
-    /// Time for which an engine may not answer before it is put back, so
-    /// that a dead one does not hold up the others.
+    /// Time without an answer after which an engine is undrained, in
+    /// milliseconds, so that a dead engine does not block the rollout.
     pub unresponsive_timeout_ms: u64,
-    /// Time that a new holder of the lease waits before it orders engines
-    /// that ignore fencing: an order of the holder before it may still be on
-    /// its way.
+    /// Time that a new lease holder waits before it sends orders to engines
+    /// without fencing, in milliseconds: an order of the previous holder may
+    /// still be in flight.
     pub unfenced_wait_ms: u64,
 }
 
