--- a/crates/core/src/claim/body.rs
+++ b/crates/core/src/claim/body.rs
@@ -4,38 +4,39 @@
     std::net::SocketAddr,
 };
 
-/// A claim as the platform holds it.
+/// Body of the claim object on the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimBody {
-    /// Schema number.
+    /// Schema version of the object.
     pub schema: u32,
-    /// Address of the claimant towards callers.
+    /// Caller address of the instance that made the claim.
     pub holder: SocketAddr,
-    /// Number that the claimant drew at its start.
+    /// Incarnation of that instance, a number drawn at its start.
     pub incarnation: u64,
-    /// Number drawn for this claim. It tells the claimant's own write from
-    /// another's when the reply was lost.
+    /// Random number of this claim. After a lost reply it shows whether the
+    /// stored claim is the instance's own.
     pub nonce: u64,
-    /// Digest of the claimed request, to tell it from another one that came
-    /// with the same idempotency key.
+    /// Digest of the claimed request, which detects the reuse of an idempotency
+    /// key for a different request.
     pub request: String,
-    /// Epoch in which the claim was made; none if the claimant knew none.
-    /// Such a claim is never deleted.
+    /// Epoch in which the claim was made; `None` if the instance knew no current
+    /// epoch. Such a claim never expires.
     pub epoch: Option<u64>,
-    /// What became of the request.
+    /// Outcome of the request as far as it is known.
     pub state: ClaimState,
 }
 
-/// What became of a claimed request.
+/// State of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// It is about to be sent, or was.
+    /// The request is about to be sent, or was sent.
     Claimed,
-    /// It ran, and this is the answer.
+    /// The request ran, with this answer.
     Ran(StoredReply),
-    /// It ran, and the answer is too long to be kept.
+    /// The request ran, and its answer is not stored: too long, or dropped when
+    /// memory was short.
     RanTooLong,
-    /// It was sent and its answer was lost.
+    /// The request was sent and its answer was lost.
     Unknown,
 }
--- a/crates/core/src/claim/digest.rs
+++ b/crates/core/src/claim/digest.rs
@@ -1,7 +1,7 @@
-/// Returns a digest of parts, as 64 hexadecimal digits.
+/// Returns a BLAKE3 digest of a list of parts, as 64 hexadecimal digits.
 ///
-/// Each part is preceded by its length, so that no two lists of parts run
-/// into the same bytes: a team `a` with key `b/c` is not team `a/b` with `c`.
+/// Each part is preceded by its length, so that different lists never hash the
+/// same bytes: team `a` with key `b/c` differs from team `a/b` with key `c`.
 pub fn digest_of_parts(parts: &[&[u8]]) -> String {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
--- a/crates/core/src/claim/duplicate.rs
+++ b/crates/core/src/claim/duplicate.rs
@@ -3,33 +3,37 @@
     crate::refusal::{Outcome, Refusal},
 };
 
-/// When a caller should ask again for a request that runs elsewhere.
+/// Time after which a caller should retry a request that is still running, in
+/// milliseconds.
 pub const CLAIMED_RETRY_MS: u64 = 1_000;
 
-/// When a caller may ask again for a request whose outcome no one knows.
+/// Time after which a caller may retry a request whose answer is not available,
+/// in milliseconds.
 const UNKNOWN_RETRY_MS: u64 = 60_000;
 
-/// What is known of a claim's holder.
+/// Whether the instance that made a claim still runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HolderLiveness {
-    /// It was heard of a moment ago.
+    /// It was reported to be running recently.
     Alive,
     /// It was not, or another process has its address.
     Silent,
 }
 
-/// What a caller gets whose request is claimed already.
+/// Response to a request whose idempotency key is already claimed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DuplicateResponse {
-    /// The answer of the run.
+    /// The stored answer of the claimed request.
     Replay(StoredReply),
-    /// A refusal that says what is known.
+    /// A refusal that states the known outcome.
     Refuse(Refusal),
 }
 
-/// Decides what a caller gets whose request, of the given digest, meets a
-/// claim. It never runs again, whoever holds the claim: a silent holder may
-/// have sent it.
+/// Returns the response to a request with digest `request` whose idempotency key
+/// is already claimed.
+///
+/// The request never runs again, even if the holder of the claim is silent,
+/// because the holder may have sent it.
 pub fn duplicate_response(
     claim: &ClaimBody,
     request: &str,
--- a/crates/core/src/claim/lifecycle.rs
+++ b/crates/core/src/claim/lifecycle.rs
@@ -6,66 +6,66 @@
     },
 };
 
-/// Longest time between making a claim and sending the request. A process
-/// paused for longer must not send: its claim may have been deleted.
+/// Maximum time between making a claim and sending the request, in milliseconds.
+/// After a longer pause of the process the claim may have been deleted.
 const MAX_UNSENT_MS: u64 = 3_600_000;
 
-/// A claim in one phase of its life.
+/// Claim in one of its states.
 ///
-/// The phases are types, so that a request can't be sent without a claim, a
-/// sent one can't be withdrawn, and none is settled twice.
+/// The states are types, so that a request can't be sent without a claim, the
+/// claim of a sent request can't be withdrawn, and no claim is settled twice.
 #[derive(Debug)]
-#[must_use = "withdraw or settle the claim, or later callers learn nothing"]
+#[must_use = "withdraw or settle the claim, or retries get no outcome"]
 pub struct Claim<S> {
     name: String,
     body: ClaimBody,
     state: S,
 }
 
-/// Not on the platform yet.
+/// State of a claim that has not been created on the platform.
 #[derive(Debug)]
 pub struct Unclaimed;
 
-/// On the platform; nothing was sent.
+/// State of a claim that exists on the platform, with nothing sent.
 #[derive(Debug)]
 pub struct Claimed {
     version: u64,
     started_ms: u64,
 }
 
-/// Sent, or about to be.
+/// State of a claim whose request was sent or is about to be sent.
 #[derive(Debug)]
 pub struct Sent {
     claimed: Claimed,
 }
 
-/// The outcome is known as far as it ever will be.
+/// State of a claim whose outcome is final.
 #[derive(Debug)]
 pub struct Settled {
     version: u64,
 }
 
-/// A claim that is too old to be sent under.
+/// Error for a claim that is too old for its request to be sent.
 #[derive(Debug)]
 pub struct ClaimTooOld(
-    /// The claim, to be withdrawn.
+    /// The claim, which the caller withdraws.
     pub Box<Claim<Claimed>>,
 );
 
 impl<S> Claim<S> {
-    /// Returns the object's identity.
+    /// Returns the key of the claim object on the platform.
     pub fn key(&self) -> ObjectKey {
         ObjectKey::new(own_kind::CLAIM, &self.name)
     }
 
-    /// Returns the object's body.
+    /// Returns the body of the claim object.
     pub fn body(&self) -> &ClaimBody {
         &self.body
     }
 }
 
 impl Claim<Unclaimed> {
-    /// Returns a claim that is to be created.
+    /// Returns a claim that the caller has yet to create on the platform.
     pub fn new(name: String, body: ClaimBody) -> Claim<Unclaimed> {
         Claim {
             name,
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Notes that the platform holds the claim, at a version, by a write
-    /// begun at `started_ms`.
+    /// Marks the claim as created on the platform at `version`, by a write that
+    /// started at `started_ms`.
     pub fn created(self, version: u64, started_ms: u64) -> Claim<Claimed> {
         Claim {
             name: self.name,
@@ -89,11 +89,12 @@
 }
 
 impl Claim<Claimed> {
-    /// Allows to send the request.
+    /// Marks the request as sent; must be called before sending it.
     ///
     /// # Errors
     ///
-    /// Fails where the claim is so old that it may be gone.
+    /// Returns [`ClaimTooOld`] if the claim is so old that it may have been
+    /// deleted.
     pub fn send(self, now_ms: u64) -> Result<Claim<Sent>, ClaimTooOld> {
         if now_ms.saturating_sub(self.state.started_ms) > MAX_UNSENT_MS {
             return Err(ClaimTooOld(Box::new(self)));
@@ -107,14 +108,14 @@
         })
     }
 
-    /// Returns the condition under which the claim is deleted.
+    /// Returns the condition for deleting the claim.
     pub fn expect(&self) -> Expect {
         Expect::Version(self.state.version)
     }
 }
 
 impl Claim<Sent> {
-    /// Notes that nothing left after all: the connection was refused.
+    /// Returns to the unsent state, after the connection was refused.
     pub fn not_sent(self) -> Claim<Claimed> {
         Claim {
             name: self.name,
@@ -123,13 +124,13 @@
         }
     }
 
-    /// Notes the answer.
+    /// Settles the claim with the service's answer.
     pub fn ran(self, reply: &ServiceReply) -> Claim<Settled> {
         let state = StoredReply::from_reply(reply).map_or(ClaimState::RanTooLong, ClaimState::Ran);
         self.settle(state)
     }
 
-    /// Notes that the answer was lost.
+    /// Settles the claim with an unknown outcome, after the answer was lost.
     pub fn reply_lost(self) -> Claim<Settled> {
         self.settle(ClaimState::Unknown)
     }
@@ -147,12 +148,13 @@
 }
 
 impl Claim<Settled> {
-    /// Returns the condition under which the outcome is written.
+    /// Returns the condition for writing the outcome.
     pub fn expect(&self) -> Expect {
         Expect::Version(self.state.version)
     }
 
-    /// Keeps the outcome and drops the answer, if memory is short.
+    /// Keeps the outcome and drops the stored answer, for use when memory is
+    /// short.
     pub fn drop_reply(&mut self) {
         if matches!(self.body.state, ClaimState::Ran(_)) {
             self.body.state = ClaimState::RanTooLong;
--- a/crates/core/src/claim/mod.rs
+++ b/crates/core/src/claim/mod.rs
@@ -1,9 +1,10 @@
-//! Claims: what is not repeatable runs at most once.
+//! Claims make calls that are not idempotent run at most once.
 //!
-//! Before such a call leaves, the router creates an object on the platform,
-//! named by team and idempotency key. A name is created once, so one claimant
-//! wins, whichever instances the caller sends to and whichever of them die. A
-//! claim is given up only while it is sure that nothing was sent.
+//! Before such a call is sent, the instance creates an object on the platform
+//! that is named by team and idempotency key. A name can be created only once,
+//! so exactly one instance obtains the claim, whichever instances the caller
+//! sends the call to and whichever of them crash. A claim is withdrawn only
+//! while it is certain that nothing was sent.
 
 mod body;
 mod digest;
--- a/crates/core/src/claim/reply.rs
+++ b/crates/core/src/claim/reply.rs
@@ -3,33 +3,34 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Longest answer that is kept in a claim. The platform holds values up to a
-/// megabyte, and bytes that are no text grow fourfold as JSON numbers.
+/// Maximum length of an answer that is stored in a claim, in bytes. The platform
+/// stores values of up to a megabyte, and bytes that are not UTF-8 text grow
+/// fourfold as JSON numbers.
 pub const MAX_STORED_REPLY_BYTES: usize = 200 << 10;
 
-/// A service's answer as a claim keeps it.
+/// Answer of a service, as stored in a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredReply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Media type of the body.
     pub content_type: String,
-    /// Body.
+    /// Body of the answer.
     pub body: ReplyBody,
 }
 
-/// A body that keeps each of its bytes.
+/// Body of an answer, stored without loss.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplyBody {
-    /// Text.
+    /// Valid UTF-8.
     Text(String),
-    /// Anything else.
+    /// Any other bytes.
     Bytes(Vec<u8>),
 }
 
 impl StoredReply {
-    /// Returns an answer as it is kept; none if it is too long.
+    /// Returns the answer in its stored form; `None` if it is too long.
     pub fn from_reply(reply: &ServiceReply) -> Option<StoredReply> {
         if reply.body.len() > MAX_STORED_REPLY_BYTES {
             return None;
@@ -45,7 +46,7 @@
         })
     }
 
-    /// Returns the answer as it came.
+    /// Returns the answer as the service sent it.
     pub fn into_reply(self) -> ServiceReply {
         ServiceReply {
             status: self.status,
