--- a/crates/gateway/src/weights/engine_calls.rs
+++ b/crates/gateway/src/weights/engine_calls.rs
@@ -6,15 +6,16 @@
     },
 };
 
-/// Longest time for an engine's answer to an order or a question. It answers
-/// at once or, under trouble, seconds later.
+/// Timeout for an engine's answer to an order or a report request, in
+/// milliseconds. An engine answers at once or, in case of trouble, seconds
+/// later.
 const CALL_TIMEOUT_MS: u64 = 700;
 
-/// Time for a new connection to an engine; an order is on its way this much
-/// longer after its lease was looked at.
+/// Timeout for a new connection to an engine, in milliseconds. An order may
+/// reach the engine this much later than the check of the lease.
 const CONNECT_TIMEOUT_MS: u64 = 300;
 
-/// Asks an engine for its state.
+/// Requests an engine's report; `None` if it is not available. Logs a failure.
 pub(super) async fn fetch_report(engine: &EngineEntry) -> Option<EngineReport> {
     let client = CallClient::new(engine.address, CONNECT_TIMEOUT_MS);
     let call = EngineReport::call(&engine.incarnation.id);
@@ -37,7 +38,8 @@
     }
 }
 
-/// Sends an order to an engine.
+/// Sends an order to an engine and returns its answer; [`OrderAnswer::Unknown`]
+/// if there is none, which is logged.
 pub(super) async fn send_order(engine: &EngineEntry, order: &WeightsOrder<'_>) -> OrderAnswer {
     let client = CallClient::new(engine.address, CONNECT_TIMEOUT_MS);
     match client.call(&encode_order(order), CALL_TIMEOUT_MS).await {
--- a/crates/gateway/src/weights/lease.rs
+++ b/crates/gateway/src/weights/lease.rs
@@ -12,23 +12,26 @@
     std::rc::Rc,
 };
 
-/// Name of the record that says who orders.
+/// Name of the store record that holds the lease.
 const RECORD_NAME: &str = "orders";
 
-/// Time for which each instance waits for the one before it to begin.
+/// Delay, in milliseconds, between the takeover attempts of consecutive
+/// instances.
 const TAKEOVER_STAGGER_MS: u64 = 700;
 
-/// Time for which an instance that could not renew the lease leaves it to
-/// others.
+/// Time for which an instance does not try to take the lease after failing to
+/// renew it, in milliseconds, so that another instance can.
 const RENEWAL_FAILURE_BACKOFF_MS: u64 = 3_000;
 
-/// Time of failed renewals after which the lease is left to others.
+/// Duration of failed renewals after which the lease is released, in
+/// milliseconds.
 const MAX_RENEWAL_FAILURE_MS: u64 = 450;
 
-/// Pause between two looks at the record.
+/// Minimum interval between two reads of the record, in milliseconds.
 const RECORD_READ_INTERVAL_MS: u64 = 300;
 
-/// Time for which a stopping instance goes on with orders that it has begun.
+/// Time for which a stopping instance continues the orders it has sent, in
+/// milliseconds.
 const DRAIN_TIMEOUT_MS: u64 = 2_500;
 
 enum LeaseState {
@@ -36,27 +39,29 @@
     Held(Lease<Held>),
 }
 
-/// Whose a record was that this instance takes over.
+/// Previous holder of a record, as far as it affects a takeover.
 enum PreviousHolder {
-    /// Its own, from this start or one before. Orders of one machine never
-    /// clash with each other.
+    /// This machine, in this or an earlier incarnation. Orders of one machine
+    /// never conflict with each other.
     SameMachine,
-    /// Another's, who gave no order from this time on.
+    /// Another instance, which has sent no order since this time, in milliseconds.
     Replaceable(u64),
-    /// Another's, who may hold the lease.
+    /// Another instance, which may still hold the lease.
     MayBeActive,
 }
 
-/// The right to give orders, and the calls to the store that it takes.
+/// The lease under which orders are sent, and the store calls to take and renew
+/// it.
 pub(super) struct OrderLease {
     instance: Rc<Instance>,
     store: Rc<CallClient>,
     state: LeaseState,
     seen: Option<ObservedRecord>,
-    /// Until then this instance leaves the lease to others.
+    /// Earliest time of the next attempt to take the lease, in milliseconds.
     next_attempt_ms: u64,
     failing_since_ms: Option<u64>,
-    /// Episode of lacking weights in which the record was looked at.
+    /// Start of the last period with outdated engines in which the record was
+    /// read, in milliseconds.
     record_read_for_ms: Option<u64>,
     draining_since_ms: Option<u64>,
 }
@@ -75,7 +80,7 @@
         }
     }
 
-    /// Returns the lease, where it is held here.
+    /// Returns the lease if this instance holds it.
     pub(super) fn held(&self) -> Option<&Lease<Held>> {
         match &self.state {
             LeaseState::Held(lease) => Some(lease),
@@ -83,7 +88,7 @@
         }
     }
 
-    /// Leaves the lease to others.
+    /// Releases the lease, and sends a heartbeat to tell the peers.
     fn release(&mut self, reason: &'static str) {
         if self.held().is_some() {
             log::warn!("event=lease_left reason={reason}");
@@ -95,8 +100,8 @@
         self.instance.notes.heartbeat.notify_one();
     }
 
-    /// Leaves the lease when the instance stops: at once if nothing is begun,
-    /// else a little later.
+    /// Releases the lease when the instance is stopping: as soon as no order is
+    /// open, and after [`DRAIN_TIMEOUT_MS`] at the latest.
     pub(super) fn release_when_draining(&mut self, is_busy: bool) {
         if *self.instance.drain.borrow() == Drain::Serving {
             return;
@@ -108,19 +113,18 @@
         }
     }
 
-    /// Returns whether another instance says that it holds the lease.
+    /// Returns whether another instance reports that it holds the lease.
     fn is_held_elsewhere(&self) -> bool {
         let members = self.instance.members.borrow();
         let mut responsive = members.heard(&self.instance.settings.mesh, now_ms());
         responsive.any(|member| member.last.holds_lease)
     }
 
-    /// Returns whether it is this instance's turn to take the lease from
-    /// another.
+    /// Returns whether this instance may try to take the lease now.
     ///
-    /// Instances take turns by the time of their start, the youngest first:
-    /// while instances are restarted one after the other, the one that has
-    /// just started is the last to be restarted again.
+    /// Instances try one after another, the most recently started first: during a
+    /// rolling restart, the instance that has just started is the last to be
+    /// restarted again.
     fn is_own_turn(&self, since_ms: u64) -> bool {
         let members = self.instance.members.borrow();
         let now_ms = now_ms();
@@ -133,16 +137,16 @@
         now_ms >= since_ms + instances_ahead * TAKEOVER_STAGGER_MS
     }
 
-    /// Takes the lease if it is this instance's turn. `since_ms` is when
-    /// engines began to lack weights.
+    /// Takes the lease if it is available and this instance may try. `since_ms` is
+    /// the time since which engines are outdated.
     pub(super) async fn acquire_if_due(&mut self, since_ms: u64) {
         let now = now_ms();
         let may_try = now >= self.next_attempt_ms && self.instance.is_ready();
         if self.held().is_some() || !may_try || self.is_held_elsewhere() {
             return;
         }
-        // Only the first look tells whose the record is; further ones are for
-        // those whose turn it is.
+        // Every instance reads the record once per period to learn its holder;
+        // further reads are left to the instances that may take it.
         let was_read = self.record_read_for_ms == Some(since_ms);
         if was_read && !self.is_own_turn(since_ms) {
             return;
@@ -152,6 +156,7 @@
         self.try_acquire(since_ms).await;
     }
 
+    /// Reads the record and takes the lease if its holder permits it.
     async fn try_acquire(&mut self, since_ms: u64) {
         let within_ms = self.instance.settings.store_ms;
         let call = Call::get(path_of_object(Kind::Leases, RECORD_NAME));
@@ -180,6 +185,7 @@
         self.write_record(write, no_orders_since_ms).await;
     }
 
+    /// Writes the record, and holds the lease if the store accepts it.
     async fn write_record(&mut self, write: Call, no_orders_since_ms: Option<u64>) {
         let sent_ms = now_ms();
         let within_ms = self.instance.settings.store_ms;
@@ -204,7 +210,8 @@
         );
     }
 
-    /// Returns whose a record is.
+    /// Returns the holder of a record, and remembers when its revision was first
+    /// read.
     fn previous_holder(&mut self, stored: &Stored, now_ms: u64) -> PreviousHolder {
         let seen = self.seen.filter(|seen| seen.revision == stored.revision);
         let seen = seen.unwrap_or(ObservedRecord {
@@ -215,8 +222,9 @@
         let record: Option<LeaseRecord> = serde_json::from_value(stored.spec.clone()).ok();
         let own = &self.instance.machine().name;
         let is_own = record.as_ref().is_some_and(|record| record.holder == *own);
-        // Its own, but taken from another by a write whose answer was lost, or
-        // just before a restart: that other's orders may be too fresh still.
+        // A record of this machine that is not settled was taken from another
+        // instance by a write whose answer was lost, or just before a restart;
+        // the exclusion time of that instance may not have passed.
         let is_settled = record.as_ref().is_some_and(|record| record.is_settled);
         if is_own && is_settled {
             return PreviousHolder::SameMachine;
@@ -229,9 +237,11 @@
         no_orders_since_ms.map_or(PreviousHolder::MayBeActive, PreviousHolder::Replaceable)
     }
 
-    /// Returns when the holder of a record gave its last order, if that can be
-    /// told: it has left the lease and says when, or it has started again,
-    /// and what ordered before it did so is gone.
+    /// Returns the report of a record's holder that it does not hold the lease,
+    /// with the time of its last order; `None` if there is no such report.
+    ///
+    /// If the holder has restarted or has sent no order since its start, its start
+    /// counts as that time: the process that sent earlier orders is gone.
     fn holder_report(&self, record: &LeaseRecord) -> Option<HolderReport> {
         let members = self.instance.members.borrow();
         let mut members = members.iter();
@@ -271,7 +281,8 @@
         encode_replace(Kind::Leases, RECORD_NAME, stored.revision, &record)
     }
 
-    /// Renews the lease, so that orders may leave for a moment.
+    /// Renews the lease, so that orders may be sent for a short time. Returns
+    /// whether it was renewed.
     pub(super) async fn renew(&mut self) -> bool {
         let Some(lease) = self.held() else {
             return false;
@@ -307,8 +318,8 @@
         true
     }
 
-    /// Either another has taken the lease, or an earlier renewal took effect
-    /// and its answer was lost.
+    /// Handles a rejected renewal: either another instance has taken the lease, or
+    /// an earlier renewal took effect and its answer was lost.
     fn handle_conflict(&mut self, body: &[u8], fence: u64) {
         let found = decode_record(body);
         let own = found.filter(|(_, record)| {
@@ -320,6 +331,7 @@
         }
     }
 
+    /// Handles a renewal that failed for any other reason.
     fn handle_failure(&mut self) {
         let now_ms = now_ms();
         let since_ms = *self.failing_since_ms.get_or_insert(now_ms);
--- a/crates/gateway/src/weights/mod.rs
+++ b/crates/gateway/src/weights/mod.rs
@@ -1,4 +1,4 @@
-//! Brings new weights to all engines.
+//! Updates all engines to newly published weights.
 
 mod engine_calls;
 mod lease;
--- a/crates/gateway/src/weights/progress.rs
+++ b/crates/gateway/src/weights/progress.rs
@@ -9,24 +9,26 @@
     std::{collections::HashMap, rc::Rc},
 };
 
-/// Time after which an accepted order without a known end is given again.
+/// Time after which an order without a known outcome is sent again, in
+/// milliseconds.
 const ORDER_RETRY_MS: u64 = 4_000;
 
-/// Time from an order to the first question whether it is done: an engine
-/// takes a few hundred milliseconds to load.
+/// Time from an order to the first request for a report, in milliseconds. An
+/// engine takes a few hundred milliseconds to load.
 const FIRST_REPORT_DELAY_MS: u64 = 330;
 
-/// Pause between two such questions; each is paid for.
+/// Minimum interval between report requests to one engine, in milliseconds. Each
+/// call is billed.
 const REPORT_INTERVAL_MS: u64 = 70;
 
-/// Time after which a report tells of an order; reports lie up to two hundred
-/// milliseconds behind.
+/// Age of an order, in milliseconds, from which a report reflects it. Reports lag
+/// by up to 200 ms.
 const REPORT_LAG_MS: u64 = 500;
 
-/// Time for which it is told that an engine's order is done.
+/// Time for which a completed order is reported to peers, in milliseconds.
 const SHARE_DONE_MS: u64 = 1_500;
 
-/// An engine, a model whose newest weights it lacks, and their version.
+/// An engine, a model whose newest weights it lacks, and the newest version.
 #[derive(Debug, Clone)]
 pub(super) struct PendingUpdate {
     pub(super) entry: EngineEntry,
@@ -34,7 +36,7 @@
     pub(super) version: u64,
 }
 
-/// What this instance knows of one engine's order.
+/// State of the order of one engine.
 #[derive(Debug, Clone)]
 struct EngineOrder {
     model: String,
@@ -42,18 +44,19 @@
     phase: OrderPhase,
     since_ms: u64,
     last_call_ms: u64,
-    /// Whether an order or question is on its way.
+    /// Whether an order or report request is in flight.
     has_call_in_flight: bool,
-    /// Most orders that ran at once meanwhile, if the engine had nothing to
-    /// finish: such a load shows how long loads take.
+    /// Maximum number of concurrent orders during this one; `None` if the engine
+    /// had running requests to finish, in which case its load time is not
+    /// measured.
     max_concurrent_loads: Option<usize>,
 }
 
-/// How far the orders of this instance are.
+/// State of all orders that this instance has sent or planned.
 pub(super) struct Progress {
     instance: Rc<Instance>,
     orders: HashMap<Incarnation, EngineOrder>,
-    /// Orders that each engine has accepted, as far as known.
+    /// Number of orders that each engine has accepted, where known.
     accepted_orders: HashMap<Incarnation, u64>,
     concurrency: LoadConcurrency,
 }
@@ -68,8 +71,8 @@
         }
     }
 
-    /// Forgets everything, after the right to order was lost: another may
-    /// have given orders since.
+    /// Clears all orders after the lease was lost, because another instance may
+    /// have sent orders since.
     pub(super) fn clear(&mut self) {
         self.orders.clear();
         self.accepted_orders.clear();
@@ -79,7 +82,7 @@
         self.orders.is_empty() && self.accepted_orders.is_empty()
     }
 
-    /// Returns how many engines may load at once, of so many.
+    /// Returns how many of `engines` engines may load concurrently.
     pub(super) fn load_limit(&self, engines: usize) -> usize {
         let settings = &self.instance.settings;
         let within_ms =
@@ -87,18 +90,18 @@
         self.concurrency.limit(engines, within_ms as u64)
     }
 
-    /// Returns whether orders run.
+    /// Returns whether any order was sent and is not completed.
     pub(super) fn is_busy(&self) -> bool {
         let mut orders = self.orders.values();
         orders.any(|order| order.phase == OrderPhase::Sent)
     }
 
-    /// Returns the orders that an engine has accepted, if known.
+    /// Returns the number of orders that an engine has accepted, if known.
     pub(super) fn accepted_orders(&self, engine: &Incarnation) -> Option<u64> {
         self.accepted_orders.get(engine).copied()
     }
 
-    /// Notes that an order or question is on its way to an engine.
+    /// Records that an order or report request was sent to an engine.
     pub(super) fn mark_call_started(&mut self, engine: &Incarnation) {
         if let Some(order) = self.orders.get_mut(engine) {
             order.has_call_in_flight = true;
@@ -106,14 +109,14 @@
         }
     }
 
-    /// Returns whether an order or question is on its way to an engine.
+    /// Returns whether an order or report request to an engine is in flight.
     pub(super) fn has_call_in_flight(&self, engine: &Incarnation) -> bool {
         self.orders
             .get(engine)
             .is_some_and(|order| order.has_call_in_flight)
     }
 
-    /// Returns what the plan has to know of an engine.
+    /// Returns the state of an engine for planning the next steps.
     pub(super) fn outdated_engine(&self, update: &PendingUpdate, now_ms: u64) -> OutdatedEngine {
         let engines = self.instance.engines.borrow();
         let engine_state = engines.get(&update.entry.incarnation.id);
@@ -134,7 +137,8 @@
         }
     }
 
-    /// Returns the engines that should be asked whether their order is done.
+    /// Returns the engines whose report is due, to check whether their order is
+    /// completed.
     pub(super) fn reports_due(&self) -> Vec<EngineEntry> {
         let now_ms = now_ms();
         let engines = self.instance.engines.borrow();
@@ -150,7 +154,7 @@
             .collect()
     }
 
-    /// Takes over an engine's answer to an order.
+    /// Applies an engine's answer to an order.
     pub(super) fn apply_answer(&mut self, update: &PendingUpdate, answer: OrderAnswer) {
         let engine = &update.entry.incarnation;
         match answer {
@@ -162,8 +166,8 @@
                 self.update_max_loads(engine);
             }
             OrderAnswer::Holds => self.set_phase(update, OrderPhase::Done),
-            // Either an earlier order runs, or the number of accepted orders
-            // is another one; a report tells.
+            // Either an earlier order is running, or the number of accepted
+            // orders differs; the next report shows which.
             OrderAnswer::Conflict => {
                 self.accepted_orders.remove(engine);
                 self.set_phase(update, OrderPhase::Sent);
@@ -179,6 +183,7 @@
         }
     }
 
+    /// Records the number of concurrent orders, for the measurement of load times.
     fn update_max_loads(&mut self, engine: &Incarnation) {
         let loading = self
             .orders
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Takes over an engine's report, or that there is none.
+    /// Applies an engine's report; `None` if the request for it failed.
     pub(super) fn apply_report(&mut self, entry: &EngineEntry, report: Option<&EngineReport>) {
         let engine = &entry.incarnation;
         if let Some(order) = self.orders.get_mut(engine) {
@@ -237,7 +242,8 @@
         }
     }
 
-    /// Notes how far an engine's order is, here and for the peers.
+    /// Sets the phase of an engine's order, applies it to this instance, and sends
+    /// a heartbeat to the peers.
     pub(super) fn set_phase(&mut self, update: &PendingUpdate, phase: OrderPhase) {
         let now_ms = now_ms();
         let previous = self.orders.get(&update.entry.incarnation);
@@ -262,7 +268,8 @@
         self.instance.notes.heartbeat.notify_one();
     }
 
-    /// Returns what the peers shall hear.
+    /// Returns the order notes for the peers, and drops orders that were completed
+    /// a while ago.
     pub(super) fn peer_notes(&mut self) -> Vec<OrderNote> {
         let now_ms = now_ms();
         self.orders.retain(|_, order| {
--- a/crates/gateway/src/weights/updater.rs
+++ b/crates/gateway/src/weights/updater.rs
@@ -19,21 +19,24 @@
     },
 };
 
-/// Pause between two looks while engines lack the newest weights.
+/// Poll interval while this instance holds the lease and engines are outdated or
+/// orders are open.
 const ACTIVE_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Pause between two looks where another instance orders.
+/// Poll interval while engines are outdated and this instance does not hold the
+/// lease.
 const STANDBY_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest pause between two looks while nothing is to be done.
+/// Poll interval while nothing is to be done; a notification ends it early.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What came back from an engine.
+/// Result of a call to an engine.
 enum EngineResponse {
     Answer(PendingUpdate, OrderAnswer),
     Report(EngineEntry, Option<EngineReport>),
 }
 
+/// Updates outdated engines while this instance holds the lease.
 struct WeightsUpdater {
     instance: Rc<Instance>,
     order_lease: OrderLease,
@@ -43,7 +46,8 @@
     outdated_since_ms: Option<u64>,
 }
 
-/// Gives orders to engines whenever some lack the newest weights.
+/// Sends orders to engines whenever some lack the newest weights. Runs until the
+/// task is dropped.
 pub async fn run_weights_updater(instance: Rc<Instance>, store: Rc<CallClient>) {
     let (responses_tx, responses_rx) = unbounded_channel();
     let mut updater = WeightsUpdater {
@@ -64,7 +68,7 @@
 }
 
 impl WeightsUpdater {
-    /// Does what is due, and returns the pause until the next look.
+    /// Performs the steps that are due, and returns the time until the next poll.
     async fn poll(&mut self) -> Duration {
         self.apply_responses();
         let pending = self.pending_updates();
@@ -110,6 +114,7 @@
         }
     }
 
+    /// Returns all engines that lack the newest weights of one of their models.
     fn pending_updates(&self) -> Vec<PendingUpdate> {
         let newest = self.instance.newest.borrow();
         let engines = self.instance.engines.borrow();
@@ -131,6 +136,8 @@
         pending
     }
 
+    /// Requests reports that are due, plans the next steps, and sends the orders
+    /// among them after renewing the lease.
     async fn advance(&mut self, pending: &[PendingUpdate]) {
         for entry in self.progress.reports_due() {
             self.request_report(entry);
@@ -150,7 +157,8 @@
             }
         }
         ready.retain(|(update, _)| !self.progress.has_call_in_flight(&update.entry.incarnation));
-        // An order names how many came before it; that has to be known.
+        // An order contains the number of orders accepted before it, so that
+        // number must be known.
         ready.retain(|(update, _)| {
             let is_known = self
                 .progress
@@ -175,7 +183,7 @@
         let instance = self.instance.clone();
         spawn_local(async move {
             let report = fetch_report(&entry).await;
-            // The receiver lives as long as the program.
+            // Can't fail: the receiver lives as long as the process.
             let _ = responses_tx.send(EngineResponse::Report(entry, report));
             instance.notes.orders.notify_one();
         });
@@ -212,12 +220,13 @@
                 update.model,
                 update.version,
             );
-            // The receiver lives as long as the program.
+            // Can't fail: the receiver lives as long as the process.
             let _ = responses_tx.send(EngineResponse::Answer(update, answer));
             instance.notes.orders.notify_one();
         });
     }
 
+    /// Returns the next steps of all models with pending updates.
     fn plan_steps(&self, pending: &[PendingUpdate]) -> Vec<(Step, PendingUpdate)> {
         let mut steps = Vec::new();
         let mut models: Vec<&String> = pending.iter().map(|update| &update.model).collect();
@@ -257,8 +266,8 @@
         steps
     }
 
-    /// Returns how many requests of a model may be cut off: each is sent once
-    /// more, which takes a repeat of its service's budget.
+    /// Returns how many requests of a model may be cut off. Each is sent again,
+    /// which uses one retry of its service's budget.
     fn max_cut_requests(&self, model: &str) -> u32 {
         let now_ms = now_ms();
         let instances = self.instance.instances();
@@ -273,7 +282,8 @@
         budget.room(&self.instance.machine().retries, instances, now_ms)
     }
 
-    /// Returns how many engines of a model answer, and the requests there.
+    /// Returns the number of responsive engines of a model, and the number of
+    /// requests at them.
     fn responsive_engines(&self, model: &str) -> (usize, u32) {
         let now_ms = now_ms();
         let engines = self.instance.engines.borrow();
