--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -1,4 +1,4 @@
-//! What a caller gets whose request meets a claim, and how long claims stay.
+//! Tests of claims: responses to duplicate requests, retention and names.
 
 use mangowalk_core::{
     claim::{
@@ -34,8 +34,9 @@
     format!("{} {}{retry}", refusal.status(), refusal.outcome())
 }
 
-/// A caller sends again while the first run is in every possible state, and
-/// its router lives or is silent. No state lets it run a second time.
+/// Guards against running a call twice. A caller retries while the first run is
+/// in any possible state, and the instance that claimed it is alive or silent.
+/// No combination runs the call again.
 #[test]
 fn responses_to_duplicate_requests() {
     let ran = ClaimState::Ran(StoredReply {
@@ -61,9 +62,10 @@
     insta::assert_snapshot!(table);
 }
 
-/// Instances live for 15 minutes each, and each has another wall clock. The
-/// epoch goes on all the same, never faster than its least time, and a claim
-/// is not deleted before a day has passed.
+/// Guards against deleting claims too early, and against epochs that never
+/// advance. Instances run for only 15 minutes each and don't share a wall clock.
+/// The epoch advances nevertheless, but never faster than its minimum duration,
+/// and a claim is not deleted within a day.
 #[test]
 fn a_claim_is_kept_for_a_day_across_short_lived_instances() {
     let mut held = (
@@ -101,8 +103,8 @@
     );
 }
 
-/// Team and key are told apart: no other split of the same letters meets the
-/// claim of another team.
+/// Guards against a caller reaching the claim of another team. Different splits
+/// of the same letters into team and key give different names.
 #[test]
 fn claim_names_of_different_teams_and_keys_differ() {
     assert_ne!(
--- a/crates/core/tests/rollout.rs
+++ b/crates/core/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! Rollouts under crashes, refused loads, bad versions and changes of their
-//! holder.
+//! Tests of rollouts with engine crashes, refused loads, bad versions and changes
+//! of the lease holder.
 
 use {
     mangowalk_core::{
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    /// An engine comes back with the weights it was set up with.
+    /// Restarts a dead engine with the version that it was set up with.
     fn start(&mut self, engine: usize) {
         let engine = &mut self.engines[engine];
         if !engine.alive {
@@ -201,7 +201,7 @@
 
     fn engine(&mut self, name: &str) -> &mut Engine {
         let found = self.engines.iter_mut().find(|e| e.name == name);
-        found.expect("an engine of this world")
+        found.expect("an engine of this simulation")
     }
 
     fn serving(&self) -> usize {
@@ -211,7 +211,7 @@
             .count()
     }
 
-    /// Lets the rollout come to its end without further faults.
+    /// Runs the rollout to its end without further faults.
     fn settle(&mut self) -> Result<(), TestCaseError> {
         for i in 0..self.engines.len() {
             self.start(i);
@@ -224,10 +224,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: ProptestConfig::default().cases.max(1_000), ..ProptestConfig::default() })]
 
-    /// Callers always find the engines that the floor promises, unless
-    /// engines crash by themselves; no engine with a version that does not
-    /// answer is put back; and in the end every engine serves again, with the
-    /// new version or, where the rollout stopped, with one that works.
+    /// Guards against losing capacity during a rollout and against engines that
+    /// stay drained. Draining never leaves fewer engines than the minimum; no
+    /// engine is undrained with a version that does not answer; and in the end
+    /// every engine serves again, with the new version or, if the rollout
+    /// stopped, with one that works.
     #[test]
     fn a_rollout_keeps_capacity_and_ends(
         size in 2..13_usize,
@@ -250,30 +251,30 @@
     }
 }
 
-/// A fleet of one engine: taking it out would leave callers nothing.
+/// In a fleet of one engine, draining it would leave no engine for callers.
 #[test]
 fn the_last_engine_is_never_drained() {
     let mut simulation = Simulation::of(1);
     simulation.target = "v2".to_owned();
-    (0..100).for_each(|_| simulation.step().expect("a step"));
+    (0..100).for_each(|_| simulation.step().expect("the step succeeds"));
     assert_eq!(simulation.serving(), 1);
     assert_eq!(simulation.engines[0].version, OLD);
 }
 
-/// Two engines die while they are out, as many as may be out. The others must
-/// not wait for them.
+/// Two engines die while they are drained, which is the maximum that may be
+/// drained. The rollout of the others must not wait for them.
 #[test]
 fn dead_engines_do_not_block_the_rollout() {
     let mut simulation = Simulation::of(12);
     simulation.target = "v2".to_owned();
     while simulation.engines.iter().filter(|e| e.drained).count() < 2 {
-        simulation.step().expect("a step");
+        simulation.step().expect("the step succeeds");
     }
     for engine in simulation.engines.iter_mut().filter(|e| e.drained) {
         engine.alive = false;
         engine.load = None;
     }
-    (0..400).for_each(|_| simulation.step().expect("a step"));
+    (0..400).for_each(|_| simulation.step().expect("the step succeeds"));
     let new = simulation
         .engines
         .iter()
--- a/crates/core/tests/weights.rs
+++ b/crates/core/tests/weights.rs
@@ -1,4 +1,5 @@
-//! Who may order new weights, and in what pace engines get them.
+//! Tests of weights updates: the lease under which orders are sent, the order and
+//! concurrency of loads, and the deadlines of old weights.
 
 use {
     mangowalk_core::weights::{
@@ -17,22 +18,24 @@
 
 const INSTANCES: usize = 3;
 
-/// What happens to one instance, one after the other.
+/// Operation in a simulation of several instances.
 #[derive(Debug, Clone)]
 enum Op {
     /// Time passes.
     Pass { ms: u64 },
-    /// It reads the record and tries to take it over.
+    /// An instance reads the record and tries to take it.
     Take { at: usize, answer_is_lost: bool },
-    /// It renews what it believes to hold.
+    /// An instance renews the lease that it holds by its own state; the renewal
+    /// takes effect after a delay.
     Renew {
         at: usize,
         answer_is_lost: bool,
         delay_ms: u64,
     },
-    /// It gives an order if it believes that it may.
+    /// An instance sends an order if its own state permits it.
     Order { at: usize },
-    /// All stand still, and go on with what they believed before.
+    /// All instances are frozen for four seconds and continue with their old
+    /// state.
     Freeze,
 }
 
@@ -58,7 +61,7 @@
     seen: Option<ObservedRecord>,
 }
 
-/// The record, as the store holds it.
+/// The lease record in the store.
 #[derive(Default)]
 struct Record {
     holder: Option<usize>,
@@ -67,9 +70,10 @@
     is_settled: bool,
 }
 
-/// Instances take the record from each other, lose answers and stand still.
-/// Whatever the order, two of them never give orders within the time in which
-/// only one may, and the numbers of their leases never go down.
+/// Guards against concurrent orders of two instances. Instances take the record
+/// from each other, lose answers and are frozen, in any sequence. Orders of two
+/// instances are always at least the exclusion time apart, and the fencing
+/// numbers never decrease.
 #[test]
 fn two_lease_holders_never_order_within_the_exclusion_time() {
     let settings = LeaseSettings::default();
@@ -113,7 +117,7 @@
                     if !is_own {
                         instance.hold = Hold::Vacant(Lease::new(settings));
                     } else if lease.is_waiting(now_ms) {
-                        // Renewed only when orders may leave.
+                        // A lease is renewed only when orders may be sent.
                     } else if lease.held().revision != record.revision {
                         lease.adopt_revision(record.revision);
                     } else {
@@ -181,8 +185,9 @@
     "#);
 }
 
-/// An engine whose remaining runs can all go on elsewhere gets its order at
-/// once, and they are cut off; one with others finishes them first, for a
+/// Guards against interrupting requests that can't be resumed. An engine with
+/// only resumable requests gets its order at once and they are cut off, within
+/// the limit of interrupted requests; other engines finish theirs first, for a
 /// limited time.
 #[test]
 fn an_order_interrupts_only_resumable_requests() {
@@ -234,8 +239,8 @@
     ");
 }
 
-/// Where only two engines load at full speed, a third one is tried, seen to
-/// be slow and given up; where more do, more are used.
+/// If only two engines can load at full speed, the limit tries a third one,
+/// measures slow loads and returns to two; if more can, the limit rises.
 #[test]
 fn load_concurrency_converges_on_the_full_speed_limit() {
     let mut narrow = LoadConcurrency::default();
@@ -265,9 +270,10 @@
     assert_eq!(history.start_deadline_ms(3, &WEIGHTS), None);
 }
 
-/// All instances lose power right after new weights were named. None knows
-/// when that was, so old ones are used only for a moment; a peer that saw it
-/// knows better than the guess, and the guess teaches nobody.
+/// Guards against using old weights for too long after all instances lost power
+/// right after a publication, so that none knows its age. Old weights may then
+/// be used only for a short time. A peer's observed age replaces the assumed
+/// one, and an assumed age is not passed on to peers.
 #[test]
 fn a_version_of_unknown_age_shortens_the_use_of_old_weights() {
     let mut history = WeightsHistory::default();
@@ -289,9 +295,11 @@
     assert_eq!(history.newest(), 5);
 }
 
-/// An instance takes the lease; another last heard of it before that, and reads
-/// its record. What it heard then must not pass for word that the lease was
-/// left: it would take it at once, and the first would have waited in vain.
+/// Guards against taking the lease from an instance that has just taken it. An
+/// instance reads the new record, but the holder's last heartbeat was sent
+/// before the record was written. That heartbeat must not count as a report that
+/// the lease is not held: the lease would be taken at once, and the wait of its
+/// holder would be lost.
 #[test]
 fn holder_reports_older_than_the_observed_record_are_ignored() {
     let settings = LeaseSettings::default();
@@ -320,16 +328,17 @@
         seen.check_takeover(report(9_900, true), &settings, 10_700),
         Some(9_000)
     );
-    // Nothing is heard of the holder: it may wait, behind a cut, for the one
-    // before it. The record is taken when it must have ordered or renewed.
+    // Without a report, the holder may be behind a partition, waiting for the
+    // exclusion time of the previous holder. The record may be taken after the
+    // time by which the holder must have sent an order or renewed.
     assert_eq!(seen.check_takeover(None, &settings, 13_800), None);
     assert_eq!(seen.check_takeover(None, &settings, 13_900), Some(10_900));
 }
 
-/// A caller of an instance that has just started gets an answer made on weights
-/// that were replaced too long ago. Weights 2 and 3 were named while it was
-/// down; a peer tells of both, the newer one first. Engines with weights 1 are
-/// out of bounds when 2 is too old, not when 3 is.
+/// Guards against answers by weights that were replaced too long ago, from an
+/// instance that has just started. Weights 2 and 3 were published while it was
+/// down, and the store shows only 3; a peer reports both. Engines with weights 1
+/// must be excluded by the deadline counted from 2, not from 3.
 #[test]
 fn a_new_instance_learns_when_the_first_newer_weights_were_published() {
     let mut peer = WeightsHistory::default();
@@ -344,7 +353,7 @@
     assert_eq!(new.start_deadline_ms(1, &WEIGHTS), Some(107_700));
     assert_eq!(new.version_bounds(&WEIGHTS, 106_800).min_allowed, 2);
     assert_eq!(new.newest(), 3);
-    // Once 2 is past its time itself, what came before it need not be told.
+    // Once 2 is past its own deadline, older versions are no longer reported.
     let later: Vec<_> = peer.publications(&WEIGHTS, 108_000).collect();
     assert_eq!(
         later,
@@ -352,10 +361,10 @@
     );
 }
 
-/// Callers of a large fleet get answers on replaced weights, or are refused for
-/// want of engines with allowed ones, while the engines are changed too slowly.
-/// Loads of 1.3 s on ninety engines, eighteen of which load at full speed, have
-/// to be through within 7 s. One more at a time took 17 s.
+/// Guards against updating a large fleet too slowly, in which case callers get
+/// answers by replaced weights, or refusals because no engine has allowed ones.
+/// 90 engines with loads of 1.3 s, 18 of which can load at full speed, have to
+/// be updated within 7 s. Raising the limit only one by one took 17 s.
 #[test]
 fn a_large_fleet_finishes_loading_in_time() {
     let mut concurrency = LoadConcurrency::default();
@@ -376,8 +385,8 @@
     assert!(passed_ms <= 9_000, "{passed_ms} {concurrency:?}");
 }
 
-/// Many load together where only a few do at full speed. The orderer goes back
-/// to about that many, not to the fewest.
+/// Many engines load concurrently although only a few can at full speed. The
+/// limit falls to about that number, not to the minimum.
 #[test]
 fn load_concurrency_falls_back_to_the_full_speed_limit() {
     let mut concurrency = LoadConcurrency::default();
@@ -395,9 +404,9 @@
     assert!((8..=11).contains(&settled), "{concurrency:?}");
 }
 
-/// An instance stands still for four seconds, in which new weights are named,
-/// and reads the store when it goes on. It must not take them for new: callers
-/// would get answers on old weights past their time.
+/// Guards against answers by old weights past their deadline. An instance is
+/// frozen for four seconds, in which new weights are published, and then reads
+/// the store. It must not treat them as just published.
 #[test]
 fn weights_published_during_a_gap_have_unknown_age() {
     assert_eq!(PublishedAt::after_gap(Some(300)), PublishedAt::Ago(300));
