--- a/crates/core/src/weights/plan.rs
+++ b/crates/core/src/weights/plan.rs
@@ -21,7 +21,7 @@
     /// Minimum time, in milliseconds, between steering new requests away from an
     /// engine and its order. A heartbeat is sent at once, so that all instances
     /// know by then.
-    pub min_steer_ms: u64,
+    pub min_pause_ms: u64,
     /// Maximum time, in milliseconds, for which an engine finishes requests that
     /// can't be resumed elsewhere before it gets its order. An order without
     /// cutting off makes it finish all other requests too, which takes up to
@@ -37,7 +37,7 @@
             load_time_fraction: 0.6,
             low_load_requests: 2.5,
             high_load_requests: 5.0,
-            min_steer_ms: 100,
+            min_pause_ms: 100,
             max_finish_ms: 2_500,
         }
     }
@@ -50,7 +50,7 @@
     pub id: String,
     /// Since when new requests are steered to other engines, in milliseconds;
     /// `None` if they are not.
-    pub steered_since_ms: Option<u64>,
+    pub paused_since_ms: Option<u64>,
     /// Whether an order was sent and is not completed yet.
     pub has_pending_order: bool,
     /// Version of the weights that it serves.
@@ -67,7 +67,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Steer new requests of the engine with this ID to other engines.
-    Steer(String),
+    Pause(String),
     /// Send the order to load the newest weights.
     Order {
         /// ID of the engine.
@@ -105,9 +105,9 @@
     let mut ready: Vec<(&OutdatedEngine, u64)> = outdated
         .iter()
         .filter(|engine| !engine.has_pending_order)
-        .filter_map(|engine| Some((engine, engine.steered_since_ms?)))
+        .filter_map(|engine| Some((engine, engine.paused_since_ms?)))
         .filter(|(engine, since_ms)| {
-            let finished = engine.must_finish == 0 && now_ms >= since_ms + settings.min_steer_ms;
+            let finished = engine.must_finish == 0 && now_ms >= since_ms + settings.min_pause_ms;
             finished || now_ms >= since_ms + settings.max_finish_ms
         })
         .collect();
@@ -135,16 +135,16 @@
     let limit = max_unavailable(engine_count, max_loading, requests, settings);
     let unavailable = outdated
         .iter()
-        .filter(|engine| engine.has_pending_order || engine.steered_since_ms.is_some())
+        .filter(|engine| engine.has_pending_order || engine.paused_since_ms.is_some())
         .filter(|engine| engine.is_responsive)
         .count();
     let mut next: Vec<&OutdatedEngine> = outdated
         .iter()
-        .filter(|engine| !engine.has_pending_order && engine.steered_since_ms.is_none())
+        .filter(|engine| !engine.has_pending_order && engine.paused_since_ms.is_none())
         .collect();
     next.sort_by_key(|engine| (!engine.is_responsive, engine.version, engine.requests));
     for engine in next.into_iter().take(limit.saturating_sub(unavailable)) {
-        steps.push(Step::Steer(engine.id.clone()));
+        steps.push(Step::Pause(engine.id.clone()));
     }
     steps
 }
--- a/crates/core/tests/weights.rs
+++ b/crates/core/tests/weights.rs
@@ -155,7 +155,7 @@
 fn outdated_engine(engine: &str, version: u64, requests: u32) -> OutdatedEngine {
     OutdatedEngine {
         id: engine.to_owned(),
-        steered_since_ms: None,
+        paused_since_ms: None,
         has_pending_order: false,
         version,
         requests,
@@ -175,10 +175,10 @@
     let steps = plan(&outdated, 4, 6, 2, 100, &PlanSettings::default(), 0);
     insta::assert_debug_snapshot!(steps, @r#"
     [
-        Steer(
+        Pause(
             "c",
         ),
-        Steer(
+        Pause(
             "b",
         ),
     ]
@@ -194,13 +194,13 @@
     let settings = PlanSettings::default();
     let mut free = outdated_engine("free", 1, 3);
     free.must_finish = 0;
-    free.steered_since_ms = Some(0);
+    free.paused_since_ms = Some(0);
     let mut bound = outdated_engine("bound", 1, 3);
-    bound.steered_since_ms = Some(0);
+    bound.paused_since_ms = Some(0);
     let outdated = [free, bound];
-    let early = plan(&outdated, 4, 6, 2, 100, &settings, settings.min_steer_ms);
+    let early = plan(&outdated, 4, 6, 2, 100, &settings, settings.min_pause_ms);
     let late = plan(&outdated, 4, 6, 2, 100, &settings, settings.max_finish_ms);
-    let none_left = plan(&outdated, 4, 6, 2, 2, &settings, settings.min_steer_ms);
+    let none_left = plan(&outdated, 4, 6, 2, 2, &settings, settings.min_pause_ms);
     insta::assert_debug_snapshot!((early, late, none_left));
 }
 
@@ -210,7 +210,7 @@
     dead.is_responsive = false;
     dead.has_pending_order = true;
     let mut ready = outdated_engine("ready", 1, 0);
-    ready.steered_since_ms = Some(0);
+    ready.paused_since_ms = Some(0);
     let steps = plan(
         &[dead, ready],
         2,
--- a/crates/gateway/src/weights/lease.rs
+++ b/crates/gateway/src/weights/lease.rs
@@ -273,11 +273,11 @@
         }
     }
 
-    fn replacement(&self, stored: &Stored, is_own: bool) -> Call {
+    fn replacement(&self, stored: &Stored, is_settled: bool) -> Call {
         let previous: Option<LeaseRecord> = serde_json::from_value(stored.spec.clone()).ok();
         let (fence, renewals) =
             previous.map_or((1, 1), |record| (record.fence + 1, record.renewals + 1));
-        let record = self.record(fence, renewals, is_own);
+        let record = self.record(fence, renewals, is_settled);
         encode_replace(Kind::Leases, RECORD_NAME, stored.revision, &record)
     }
 
--- a/crates/gateway/src/weights/progress.rs
+++ b/crates/gateway/src/weights/progress.rs
@@ -119,21 +119,21 @@
     /// Returns the state of an engine for planning the next steps.
     pub(super) fn outdated_engine(&self, update: &PendingUpdate, now_ms: u64) -> OutdatedEngine {
         let engines = self.instance.engines.borrow();
-        let engine_state = engines.get(&update.entry.incarnation.id);
+        let known_engine = engines.get(&update.entry.incarnation.id);
         let health = &self.instance.settings.choice.health;
         let order = self.orders.get(&update.entry.incarnation);
         let ordered = order.filter(|order| order.phase == OrderPhase::Sent);
         let planned = order.filter(|order| order.phase == OrderPhase::Planned);
         OutdatedEngine {
             id: update.entry.incarnation.id.clone(),
-            steered_since_ms: planned.map(|order| order.since_ms),
+            paused_since_ms: planned.map(|order| order.since_ms),
             has_pending_order: ordered
                 .is_some_and(|order| now_ms < order.since_ms + ORDER_RETRY_MS),
-            version: engine_state.map_or(0, |engine_state| engine_state.version(&update.model)),
-            requests: engine_state.map_or(0, |engine_state| engine_state.load().requests),
-            must_finish: engine_state.map_or(0, |engine_state| engine_state.load().must_finish),
-            is_responsive: engine_state
-                .is_some_and(|engine_state| engine_state.answers(health, now_ms)),
+            version: known_engine.map_or(0, |known_engine| known_engine.version(&update.model)),
+            requests: known_engine.map_or(0, |known_engine| known_engine.load().requests),
+            must_finish: known_engine.map_or(0, |known_engine| known_engine.load().must_finish),
+            is_responsive: known_engine
+                .is_some_and(|known_engine| known_engine.answers(health, now_ms)),
         }
     }
 
@@ -150,7 +150,7 @@
                     && now_ms >= order.last_call_ms + REPORT_INTERVAL_MS
             })
             .filter_map(|(engine, _)| engines.get(&engine.id))
-            .map(|engine_state| engine_state.entry.clone())
+            .map(|known_engine| known_engine.entry.clone())
             .collect()
     }
 
@@ -193,7 +193,7 @@
         let engines = self.instance.engines.borrow();
         let is_idle = engines
             .get(&engine.id)
-            .is_some_and(|engine_state| engine_state.load().requests == 0);
+            .is_some_and(|known_engine| known_engine.load().requests == 0);
         for (other, order) in &mut self.orders {
             if other == engine {
                 order.max_concurrent_loads = is_idle.then_some(loading);
@@ -262,7 +262,7 @@
             has_call_in_flight: false,
             max_concurrent_loads: None,
         };
-        let note = order_note(&update.entry.incarnation, &order, now_ms);
+        let note = order_report(&update.entry.incarnation, &order, now_ms);
         self.orders.insert(update.entry.incarnation.clone(), order);
         self.instance.apply_order_note(&note, now_ms);
         self.instance.notes.heartbeat.notify_one();
@@ -270,19 +270,19 @@
 
     /// Returns the order notes for the peers, and drops orders that were completed
     /// a while ago.
-    pub(super) fn peer_notes(&mut self) -> Vec<OrderNote> {
+    pub(super) fn order_reports(&mut self) -> Vec<OrderNote> {
         let now_ms = now_ms();
         self.orders.retain(|_, order| {
             order.phase != OrderPhase::Done || now_ms < order.since_ms + SHARE_DONE_MS
         });
         let orders = self.orders.iter();
         orders
-            .map(|(engine, order)| order_note(engine, order, now_ms))
+            .map(|(engine, order)| order_report(engine, order, now_ms))
             .collect()
     }
 }
 
-fn order_note(engine: &Incarnation, order: &EngineOrder, now_ms: u64) -> OrderNote {
+fn order_report(engine: &Incarnation, order: &EngineOrder, now_ms: u64) -> OrderNote {
     OrderNote {
         engine: engine.id.clone(),
         model: order.model.clone(),
--- a/crates/gateway/src/weights/updater.rs
+++ b/crates/gateway/src/weights/updater.rs
@@ -94,7 +94,7 @@
         if !pending.is_empty() {
             self.advance(&pending).await;
         }
-        *self.instance.orders.borrow_mut() = self.progress.peer_notes();
+        *self.instance.orders.borrow_mut() = self.progress.order_reports();
         if pending.is_empty() && !self.progress.is_busy() {
             return IDLE_POLL_INTERVAL;
         }
@@ -152,7 +152,7 @@
         let mut ready = Vec::new();
         for (step, update) in self.plan_steps(pending) {
             match step {
-                Step::Steer(_) => self.progress.set_phase(&update, OrderPhase::Planned),
+                Step::Pause(_) => self.progress.set_phase(&update, OrderPhase::Planned),
                 Step::Order { cut, .. } => ready.push((update, cut)),
             }
         }
@@ -255,7 +255,7 @@
                 settings,
                 now_ms,
             ) {
-                let (Step::Steer(engine) | Step::Order { engine, .. }) = &step;
+                let (Step::Pause(engine) | Step::Order { engine, .. }) = &step;
                 let mut model_updates = model_updates.iter();
                 let update = model_updates.find(|update| update.entry.incarnation.id == *engine);
                 if let Some(update) = update {
