--- a/crates/core/src/rollout/plan.rs
+++ b/crates/core/src/rollout/plan.rs
@@ -86,7 +86,8 @@
     for version in engines.iter().filter_map(|e| e.version) {
         *counts.entry(version).or_default() += usize::from(!version.is_empty());
     }
-    let most = counts.into_iter().max_by_key(|(_, count)| *count);
-    most.map(|(version, _)| version.to_owned())
+    let most_common = counts.into_iter().max_by_key(|(_, count)| *count);
+    most_common
+        .map(|(version, _)| version.to_owned())
         .unwrap_or_default()
 }
--- a/crates/gateway/src/weights/progress.rs
+++ b/crates/gateway/src/weights/progress.rs
@@ -197,8 +197,8 @@
         for (other, order) in &mut self.orders {
             if other == engine {
                 order.max_concurrent_loads = is_idle.then_some(loading);
-            } else if let Some(most) = &mut order.max_concurrent_loads {
-                *most = loading.max(*most);
+            } else if let Some(max_loads) = &mut order.max_concurrent_loads {
+                *max_loads = loading.max(*max_loads);
             }
         }
     }
