--- a/crates/core/src/weights/plan.rs
+++ b/crates/core/src/weights/plan.rs
@@ -1,9 +1,9 @@
 /// Limits for updating a model's engines to new weights.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlanSettings {
-    /// One in this many engines of a model may be unavailable (steered around,
-    /// ordered or loading) at the same time under low load. Those that don't
-    /// load yet finish their running requests.
+    /// One in this many engines of a model may be unavailable (paused, ordered
+    /// or loading) at the same time under low load. Those that don't load yet
+    /// finish their running requests.
     pub max_unavailable_divisor: usize,
     /// One in this many engines may be unavailable at any load. Each needs time
     /// to finish its running requests, and all have to be updated in time.
@@ -18,9 +18,9 @@
     /// the `min_unavailable_divisor` share are unavailable; each further one
     /// would overload the rest.
     pub high_load_requests: f64,
-    /// Minimum time, in milliseconds, between steering new requests away from an
-    /// engine and its order. A heartbeat is sent at once, so that all instances
-    /// know by then.
+    /// Minimum time, in milliseconds, between pausing new requests to an engine
+    /// and its order. A heartbeat is sent at once, so that all instances know by
+    /// then.
     pub min_pause_ms: u64,
     /// Maximum time, in milliseconds, for which an engine finishes requests that
     /// can't be resumed elsewhere before it gets its order. An order without
@@ -48,8 +48,8 @@
 pub struct OutdatedEngine {
     /// ID of the engine.
     pub id: String,
-    /// Since when new requests are steered to other engines, in milliseconds;
-    /// `None` if they are not.
+    /// Since when new requests to the engine are paused, in milliseconds; `None`
+    /// if they are not.
     pub paused_since_ms: Option<u64>,
     /// Whether an order was sent and is not completed yet.
     pub has_pending_order: bool,
@@ -66,7 +66,7 @@
 /// Next step for one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Steer new requests of the engine with this ID to other engines.
+    /// Pause new requests to the engine with this ID.
     Pause(String),
     /// Send the order to load the newest weights.
     Order {
--- a/crates/gateway/src/weights/lease.rs
+++ b/crates/gateway/src/weights/lease.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Releases the lease, and sends a heartbeat to tell the peers.
+    /// Releases the lease, and sends a heartbeat to inform the peers.
     fn release(&mut self, reason: &'static str) {
         if self.held().is_some() {
             log::warn!("event=lease_left reason={reason}");
