--- a/crates/core/src/rollout/settings.rs
+++ b/crates/core/src/rollout/settings.rs
@@ -1,31 +1,32 @@
-/// Times and bounds of a rollout.
+/// Timeouts and limits of a rollout.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutSettings {
-    /// Engines that load at the same time. More would load slower, and each
-    /// is capacity that is missing.
+    /// Maximum number of engines that load at the same time. More would load
+    /// more slowly, and each one takes away capacity.
     pub concurrent_loads: usize,
-    /// Most engines out at once, in percent of all. One may be out in any
-    /// fleet of two or more.
-    pub most_out_percent: usize,
-    /// Time after a drain mark in which every instance takes notice.
-    pub settle_ms: u64,
-    /// Time for which a drained engine may go on serving what it has. It is
-    /// as long as a request may take.
+    /// Maximum share of engines drained at the same time, in percent. In any
+    /// fleet of two or more, one engine may be drained.
+    pub max_drained_percent: usize,
+    /// Time for a drain mark to reach all instances, in milliseconds.
+    pub drain_propagation_ms: u64,
+    /// Time for which a drained engine may finish its requests, in milliseconds.
+    /// Equals the maximum duration of a request.
     pub drain_timeout_ms: u64,
-    /// Time after which an order without visible effect is repeated.
+    /// Time after which an order without visible effect is sent again, in
+    /// milliseconds.
     pub order_retry_ms: u64,
-    /// Orders without effect after which the version is given up.
-    pub most_orders: u32,
-    /// Time for which weights may load.
+    /// Number of orders without effect after which the version fails.
+    pub max_orders: u32,
+    /// Maximum duration of a load, in milliseconds.
     pub load_timeout_ms: u64,
-    /// Failed probes after which the version is given up.
-    pub most_probes: u32,
-    /// Time for which an engine may not answer before it is put back, so
-    /// that a dead one does not hold up the others.
-    pub lost_ms: u64,
-    /// Time that a new holder of the lease waits before it orders engines
-    /// that ignore fencing: an order of the holder before it may still be on
-    /// its way.
+    /// Number of consecutive failed probes after which the version fails.
+    pub max_failed_probes: u32,
+    /// Time without an answer after which an engine is undrained, in
+    /// milliseconds, so that a dead engine does not block the rollout.
+    pub unresponsive_timeout_ms: u64,
+    /// Time that a new lease holder waits before it sends orders to engines
+    /// without fencing, in milliseconds: an order of the previous holder may
+    /// still be in flight.
     pub unfenced_wait_ms: u64,
 }
 
@@ -33,14 +34,14 @@
     fn default() -> RolloutSettings {
         RolloutSettings {
             concurrent_loads: 2,
-            most_out_percent: 25,
-            settle_ms: 2_000,
+            max_drained_percent: 25,
+            drain_propagation_ms: 2_000,
             drain_timeout_ms: 120_000,
             order_retry_ms: 5_000,
-            most_orders: 3,
+            max_orders: 3,
             load_timeout_ms: 60_000,
-            most_probes: 2,
-            lost_ms: 10_000,
+            max_failed_probes: 2,
+            unresponsive_timeout_ms: 10_000,
             unfenced_wait_ms: 2_000,
         }
     }
--- a/crates/core/src/weights/mod.rs
+++ b/crates/core/src/weights/mod.rs
@@ -1,13 +1,15 @@
-//! Bringing new weights to all engines: who orders, and in what pace.
+//! Updates of engines to newly published weights: which instance may send
+//! orders, how many engines load concurrently, and which versions requests may
+//! still use meanwhile.
 
+mod history;
 mod lease;
-mod named;
-mod pace;
+mod load_concurrency;
 mod plan;
 
 pub use {
+    history::{PublishedAt, VersionBounds, WeightsHistory, WeightsSettings},
     lease::{Held, HolderReport, Lease, LeaseSettings, ObservedRecord, Vacant},
-    named::{PublishedAt, VersionBounds, WeightsHistory, WeightsSettings},
-    pace::LoadConcurrency,
+    load_concurrency::LoadConcurrency,
     plan::{OutdatedEngine, PlanSettings, Step, plan},
 };
--- a/crates/core/src/weights/plan.rs
+++ b/crates/core/src/weights/plan.rs
@@ -1,146 +1,169 @@
-/// Pace of a change of weights.
+/// Limits for updating a model's engines to new weights.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlanSettings {
-    /// Part of a model's engines that may be away at once while they have
-    /// little to do, one in so many. Those that don't load yet finish what
-    /// runs there.
-    pub away_one_in: usize,
-    /// Part that is away at once however busy the others are: each takes a
-    /// while to finish what runs there, and all have to be through in time.
-    pub least_one_in: usize,
-    /// Part of the time for which old weights may be used, within which all
-    /// loads have to fit. The rest is for finishing what runs, and for trouble.
-    pub within_part: f64,
-    /// Requests an engine up to which it has little to do.
-    pub calm_requests: f64,
-    /// Requests an engine from which on only those that load are away; each
-    /// further one would overload the rest.
-    pub full_requests: f64,
-    /// Shortest time between keeping new work away and the order. A heartbeat
-    /// leaves at once for it; by then all instances know.
-    pub steer_ms: u64,
-    /// Longest time for which an engine may finish what can't go on elsewhere
-    /// before it gets its order. With the order it would finish everything
-    /// else as well, which takes streams up to four seconds, and refuse what
-    /// it has queued.
-    pub finish_ms: u64,
+    /// One in this many engines of a model may be unavailable (paused, ordered
+    /// or loading) at the same time under low load. Those that don't load yet
+    /// finish their running requests.
+    pub max_unavailable_divisor: usize,
+    /// One in this many engines may be unavailable at any load. Each needs time
+    /// to finish its running requests, and all have to be updated in time.
+    pub min_unavailable_divisor: usize,
+    /// Fraction of the time for which old weights may be used, within which all
+    /// loads have to fit. The rest is for finishing running requests and for
+    /// failures.
+    pub load_time_fraction: f64,
+    /// Mean number of requests per engine up to which the load is low.
+    pub low_load_requests: f64,
+    /// Mean number of requests per engine from which only loading engines and
+    /// the `min_unavailable_divisor` share are unavailable; each further one
+    /// would overload the rest.
+    pub high_load_requests: f64,
+    /// Minimum time, in milliseconds, between pausing new requests to an engine
+    /// and its order. A heartbeat is sent at once, so that all instances know by
+    /// then.
+    pub min_pause_ms: u64,
+    /// Maximum time, in milliseconds, for which an engine finishes requests that
+    /// can't be resumed elsewhere before it gets its order. An order without
+    /// cutting off makes it finish all other requests too, which takes up to
+    /// four seconds for streams, and refuse its queued ones.
+    pub max_finish_ms: u64,
 }
 
 impl Default for PlanSettings {
     fn default() -> PlanSettings {
         PlanSettings {
-            away_one_in: 2,
-            least_one_in: 4,
-            within_part: 0.6,
-            calm_requests: 2.5,
-            full_requests: 5.0,
-            steer_ms: 100,
-            finish_ms: 2_500,
+            max_unavailable_divisor: 2,
+            min_unavailable_divisor: 4,
+            load_time_fraction: 0.6,
+            low_load_requests: 2.5,
+            high_load_requests: 5.0,
+            min_pause_ms: 100,
+            max_finish_ms: 2_500,
         }
     }
 }
 
-/// One engine that lacks the newest weights.
+/// State of an engine that lacks the newest weights of a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutdatedEngine {
-    /// The engine.
-    pub engine: String,
-    /// When work began to be kept away; `None` if it isn't.
-    pub steered_since_ms: Option<u64>,
-    /// Whether its order was sent and isn't done.
-    pub is_ordered: bool,
-    /// Weights that it has.
+    /// ID of the engine.
+    pub id: String,
+    /// Since when new requests to the engine are paused, in milliseconds; `None`
+    /// if they are not.
+    pub paused_since_ms: Option<u64>,
+    /// Whether an order was sent and is not completed yet.
+    pub has_pending_order: bool,
+    /// Version of the weights that it serves.
     pub version: u64,
-    /// Requests that run there, by all that is known.
+    /// Requests at the engine, as estimated by this instance.
     pub requests: u32,
-    /// Those of them that can't go on elsewhere.
+    /// Number of these requests that can't be resumed on another engine.
     pub must_finish: u32,
-    /// Whether the engine answers.
-    pub answers: bool,
+    /// Whether the engine answers calls.
+    pub is_responsive: bool,
 }
 
-/// What to do with an engine now.
+/// Next step for one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Keep new work away.
-    Steer(String),
-    /// Send the order. What runs is cut off if it says so, and goes on at
-    /// other engines; else the engine finishes it first.
+    /// Pause new requests to the engine with this ID.
+    Pause(String),
+    /// Send the order to load the newest weights.
     Order {
-        /// The engine.
+        /// ID of the engine.
         engine: String,
-        /// Whether what runs is cut off.
+        /// Whether running requests are cut off and resumed on other engines;
+        /// otherwise the engine finishes them first.
         cut: bool,
     },
 }
 
-/// Returns the next steps for one model, of which so many engines answer, with
-/// so many requests, and so many may load at once; so many requests may be cut
-/// off.
+/// Returns the next steps to update a model's engines.
 ///
-/// Engines with the oldest weights go first, as requests there are worth the
-/// least; among them those with the least running, which are done soonest.
+/// `engine_count` is the number of the model's responsive engines, `requests`
+/// the number of requests at them, `max_loading` the limit of concurrent loads,
+/// and `max_cut_requests` the number of running requests that may be cut off.
+///
+/// Engines with the oldest weights go first, because answers by them have the
+/// least value; among these, the ones with the fewest requests, because they
+/// finish soonest.
 pub fn plan(
-    turns: &[OutdatedEngine],
-    engines: usize,
+    outdated: &[OutdatedEngine],
+    engine_count: usize,
     requests: u32,
-    at_once: usize,
-    mut cuts: u32,
+    max_loading: usize,
+    mut max_cut_requests: u32,
     settings: &PlanSettings,
     now_ms: u64,
 ) -> Vec<Step> {
     let mut steps = Vec::new();
-    // One that still finishes what runs there doesn't load yet.
-    let mut loading = turns
+    // An ordered engine that still finishes requests is not loading yet.
+    let mut loading = outdated
         .iter()
-        .filter(|turn| turn.is_ordered && turn.answers && turn.requests == 0)
+        .filter(|engine| engine.has_pending_order && engine.is_responsive && engine.requests == 0)
         .count();
-    let mut due: Vec<(&OutdatedEngine, u64)> = turns
+    let mut ready: Vec<(&OutdatedEngine, u64)> = outdated
         .iter()
-        .filter(|turn| !turn.is_ordered)
-        .filter_map(|turn| Some((turn, turn.steered_since_ms?)))
-        .filter(|(turn, since_ms)| {
-            let finished = turn.must_finish == 0 && now_ms >= since_ms + settings.steer_ms;
-            finished || now_ms >= since_ms + settings.finish_ms
+        .filter(|engine| !engine.has_pending_order)
+        .filter_map(|engine| Some((engine, engine.paused_since_ms?)))
+        .filter(|(engine, since_ms)| {
+            let finished = engine.must_finish == 0 && now_ms >= since_ms + settings.min_pause_ms;
+            finished || now_ms >= since_ms + settings.max_finish_ms
         })
         .collect();
-    due.sort_by_key(|(turn, since_ms)| (!turn.answers, turn.version, turn.requests, *since_ms));
-    for (turn, _) in due {
-        // One that doesn't answer takes no place from those that do.
-        if turn.answers && loading >= at_once {
+    ready.sort_by_key(|(engine, since_ms)| {
+        (
+            !engine.is_responsive,
+            engine.version,
+            engine.requests,
+            *since_ms,
+        )
+    });
+    for (engine, _) in ready {
+        // Unresponsive engines don't count against the limit of concurrent loads.
+        if engine.is_responsive && loading >= max_loading {
             break;
         }
-        let cut = turn.must_finish == 0 && turn.requests <= cuts;
-        cuts -= if cut { turn.requests } else { 0 };
+        let cut = engine.must_finish == 0 && engine.requests <= max_cut_requests;
+        max_cut_requests -= if cut { engine.requests } else { 0 };
         steps.push(Step::Order {
-            engine: turn.engine.clone(),
+            engine: engine.id.clone(),
             cut,
         });
-        loading += usize::from(turn.answers);
+        loading += usize::from(engine.is_responsive);
     }
-    let most = away_most(engines, at_once, requests, settings);
-    let away = turns
+    let limit = max_unavailable(engine_count, max_loading, requests, settings);
+    let unavailable = outdated
         .iter()
-        .filter(|turn| turn.is_ordered || turn.steered_since_ms.is_some())
-        .filter(|turn| turn.answers)
+        .filter(|engine| engine.has_pending_order || engine.paused_since_ms.is_some())
+        .filter(|engine| engine.is_responsive)
         .count();
-    let mut next: Vec<&OutdatedEngine> = turns
+    let mut next: Vec<&OutdatedEngine> = outdated
         .iter()
-        .filter(|turn| !turn.is_ordered && turn.steered_since_ms.is_none())
+        .filter(|engine| !engine.has_pending_order && engine.paused_since_ms.is_none())
         .collect();
-    next.sort_by_key(|turn| (!turn.answers, turn.version, turn.requests));
-    for turn in next.into_iter().take(most.saturating_sub(away)) {
-        steps.push(Step::Steer(turn.engine.clone()));
+    next.sort_by_key(|engine| (!engine.is_responsive, engine.version, engine.requests));
+    for engine in next.into_iter().take(limit.saturating_sub(unavailable)) {
+        steps.push(Step::Pause(engine.id.clone()));
     }
     steps
 }
 
-fn away_most(engines: usize, at_once: usize, requests: u32, settings: &PlanSettings) -> usize {
-    let calm = engines / settings.away_one_in.max(1);
-    let mean = f64::from(requests) / engines.max(1) as f64;
-    let range = settings.full_requests - settings.calm_requests;
-    let load = ((mean - settings.calm_requests) / range).clamp(0.0, 1.0);
-    let spare = calm.saturating_sub(at_once) as f64 * (1.0 - load);
-    let least = engines.div_ceil(settings.least_one_in.max(1));
-    (at_once.min(calm) + spare as usize).max(least).max(1)
+/// Returns how many engines may be unavailable at the same time, interpolated
+/// between low and high load.
+fn max_unavailable(
+    engine_count: usize,
+    max_loading: usize,
+    requests: u32,
+    settings: &PlanSettings,
+) -> usize {
+    let low_load_max = engine_count / settings.max_unavailable_divisor.max(1);
+    let mean = f64::from(requests) / engine_count.max(1) as f64;
+    let range = settings.high_load_requests - settings.low_load_requests;
+    let load = ((mean - settings.low_load_requests) / range).clamp(0.0, 1.0);
+    let spare = low_load_max.saturating_sub(max_loading) as f64 * (1.0 - load);
+    let min_unavailable = engine_count.div_ceil(settings.min_unavailable_divisor.max(1));
+    (max_loading.min(low_load_max) + spare as usize)
+        .max(min_unavailable)
+        .max(1)
 }
