--- a/crates/gateway/src/callers/attempt.rs
+++ b/crates/gateway/src/callers/attempt.rs
@@ -7,7 +7,7 @@
     },
     crate::{
         clock::now_ms,
-        upstreams::{Answer, SendError, is_silent, send},
+        upstreams::{Answer, SendError, check_silent, send},
     },
     http::Request,
     http_body_util::Full,
@@ -131,14 +131,14 @@
     let mut sending = pin!(sending);
     let settings = &request.instance.settings;
     let sent_ms = now_ms();
-    let mut pause_ms = settings.silent_ms;
+    let mut pause_ms = settings.probe_after_ms;
     loop {
         tokio::select! {
             result = sending.as_mut() => return result,
             () = sleep(Duration::from_millis(pause_ms)) => {}
         }
         pause_ms = LOOK_MS;
-        let is_silent = is_silent(&request.instance, &request.pool, engine, sent_ms, now_ms());
+        let is_silent = check_silent(&request.instance, &request.pool, engine, sent_ms, now_ms());
         if is_silent && may_leave {
             return Err(SendError::Lost {
                 reason: "the engine is silent".to_owned(),
--- a/crates/gateway/src/callers/directory.rs
+++ b/crates/gateway/src/callers/directory.rs
@@ -66,7 +66,7 @@
     addresses.truncate(MOST_ADDRESSES);
     let keep_s = instance
         .settings
-        .keep_s
+        .address_ttl_s
         .min(instance.machine().directory_keep_s.max(1));
     let mut response = Response::new(AnswerBody::whole(encode_addresses(&addresses, keep_s)));
     response
--- a/crates/gateway/src/callers/end.rs
+++ b/crates/gateway/src/callers/end.rs
@@ -25,7 +25,7 @@
     let took_ms = now_ms().saturating_sub(request.arrived_ms);
     let mut crashes = request.instance.crashes.borrow_mut();
     if !crashes.is_empty() {
-        crashes.completed(request.identity());
+        crashes.record_completed(request.identity());
     }
     drop(crashes);
     request.instance.counters.observe("request", took_ms);
--- a/crates/gateway/src/callers/judge.rs
+++ b/crates/gateway/src/callers/judge.rs
@@ -7,7 +7,7 @@
     },
     crate::{
         clock::now_ms,
-        upstreams::{Answer, SendError, doubt},
+        upstreams::{Answer, SendError, probe_engine},
     },
     http::StatusCode,
     mangowalk_core::pool::EngineEntry,
@@ -157,9 +157,9 @@
     if matches!(reason, "lost" | "broken_off" | "half_event") {
         let identity = request.identity();
         let mut crashes = request.instance.crashes.borrow_mut();
-        crashes.lost(&engine.incarnation, identity, now_ms);
+        crashes.record_lost(&engine.incarnation, identity, now_ms);
     }
     if reason != "foreign_answer" {
-        doubt(&request.instance, &request.pool, engine);
+        probe_engine(&request.instance, &request.pool, engine);
     }
 }
--- a/crates/gateway/src/callers/listener.rs
+++ b/crates/gateway/src/callers/listener.rs
@@ -2,7 +2,7 @@
     super::serve::serve,
     crate::{
         instance::{Drain, Instance},
-        upstreams::Pool,
+        upstreams::ConnectionPool,
     },
     hyper::{server::conn::http1, service::service_fn},
     hyper_util::rt::{TokioIo, TokioTimer},
@@ -21,12 +21,16 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Serves callers until the instance closes.
-pub async fn serve_callers(instance: Rc<Instance>, pool: Rc<Pool>, listener: TcpListener) {
+pub async fn serve_callers(
+    instance: Rc<Instance>,
+    pool: Rc<ConnectionPool>,
+    listener: TcpListener,
+) {
     let mut drain = instance.drain.clone();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = Drain::closing(&mut drain) => return,
+            () = Drain::wait_for_closing(&mut drain) => return,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -40,7 +44,7 @@
     }
 }
 
-async fn connection(instance: Rc<Instance>, pool: Rc<Pool>, stream: TcpStream) {
+async fn connection(instance: Rc<Instance>, pool: Rc<ConnectionPool>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("event=caller_connection_ended error=\"{error}\"");
         return;
@@ -61,7 +65,7 @@
     );
     let ended = tokio::select! {
         ended = served.as_mut() => ended,
-        () = Drain::closing(&mut drain) => {
+        () = Drain::wait_for_closing(&mut drain) => {
             served.as_mut().graceful_shutdown();
             served.await
         }
--- a/crates/gateway/src/callers/passing.rs
+++ b/crates/gateway/src/callers/passing.rs
@@ -9,7 +9,7 @@
         tries::{Tries, run},
         work::OpenRequest,
     },
-    crate::{clock::now_ms, upstreams::is_silent},
+    crate::{clock::now_ms, upstreams::check_silent},
     bytes::Bytes,
     futures_util::stream::unfold,
     http::Response,
@@ -125,12 +125,12 @@
             return false;
         };
         let instance = &self.request.instance;
-        let (now_ms, silent_ms) = (now_ms(), instance.settings.silent_ms);
+        let (now_ms, silent_ms) = (now_ms(), instance.settings.probe_after_ms);
         if now_ms < self.heard_ms + silent_ms {
             return false;
         }
         let unheard_since_ms = (now_ms + 1).saturating_sub(silent_ms);
-        is_silent(
+        check_silent(
             instance,
             &self.request.pool,
             &answered.engine,
@@ -162,7 +162,7 @@
 
     fn end(&mut self) {
         if let Some(answered) = self.answered.take() {
-            answered.answer.connection.put_back(now_ms());
+            answered.answer.connection.return_to_pool(now_ms());
             good(&self.request, &answered.engine.incarnation.id);
             done(&self.request, &answered.engine.incarnation.id, 200);
         }
--- a/crates/gateway/src/callers/plan.rs
+++ b/crates/gateway/src/callers/plan.rs
@@ -66,8 +66,8 @@
     )
     .ok_or(Outcome::NoEngine)?;
     if need.model.is_some() && this.may_be_refused {
-        let admit = &instance.settings.admit;
-        let rate = instance.read_rate.get();
+        let admit = &instance.settings.admission;
+        let rate = instance.prefill_rate.get();
         let is_first = request.is_first();
         let target_ms = request.route.target_ms;
         let own_tokens = need.prompt_tokens.saturating_sub(need.shared_tokens());
@@ -129,7 +129,7 @@
     let Some(standing) = standing else {
         return;
     };
-    let Some(doubt) = standing.departure_suspicion(instance.settings.list_fresh_ms()) else {
+    let Some(doubt) = standing.departure_suspicion(instance.settings.max_list_age_ms()) else {
         return;
     };
     instance.counters.count("uncertain_engine", doubt.label());
@@ -163,10 +163,15 @@
     let instance = &request.instance;
     let choice = instance.settings.choice;
     let turnover = instance.turnover.get();
-    let usual = instance.usual_prompt.get();
+    let usual = instance.mean_prompt_length.get();
     ChoiceSettings {
         sample: usual.sample_size(choice.sample, request.need.prompt_tokens),
-        retention_ms: turnover.retention_ms(memory_tokens, engines, instance.instances(), now_ms),
+        retention_ms: turnover.retention_ms(
+            memory_tokens,
+            engines,
+            instance.instance_count(),
+            now_ms,
+        ),
         ..choice
     }
 }
@@ -195,7 +200,7 @@
     let worth_fetching = version > 0 && shared_tokens >= LEAST_FETCH_TOKENS;
     let holder = holder.filter(|holder| version > 0 && holder.tokens >= LEAST_NEAR_TOKENS);
     let salt = need.model.as_ref().map(|_| salt(request, version));
-    let mut kept = request.instance.kept.borrow_mut();
+    let mut kept = request.instance.cache_store.borrow_mut();
     let store = store.filter(|_| worth_fetching && kept.is_up());
     let shared = need.parts.iter().rev().nth(1);
     let is_saved = salt
--- a/crates/gateway/src/callers/request.rs
+++ b/crates/gateway/src/callers/request.rs
@@ -3,7 +3,7 @@
     crate::{
         clock::now_ms,
         instance::{Drain, Instance, hash},
-        upstreams::Pool,
+        upstreams::ConnectionPool,
     },
     bytes::Bytes,
     http::{Method, Uri, request},
@@ -31,7 +31,7 @@
 /// A request that was read and may be passed on.
 pub(super) struct CallerRequest {
     pub(super) instance: Rc<Instance>,
-    pub(super) pool: Rc<Pool>,
+    pub(super) pool: Rc<ConnectionPool>,
     pub(super) method: Method,
     pub(super) uri: Uri,
     pub(super) headers: http::HeaderMap,
@@ -85,7 +85,7 @@
 
     /// Returns what weights the request should meet.
     pub(super) fn wanted(&self, now_ms: u64) -> VersionBounds {
-        let newest = self.instance.newest.borrow();
+        let newest = self.instance.weights_histories.borrow();
         let named = self.need.model.as_ref().and_then(|model| newest.get(model));
         named.map_or(VersionBounds::default(), |named| {
             named.version_bounds(&self.instance.settings.weights, now_ms)
@@ -95,7 +95,7 @@
     /// Returns how long the request may wait to begin on weights that are
     /// being replaced.
     pub(super) fn may_wait_ms(&self, version: u64, now_ms: u64) -> Option<u64> {
-        let newest = self.instance.newest.borrow();
+        let newest = self.instance.weights_histories.borrow();
         let named = newest.get(self.need.model.as_ref()?)?;
         let bound_ms = named.start_deadline_ms(version, &self.instance.settings.weights)?;
         Some(bound_ms.saturating_sub(now_ms))
@@ -131,12 +131,12 @@
 /// Fails where the request may not be passed on.
 pub(super) async fn read(
     instance: Rc<Instance>,
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     parts: request::Parts,
     body: Incoming,
 ) -> Result<CallerRequest, (Refusal, Option<u64>)> {
     let arrived_ms = now_ms();
-    if !instance.is_informed() {
+    if !instance.is_initialized() {
         return Err((Refusal::Starting, Some(STARTING_RETRY_MS)));
     }
     if *instance.drain.borrow() >= Drain::Closing {
@@ -204,9 +204,9 @@
     let model = head.usage.and_then(|_| head.model.clone());
     let usage = head.usage;
     if let Some(usage) = usage {
-        let mut usual = instance.usual_prompt.get();
+        let mut usual = instance.mean_prompt_length.get();
         usual.record(usage.prompt_tokens);
-        instance.usual_prompt.set(usual);
+        instance.mean_prompt_length.set(usual);
     }
     EngineRequirements {
         service,
--- a/crates/gateway/src/callers/serve.rs
+++ b/crates/gateway/src/callers/serve.rs
@@ -12,7 +12,7 @@
     crate::{
         clock::now_ms,
         instance::{Drain, Instance},
-        upstreams::Pool,
+        upstreams::ConnectionPool,
     },
     http::{HeaderValue, Request, Response, header::CONNECTION},
     hyper::body::Incoming,
@@ -26,7 +26,7 @@
 /// Answers a caller's request.
 pub(super) async fn serve(
     instance: Rc<Instance>,
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let open = OpenRequest::new(&instance);
@@ -72,7 +72,7 @@
     }
     let service = request.need.service.clone();
     instance
-        .budgets
+        .retry_budgets
         .borrow_mut()
         .entry(service)
         .or_default()
--- a/crates/gateway/src/callers/tries.rs
+++ b/crates/gateway/src/callers/tries.rs
@@ -33,14 +33,14 @@
     let mut may_have_run = tries.run > 0;
     // An engine's own failure, delivered if no other engine does better.
     let mut failure = None;
-    let least_left_ms = request.instance.settings.least_left_ms;
+    let min_remaining_ms = request.instance.settings.min_remaining_ms;
     loop {
         let given_up = if may_have_run {
             Refusal::AnswerLost
         } else {
             Refusal::NoEngine
         };
-        if request.left_ms() < least_left_ms {
+        if request.left_ms() < min_remaining_ms {
             return failure.ok_or(if may_have_run {
                 Refusal::TimedOut
             } else {
@@ -72,7 +72,7 @@
                     return Ok(answered);
                 }
                 may_have_run = true;
-                if request.left_ms() < least_left_ms || !can_repeat(request) {
+                if request.left_ms() < min_remaining_ms || !can_repeat(request) {
                     return Ok(answered);
                 }
                 failure = Some(answered);
@@ -113,9 +113,9 @@
 /// Takes one repeat of the service's budget.
 fn take_repeat(request: &CallerRequest) -> bool {
     let instance = &request.instance;
-    let instances = instance.instances();
+    let instances = instance.instance_count();
     let granted = instance
-        .budgets
+        .retry_budgets
         .borrow_mut()
         .entry(request.need.service.clone())
         .or_default()
--- a/crates/gateway/src/callers/whole.rs
+++ b/crates/gateway/src/callers/whole.rs
@@ -37,7 +37,7 @@
                 if !status.is_server_error() {
                     good(&request, &answered.engine.incarnation.id);
                 }
-                answered.answer.connection.put_back(now_ms());
+                answered.answer.connection.return_to_pool(now_ms());
                 done(&request, &answered.engine.incarnation.id, status.as_u16());
                 let mut response = Response::new(AnswerBody::whole(body.to_bytes()));
                 *response.status_mut() = status;
--- a/crates/gateway/src/callers/work.rs
+++ b/crates/gateway/src/callers/work.rs
@@ -50,9 +50,9 @@
     pub(super) fn read(&mut self, now_ms: u64) {
         if self.is_alone {
             let took_ms = now_ms.saturating_sub(self.began_ms);
-            let mut rate = self.instance.read_rate.get();
+            let mut rate = self.instance.prefill_rate.get();
             rate.record(self.load.prefill_tokens, took_ms);
-            self.instance.read_rate.set(rate);
+            self.instance.prefill_rate.set(rate);
         }
         let prompt = Load {
             prefill_tokens: self.load.prefill_tokens,
--- a/crates/gateway/src/vital.rs
+++ b/crates/gateway/src/critical_tasks.rs
@@ -10,11 +10,11 @@
 /// Whoever holds the tasks learns of the first end and ends the process, which
 /// is started again.
 #[derive(Debug, Default)]
-pub struct VitalTasks {
+pub struct CriticalTasks {
     tasks: JoinSet<&'static str>,
 }
 
-impl VitalTasks {
+impl CriticalTasks {
     /// Starts a task that runs as long as the instance.
     pub fn start(&mut self, name: &'static str, task: impl Future<Output = ()> + 'static) {
         self.tasks.spawn_local(async move {
@@ -24,16 +24,16 @@
     }
 
     /// Waits until a task ends, and returns what is known of it.
-    pub async fn first_end(&mut self) -> String {
+    pub async fn wait_for_end(&mut self) -> String {
         match self.tasks.join_next().await {
             Some(Ok(name)) => format!("{name} returned"),
-            Some(Err(error)) => failure(error),
+            Some(Err(error)) => describe_failure(error),
             None => "there are none".to_owned(),
         }
     }
 }
 
-fn failure(error: JoinError) -> String {
+fn describe_failure(error: JoinError) -> String {
     let Ok(panic) = error.try_into_panic() else {
         return "it was cancelled".to_owned();
     };
--- a/crates/gateway/src/instance/counters.rs
+++ b/crates/gateway/src/instance/counters.rs
@@ -1,11 +1,11 @@
 use std::{cell::RefCell, collections::BTreeMap, fmt::Write};
 
 /// Upper bounds of the latency buckets, in milliseconds.
-const BOUNDS_MS: [u64; 10] = [5, 10, 25, 50, 100, 250, 500, 1_000, 2_500, 5_000];
+const BUCKET_BOUNDS_MS: [u64; 10] = [5, 10, 25, 50, 100, 250, 500, 1_000, 2_500, 5_000];
 
 #[derive(Debug, Default, Clone)]
 struct Histogram {
-    buckets: [u64; BOUNDS_MS.len()],
+    buckets: [u64; BUCKET_BOUNDS_MS.len()],
     sum_ms: u64,
     count: u64,
 }
@@ -30,7 +30,7 @@
     pub fn observe(&self, name: &'static str, latency_ms: u64) {
         let mut histograms = self.histograms.borrow_mut();
         let histogram = histograms.entry(name).or_default();
-        for (bucket, bound_ms) in histogram.buckets.iter_mut().zip(BOUNDS_MS) {
+        for (bucket, bound_ms) in histogram.buckets.iter_mut().zip(BUCKET_BOUNDS_MS) {
             *bucket += u64::from(latency_ms <= bound_ms);
         }
         histogram.sum_ms += latency_ms;
@@ -48,7 +48,7 @@
             );
         }
         for (name, histogram) in self.histograms.borrow().iter() {
-            for (bound_ms, count) in BOUNDS_MS.iter().zip(histogram.buckets) {
+            for (bound_ms, count) in BUCKET_BOUNDS_MS.iter().zip(histogram.buckets) {
                 let _ = writeln!(
                     text,
                     "mangowalk_{name}_ms_bucket{{le=\"{bound_ms}\"}} {count}"
--- a/crates/gateway/src/instance/crashes.rs
+++ b/crates/gateway/src/instance/crashes.rs
@@ -8,15 +8,15 @@
 
 /// Time within which an engine that lost a request must be seen to be gone for
 /// the loss to count as a crash.
-const CRASH_MS: u64 = 2_000;
+const CRASH_WINDOW_MS: u64 = 2_000;
 
 /// Losses remembered until it is known whether their engine is gone.
-const MOST_LOST: usize = 256;
+const MAX_LOST_REQUESTS: usize = 256;
 
 /// Crashes told in one heartbeat, so that it fits one datagram.
-const MOST_TOLD: usize = 12;
+const MAX_REPORTS: usize = 12;
 
-struct Lost {
+struct LostRequest {
     engine: Incarnation,
     request: u64,
     lost_ms: u64,
@@ -27,30 +27,30 @@
 /// A request may crash each engine that begins to run it, and its caller sends
 /// it again. A lost answer alone is no crash: the engine has to be gone.
 #[derive(Default)]
-pub struct Crashes {
+pub struct CrashTracker {
     ledger: PoisonLedger,
-    lost: VecDeque<Lost>,
+    lost: VecDeque<LostRequest>,
 }
 
-impl Crashes {
+impl CrashTracker {
     /// Notes that an engine's answer to a request was lost.
-    pub fn lost(&mut self, engine: &Incarnation, request: u64, now_ms: u64) {
-        self.lost.push_back(Lost {
+    pub fn record_lost(&mut self, engine: &Incarnation, request: u64, now_ms: u64) {
+        self.lost.push_back(LostRequest {
             engine: engine.clone(),
             request,
             lost_ms: now_ms,
         });
-        if self.lost.len() > MOST_LOST {
+        if self.lost.len() > MAX_LOST_REQUESTS {
             self.lost.pop_front();
         }
     }
 
     /// Notes that an engine is gone, and charges what it ran with the crash.
-    pub fn crashed(&mut self, engine: &Incarnation, now_ms: u64) {
+    pub fn record_engine_crash(&mut self, engine: &Incarnation, now_ms: u64) {
         let on_engine: Vec<(u64, usize)> = self
             .lost
             .iter()
-            .filter(|lost| lost.engine == *engine && now_ms < lost.lost_ms + CRASH_MS)
+            .filter(|lost| lost.engine == *engine && now_ms < lost.lost_ms + CRASH_WINDOW_MS)
             .map(|lost| (lost.request, self.ledger.crashes(lost.request, now_ms)))
             .collect();
         self.lost.retain(|lost| lost.engine != *engine);
@@ -77,21 +77,21 @@
     }
 
     /// Notes that a request completed.
-    pub fn completed(&mut self, request: u64) {
+    pub fn record_completed(&mut self, request: u64) {
         self.ledger.clear(request);
     }
 
     /// Returns what to tell peers.
-    pub fn sights(&self, now_ms: u64) -> Vec<CrashReport> {
-        let mut sights = self.ledger.reports(now_ms);
-        sights.truncate(MOST_TOLD);
-        sights
+    pub fn reports(&self, now_ms: u64) -> Vec<CrashReport> {
+        let mut reports = self.ledger.reports(now_ms);
+        reports.truncate(MAX_REPORTS);
+        reports
     }
 
     /// Takes what a peer told.
-    pub fn merge(&mut self, sights: &[CrashReport], now_ms: u64) {
-        if !sights.is_empty() {
-            self.ledger.merge(sights, now_ms);
+    pub fn merge(&mut self, reports: &[CrashReport], now_ms: u64) {
+        if !reports.is_empty() {
+            self.ledger.merge(reports, now_ms);
         }
     }
 }
--- a/crates/gateway/src/instance/drain.rs
+++ b/crates/gateway/src/instance/drain.rs
@@ -26,7 +26,7 @@
     /// while a request ends, it kept the next step of the stop waiting on the one
     /// thread that could end the request: the process hung until it was killed,
     /// and its peers went on setting aside its part of each team's rate.
-    pub async fn closing(drain: &mut watch::Receiver<Drain>) {
+    pub async fn wait_for_closing(drain: &mut watch::Receiver<Drain>) {
         if drain
             .wait_for(|drain| *drain >= Drain::Closing)
             .await
--- a/crates/gateway/src/instance/mod.rs
+++ b/crates/gateway/src/instance/mod.rs
@@ -1,20 +1,20 @@
 //! What the parts of an instance share.
 
-mod blackboard;
 mod counters;
 mod crashes;
 mod drain;
-mod following;
 mod heartbeats;
 mod reload;
 mod settings;
+mod shared_state;
+mod store_availability;
 
 pub use {
-    blackboard::{Instance, Notes},
     counters::Counters,
-    crashes::{Crashes, hash},
+    crashes::{CrashTracker, hash},
     drain::Drain,
-    following::Following,
-    reload::{Reload, reloaded},
+    reload::{ReloadOutcome, apply_reloadable},
     settings::GatewaySettings,
+    shared_state::{Instance, WakeUps},
+    store_availability::StoreAvailability,
 };
--- a/crates/gateway/src/instance/reload.rs
+++ b/crates/gateway/src/instance/reload.rs
@@ -2,11 +2,11 @@
 
 /// What became of a settings file that changed while the instance ran.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Reload {
+pub struct ReloadOutcome {
     /// What is in force from now on.
-    pub taken: Vec<&'static str>,
+    pub applied: Vec<&'static str>,
     /// What differs and waits for the next start.
-    pub waiting: Vec<&'static str>,
+    pub needs_restart: Vec<&'static str>,
 }
 
 /// Returns the settings in force after a change, and what became of each field
@@ -15,53 +15,56 @@
 /// Bounds on what requests may do can change at any time. Addresses can't, as
 /// peers and callers know this instance by them; nor can the times of the lease,
 /// which two holders must not count differently.
-pub fn reloaded(old: &MachineSettings, fresh: &MachineSettings) -> (MachineSettings, Reload) {
+pub fn apply_reloadable(
+    old: &MachineSettings,
+    new: &MachineSettings,
+) -> (MachineSettings, ReloadOutcome) {
     let settings = MachineSettings {
-        retries: fresh.retries,
-        grace_ms: fresh.grace_ms,
-        directory_keep_s: fresh.directory_keep_s,
-        settled_ms: fresh.settled_ms,
-        seeds: fresh.seeds.clone(),
+        retries: new.retries,
+        grace_ms: new.grace_ms,
+        directory_keep_s: new.directory_keep_s,
+        settled_ms: new.settled_ms,
+        seeds: new.seeds.clone(),
         ..old.clone()
     };
-    let taken = [
-        ("retries", old.retries != fresh.retries),
-        ("grace_ms", old.grace_ms != fresh.grace_ms),
+    let applied = [
+        ("retries", old.retries != new.retries),
+        ("grace_ms", old.grace_ms != new.grace_ms),
         (
             "directory_keep_s",
-            old.directory_keep_s != fresh.directory_keep_s,
+            old.directory_keep_s != new.directory_keep_s,
         ),
-        ("settled_ms", old.settled_ms != fresh.settled_ms),
-        ("seeds", old.seeds != fresh.seeds),
+        ("settled_ms", old.settled_ms != new.settled_ms),
+        ("seeds", old.seeds != new.seeds),
     ];
-    let waiting = [
-        ("name", old.name != fresh.name),
-        ("domain", old.domain != fresh.domain),
-        ("caller_address", old.caller_address != fresh.caller_address),
-        ("ready_address", old.ready_address != fresh.ready_address),
+    let needs_restart = [
+        ("name", old.name != new.name),
+        ("domain", old.domain != new.domain),
+        ("caller_address", old.caller_address != new.caller_address),
+        ("ready_address", old.ready_address != new.ready_address),
         (
             "directory_address",
-            old.directory_address != fresh.directory_address,
+            old.directory_address != new.directory_address,
         ),
-        ("peer_address", old.peer_address != fresh.peer_address),
+        ("peer_address", old.peer_address != new.peer_address),
         (
             "metrics_address",
-            old.metrics_address != fresh.metrics_address,
+            old.metrics_address != new.metrics_address,
         ),
-        ("store_address", old.store_address != fresh.store_address),
-        ("descriptors", old.descriptors != fresh.descriptors),
+        ("store_address", old.store_address != new.store_address),
+        ("descriptors", old.descriptors != new.descriptors),
         (
             "quota_slack_tokens",
-            old.quota_slack_tokens != fresh.quota_slack_tokens,
+            old.quota_slack_tokens != new.quota_slack_tokens,
         ),
-        ("lease_ms", old.lease_ms != fresh.lease_ms),
-        ("weights_ms", old.weights_ms != fresh.weights_ms),
+        ("lease_ms", old.lease_ms != new.lease_ms),
+        ("weights_ms", old.weights_ms != new.weights_ms),
     ];
-    let reload = Reload {
-        taken: changed(&taken),
-        waiting: changed(&waiting),
+    let outcome = ReloadOutcome {
+        applied: changed(&applied),
+        needs_restart: changed(&needs_restart),
     };
-    (settings, reload)
+    (settings, outcome)
 }
 
 fn changed(fields: &[(&'static str, bool)]) -> Vec<&'static str> {
--- a/crates/gateway/src/instance/blackboard.rs
+++ b/crates/gateway/src/instance/shared_state.rs
@@ -1,5 +1,8 @@
 use {
-    super::{Counters, Crashes, Drain, Following, GatewaySettings, Reload, reloaded},
+    super::{
+        Counters, CrashTracker, Drain, GatewaySettings, ReloadOutcome, StoreAvailability,
+        apply_reloadable,
+    },
     crate::clock::now_ms,
     mangowalk_core::{
         mesh::{MemberTable, OrderReport},
@@ -21,30 +24,30 @@
 
 /// Wake-ups from one part to another.
 #[derive(Debug, Default)]
-pub struct Notes {
+pub struct WakeUps {
     /// A peer has a newer configuration than this instance.
     pub configuration: Notify,
     /// Newer weights were named, or an engine needs them.
     pub orders: Notify,
     /// An engine fell silent.
-    pub silent: Notify,
+    pub silent_engine: Notify,
     /// A heartbeat should leave at once.
     pub heartbeat: Notify,
 }
 
 /// Time for which a placement is told: two heartbeats, as one may be lost.
-const PLACED_MS: u64 = 450;
+const PLACEMENT_REPORT_MS: u64 = 450;
 
 /// Part of a team's allowed slack that all instances together may overdraw for a
 /// moment. The rest is for those that don't hear each other.
-const SLACK_AT_ONCE: f64 = 0.5;
+const SHARED_SLACK_FRACTION: f64 = 0.5;
 
 /// Time within which it isn't told again that an engine keeps a part. The first
 /// parts of prompts are used many times a second.
-const TOLD_AGAIN_MS: u64 = 1_000;
+const PLACEMENT_REPEAT_MS: u64 = 1_000;
 
 /// Placements told in one heartbeat, so that it fits one datagram.
-const MOST_PLACED: usize = 48;
+const MAX_PLACEMENTS: usize = 48;
 
 /// The blackboard of an instance. Parts read and write it; none calls
 /// another.
@@ -56,11 +59,11 @@
     /// Time of day at the start; tells this start from the one before.
     pub incarnation: u64,
     /// Requests that were on engines when these crashed.
-    pub crashes: RefCell<Crashes>,
+    pub crashes: RefCell<CrashTracker>,
     /// What the store of kept parts holds.
-    pub kept: RefCell<KvStoreContents>,
+    pub cache_store: RefCell<KvStoreContents>,
     /// Shared parts that engines have read for this instance, and when.
-    pub placed: RefCell<VecDeque<(u64, u64, u32)>>,
+    pub placements: RefCell<VecDeque<(u64, u64, u32)>>,
     /// When this instance started.
     pub started_ms: u64,
     /// Configuration in force.
@@ -70,27 +73,27 @@
     /// Whether the list of engines was read since the start.
     pub engines_known: Cell<bool>,
     /// How far the store can be read.
-    pub following: Following,
+    pub store_availability: StoreAvailability,
     /// How fast engines read prompts.
-    pub read_rate: Cell<PrefillRate>,
+    pub prefill_rate: Cell<PrefillRate>,
     /// How fast engines' memory fills.
     pub turnover: Cell<Turnover>,
     /// The usual length of prompts.
-    pub usual_prompt: Cell<MeanPromptLength>,
+    pub mean_prompt_length: Cell<MeanPromptLength>,
     /// Newest weights by model.
-    pub newest: RefCell<BTreeMap<String, WeightsHistory>>,
+    pub weights_histories: RefCell<BTreeMap<String, WeightsHistory>>,
     /// Parts of teams' rates.
     pub shares: RefCell<ShareTable>,
     /// Repeats by service.
-    pub budgets: RefCell<HashMap<String, RetryBudget>>,
+    pub retry_budgets: RefCell<HashMap<String, RetryBudget>>,
     /// Peers.
     pub members: RefCell<MemberTable>,
     /// Whether this instance holds the lease under which orders are given.
     pub holds_lease: Cell<bool>,
     /// When this instance gave its last order.
-    pub ordered_ms: Cell<Option<u64>>,
+    pub last_order_ms: Cell<Option<u64>>,
     /// Orders that this instance gives, for its heartbeats.
-    pub orders: RefCell<Vec<OrderReport>>,
+    pub order_reports: RefCell<Vec<OrderReport>>,
     /// Counters for operators.
     pub counters: Counters,
     /// Requests that were read and not answered in full.
@@ -98,7 +101,7 @@
     /// How far the stop is.
     pub drain: watch::Receiver<Drain>,
     /// Wake-ups.
-    pub notes: Notes,
+    pub wake_ups: WakeUps,
 }
 
 impl Instance {
@@ -112,7 +115,7 @@
         let shares = ShareTable::new(
             &machine.name,
             ShareSettings {
-                slack_tokens: machine.quota_slack_tokens * SLACK_AT_ONCE,
+                slack_tokens: machine.quota_slack_tokens * SHARED_SLACK_FRACTION,
                 ..ShareSettings::default()
             },
         );
@@ -122,26 +125,26 @@
             incarnation,
             started_ms: now_ms(),
             crashes: RefCell::default(),
-            kept: RefCell::default(),
-            placed: RefCell::default(),
+            cache_store: RefCell::default(),
+            placements: RefCell::default(),
             routes: RefCell::default(),
             engines: RefCell::default(),
             engines_known: Cell::new(false),
-            following: Following::default(),
-            read_rate: Cell::default(),
+            store_availability: StoreAvailability::default(),
+            prefill_rate: Cell::default(),
             turnover: Cell::default(),
-            usual_prompt: Cell::default(),
-            newest: RefCell::default(),
+            mean_prompt_length: Cell::default(),
+            weights_histories: RefCell::default(),
             shares: RefCell::new(shares),
-            budgets: RefCell::default(),
+            retry_budgets: RefCell::default(),
             members: RefCell::default(),
             holds_lease: Cell::new(false),
-            ordered_ms: Cell::new(None),
-            orders: RefCell::default(),
+            last_order_ms: Cell::new(None),
+            order_reports: RefCell::default(),
             counters: Counters::default(),
             open_requests: Cell::new(0),
             drain,
-            notes: Notes::default(),
+            wake_ups: WakeUps::default(),
         })
     }
 
@@ -151,15 +154,15 @@
     }
 
     /// Takes over what may change while the instance runs.
-    pub fn reload(&self, fresh: &MachineSettings) -> Reload {
-        let (settings, reload) = reloaded(&self.machine(), fresh);
+    pub fn reload(&self, new: &MachineSettings) -> ReloadOutcome {
+        let (settings, outcome) = apply_reloadable(&self.machine(), new);
         *self.machine.borrow_mut() = Rc::new(settings);
-        self.try_seeds();
-        reload
+        self.add_seed_candidates();
+        outcome
     }
 
     /// Greets the machines at which the platform expects peers.
-    pub fn try_seeds(&self) {
+    pub fn add_seed_candidates(&self) {
         let machine = self.machine();
         let mut members = self.members.borrow_mut();
         for &seed in &machine.seeds {
@@ -171,11 +174,11 @@
 
     /// Returns whether callers may be sent here.
     pub fn is_ready(&self) -> bool {
-        self.is_informed() && *self.drain.borrow() == Drain::Serving
+        self.is_initialized() && *self.drain.borrow() == Drain::Serving
     }
 
     /// Returns whether configuration and engines are known.
-    pub fn is_informed(&self) -> bool {
+    pub fn is_initialized(&self) -> bool {
         self.routes.borrow().version() > 0 && self.engines_known.get()
     }
 
@@ -183,7 +186,12 @@
     ///
     /// A lagging read or a slow peer may bring an older one; going back would
     /// let a withdrawn key in again.
-    pub fn apply(&self, configuration: Configuration, source: &'static str, now_ms: u64) {
+    pub fn apply_configuration(
+        &self,
+        configuration: Configuration,
+        source: &'static str,
+        now_ms: u64,
+    ) {
         let before = self.routes.borrow().version();
         if configuration.version <= before {
             return;
@@ -198,33 +206,33 @@
             .borrow_mut()
             .configure(&configuration.tenants, now_ms);
         *self.routes.borrow_mut() = Rc::new(RouteTable::new(configuration));
-        self.notes.heartbeat.notify_one();
+        self.wake_ups.heartbeat.notify_one();
     }
 
     /// Notes weights that were named. Returns whether they are newer.
-    pub fn name_weights(
+    pub fn record_published_weights(
         &self,
         model: &str,
         version: u64,
         at: PublishedAt,
         source: &'static str,
     ) -> bool {
-        let mut newest = self.newest.borrow_mut();
-        let named = newest.entry(model.to_owned()).or_default();
-        let before = named.newest();
-        if !named.insert(version, at, &self.settings.weights, now_ms()) {
+        let mut histories = self.weights_histories.borrow_mut();
+        let history = histories.entry(model.to_owned()).or_default();
+        let before = history.newest();
+        if !history.insert(version, at, &self.settings.weights, now_ms()) {
             return false;
         }
         log::info!(
             "event=weights_named model={model} version={version} before={before} source={source}"
         );
-        self.notes.orders.notify_one();
-        self.notes.heartbeat.notify_one();
+        self.wake_ups.orders.notify_one();
+        self.wake_ups.heartbeat.notify_one();
         true
     }
 
     /// Notes which peers may be spending of teams' rates.
-    pub fn look_at_peers(&self, now_ms: u64) {
+    pub fn update_share_peers(&self, now_ms: u64) {
         let members = self.members.borrow();
         let mesh = &self.settings.mesh;
         let mut shares = self.shares.borrow_mut();
@@ -233,7 +241,7 @@
     }
 
     /// Returns the instances that may be serving, this one included.
-    pub fn instances(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         self.members.borrow().iter().count() + 1
     }
 
@@ -256,8 +264,8 @@
     pub fn is_behind(&self, now_ms: u64) -> bool {
         let own = self.routes.borrow().version();
         let members = self.members.borrow();
-        let mut heard = members.live(&self.settings.mesh, now_ms);
-        heard.any(|member| member.last_heartbeat.configuration_version > own)
+        let mut live = members.live(&self.settings.mesh, now_ms);
+        live.any(|member| member.last_heartbeat.configuration_version > own)
     }
 
     /// Returns where callers may connect: this instance if it is ready, and
@@ -279,27 +287,27 @@
     /// Notes that an engine has read a shared part, here and for the peers.
     pub fn record_part(&self, part: u64, engine: &str, now_ms: u64) {
         let mut engines = self.engines.borrow_mut();
-        let Some(belief) = engines.get_mut(engine) else {
+        let Some(known_engine) = engines.get_mut(engine) else {
             return;
         };
-        let is_known = belief.has_cached(part, TOLD_AGAIN_MS, now_ms);
-        belief.record_part(part, now_ms);
-        if is_known {
+        let was_reported = known_engine.has_cached(part, PLACEMENT_REPEAT_MS, now_ms);
+        known_engine.record_part(part, now_ms);
+        if was_reported {
             return;
         }
-        let mut placed = self.placed.borrow_mut();
-        placed.push_back((now_ms, part, short_hash(engine)));
-        while placed.len() > MOST_PLACED {
-            placed.pop_front();
+        let mut placements = self.placements.borrow_mut();
+        placements.push_back((now_ms, part, short_hash(engine)));
+        while placements.len() > MAX_PLACEMENTS {
+            placements.pop_front();
         }
     }
 
     /// Returns the shared parts that peers should hear of.
-    pub fn placed_lately(&self, now_ms: u64) -> Vec<(u64, u32)> {
-        let placed = self.placed.borrow();
-        let lately = placed
+    pub fn recent_placements(&self, now_ms: u64) -> Vec<(u64, u32)> {
+        let placements = self.placements.borrow();
+        let recent = placements
             .iter()
-            .filter(|(placed_ms, _, _)| now_ms < placed_ms + PLACED_MS);
-        lately.map(|(_, part, engine)| (*part, *engine)).collect()
+            .filter(|(recorded_ms, _, _)| now_ms < recorded_ms + PLACEMENT_REPORT_MS);
+        recent.map(|(_, part, engine)| (*part, *engine)).collect()
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,11 +13,11 @@
 pub mod weights;
 
 mod clock;
+mod critical_tasks;
 mod run;
-mod vital;
 
 pub use {
     clock::{now_ms, wall_ms},
+    critical_tasks::CriticalTasks,
     run::{RunError, read_settings, run},
-    vital::VitalTasks,
 };
--- a/crates/gateway/src/logs/sink.rs
+++ b/crates/gateway/src/logs/sink.rs
@@ -24,7 +24,7 @@
     /// on failures go on.
     pub lines_per_s: u64,
     /// Pause in which lines gather, so that one write takes many.
-    pub gather_ms: u64,
+    pub batch_ms: u64,
 }
 
 impl Default for LogSettings {
@@ -32,7 +32,7 @@
         LogSettings {
             queue_lines: 2_048,
             lines_per_s: 150,
-            gather_ms: 100,
+            batch_ms: 100,
         }
     }
 }
@@ -45,10 +45,10 @@
 struct Sink {
     settings: LogSettings,
     instance: String,
-    odd: Sender<String>,
+    priority: Sender<String>,
     ordinary: Sender<String>,
-    second: AtomicU64,
-    in_second: AtomicU64,
+    current_second: AtomicU64,
+    lines_in_second: AtomicU64,
     dropped: AtomicU64,
 }
 
@@ -58,60 +58,60 @@
 ///
 /// Fails where a log is installed already, or there is no thread for it.
 pub fn install(settings: LogSettings, instance: &str) -> io::Result<()> {
-    let (odd, odd_lines) = flume::bounded(settings.queue_lines);
+    let (priority, priority_lines) = flume::bounded(settings.queue_lines);
     let (ordinary, ordinary_lines) = flume::bounded(settings.queue_lines);
     let sink = Sink {
         settings,
         instance: instance.to_owned(),
-        odd,
+        priority,
         ordinary,
-        second: AtomicU64::new(0),
-        in_second: AtomicU64::new(0),
+        current_second: AtomicU64::new(0),
+        lines_in_second: AtomicU64::new(0),
         dropped: AtomicU64::new(0),
     };
     log::set_boxed_logger(Box::new(sink)).map_err(io::Error::other)?;
     log::set_max_level(LevelFilter::Info);
-    let gather = Duration::from_millis(settings.gather_ms);
+    let batch_interval = Duration::from_millis(settings.batch_ms);
     thread::Builder::new()
         .name("log".to_owned())
         .stack_size(64 * 1024)
-        .spawn(move || write_lines(&odd_lines, &ordinary_lines, gather))?;
+        .spawn(move || write_lines(&priority_lines, &ordinary_lines, batch_interval))?;
     Ok(())
 }
 
-fn write_lines(odd: &Receiver<String>, ordinary: &Receiver<String>, gather: Duration) {
+fn write_lines(priority: &Receiver<String>, ordinary: &Receiver<String>, batch_interval: Duration) {
     let mut text = String::new();
     loop {
         // Waits for the first line of either kind, then takes all there are.
         let first = flume::Selector::new()
-            .recv(odd, |line| line)
+            .recv(priority, |line| line)
             .recv(ordinary, |line| line)
             .wait();
         let Ok(first) = first else {
             return;
         };
         text.push_str(&first);
-        for line in odd.try_iter().chain(ordinary.try_iter()) {
+        for line in priority.try_iter().chain(ordinary.try_iter()) {
             text.push_str(&line);
         }
         // A closed standard output must not end the instance.
         let _ = io::stdout().write_all(text.as_bytes());
         text.clear();
-        thread::sleep(gather);
+        thread::sleep(batch_interval);
     }
 }
 
 impl Sink {
     /// Returns whether an ordinary line fits into this second.
-    fn fits(&self, wall_ms: u64) -> bool {
+    fn is_within_rate(&self, wall_ms: u64) -> bool {
         let second = wall_ms / 1_000;
-        if self.second.swap(second, Ordering::Relaxed) != second {
-            self.in_second.store(0, Ordering::Relaxed);
+        if self.current_second.swap(second, Ordering::Relaxed) != second {
+            self.lines_in_second.store(0, Ordering::Relaxed);
         }
-        self.in_second.fetch_add(1, Ordering::Relaxed) < self.settings.lines_per_s
+        self.lines_in_second.fetch_add(1, Ordering::Relaxed) < self.settings.lines_per_s
     }
 
-    fn drop_line(&self) {
+    fn count_dropped_line(&self) {
         self.dropped.fetch_add(1, Ordering::Relaxed);
     }
 }
@@ -126,9 +126,9 @@
             return;
         }
         let wall_ms = wall_ms();
-        let odd = record.level() <= Level::Warn || record.target() == LIFECYCLE;
-        if !odd && !self.fits(wall_ms) {
-            return self.drop_line();
+        let is_priority = record.level() <= Level::Warn || record.target() == LIFECYCLE;
+        if !is_priority && !self.is_within_rate(wall_ms) {
+            return self.count_dropped_line();
         }
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         let mut line = format!(
@@ -141,10 +141,14 @@
             line.push_str(&format!(" dropped_lines={dropped}"));
         }
         line.push('\n');
-        let queue = if odd { &self.odd } else { &self.ordinary };
+        let queue = if is_priority {
+            &self.priority
+        } else {
+            &self.ordinary
+        };
         if let Err(TrySendError::Full(_)) = queue.try_send(line) {
             self.dropped.fetch_add(dropped, Ordering::Relaxed);
-            self.drop_line();
+            self.count_dropped_line();
         }
     }
 
--- a/crates/gateway/src/mesh/exchange.rs
+++ b/crates/gateway/src/mesh/exchange.rs
@@ -47,7 +47,7 @@
                 if message.delivery == Delivery::ToRelay {
                     relay(instance, socket, &message.heartbeat);
                 }
-                instance.hear(message.heartbeat, now_ms());
+                instance.receive_heartbeat(message.heartbeat, now_ms());
             }
             Err(error) => log::warn!("event=heartbeat_refused error=\"{error}\""),
         }
@@ -83,13 +83,13 @@
 }
 
 async fn send(instance: &Instance, socket: &UdpSocket, sequence: &Cell<u64>) {
-    instance.try_seeds();
+    instance.add_seed_candidates();
     let period = Duration::from_millis(instance.settings.mesh.heartbeat_interval_ms);
     loop {
         send_heartbeat(instance, socket, sequence);
         tokio::select! {
             () = sleep(period) => {}
-            () = instance.notes.heartbeat.notified() => {}
+            () = instance.wake_ups.heartbeat.notified() => {}
         }
     }
 }
@@ -102,7 +102,7 @@
         log::info!("event=peer_gone peer={peer}");
         instance.engines.borrow_mut().remove_peer(peer);
     }
-    instance.look_at_peers(now_ms);
+    instance.update_share_peers(now_ms);
     sequence.set(sequence.get() + 1);
     let turn = sequence.get();
     let domain = instance.machine().domain.clone();
@@ -144,17 +144,17 @@
         domain: machine.domain.clone(),
         ready: instance.is_ready(),
         stopped: *instance.drain.borrow() == Drain::Stopped,
-        has_store: instance.following.is_whole(),
+        has_store: instance.store_availability.follows_all_kinds(),
         configuration_version: instance.routes.borrow().version(),
         versions: versions(instance, now_ms),
         holds_lease: instance.holds_lease.get(),
         ordered_ago_ms: instance
-            .ordered_ms
+            .last_order_ms
             .get()
             .map(|ordered_ms| now_ms.saturating_sub(ordered_ms) as u32),
         loads: instance.engines.borrow().own_loads(),
-        placements: instance.placed_lately(now_ms),
-        crashes: instance.crashes.borrow().sights(now_ms),
+        placements: instance.recent_placements(now_ms),
+        crashes: instance.crashes.borrow().reports(now_ms),
         silent_engines: instance.engines.borrow().silent_engines(),
         engines_revision: instance.engines.borrow().known_revision(),
         departures: instance
@@ -165,7 +165,7 @@
         instances: instances as u32,
         counted_for_ms: counted_for_ms as u32,
         teams: teams(instance, now_ms),
-        orders: instance.orders.borrow().clone(),
+        orders: instance.order_reports.borrow().clone(),
         peers: peers
             .into_iter()
             .cycle()
@@ -176,7 +176,7 @@
 }
 
 fn versions(instance: &Instance, now_ms: u64) -> Vec<(String, u64, Option<u32>)> {
-    let newest = instance.newest.borrow();
+    let newest = instance.weights_histories.borrow();
     let mut versions = Vec::new();
     for (model, named) in newest.iter() {
         for (version, at) in named.publications(&instance.settings.weights, now_ms) {
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -2,12 +2,12 @@
     crate::{
         callers::{serve_callers, serve_directory, serve_metrics, serve_ready},
         clock::{now_ms, wall_ms},
+        critical_tasks::CriticalTasks,
         instance::{Drain, GatewaySettings, Instance},
         logs::{self, LIFECYCLE, LogSettings},
         mesh,
         store::{CallClient, register, watch_configuration, watch_engines, watch_weights},
-        upstreams::{Pool, probe_silent, watch_kept},
-        vital::VitalTasks,
+        upstreams::{ConnectionPool, probe_silent_engines, watch_cache_store},
         weights::run_weights_updater,
     },
     derive_more::{Display, Error},
@@ -25,31 +25,31 @@
 };
 
 /// Pause between two looks while open requests end.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time for the last heartbeat and log lines to leave. Lines gather for up to a
 /// tenth of a second before they are written.
-const FAREWELL: Duration = Duration::from_millis(200);
+const FINAL_FLUSH_TIME: Duration = Duration::from_millis(200);
 
 /// Time between two looks at the settings file. A change without a signal is
 /// no hurry: what has to hold within seconds comes from the store.
-const SETTINGS_LOOK: Duration = Duration::from_secs(3);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Pause between two sweeps of idle connections.
-const SWEEP: Duration = Duration::from_millis(1_000);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Time for which a request may lie in an engine's queue before it begins.
 /// Weights must not be out of bounds when it does.
-const QUEUED_MS: u64 = 1_200;
+const MAX_ENGINE_QUEUE_MS: u64 = 1_200;
 
 /// Time that an engine may take to notice that a request is withdrawn.
-const WITHDRAW_MS: u64 = 300;
+const MAX_CANCEL_MS: u64 = 300;
 
 /// Time that a busy instance may take to handle the signal to stop.
-const SIGNAL_MS: u64 = 200;
+const MAX_SIGNAL_DELAY_MS: u64 = 200;
 
 /// Connections to the store, at its farthest a few milliseconds away.
-const STORE_CONNECT_MS: u64 = 400;
+const STORE_CONNECT_TIMEOUT_MS: u64 = 400;
 
 /// Why an instance did not start. Each message names the remedy.
 #[derive(Debug, Display, Error)]
@@ -144,8 +144,8 @@
     };
     let defaults = GatewaySettings::default();
     let weights = WeightsSettings {
-        dispatch_until_ms: machine.weights_ms.saturating_sub(QUEUED_MS),
-        start_until_ms: machine.weights_ms.saturating_sub(WITHDRAW_MS),
+        dispatch_until_ms: machine.weights_ms.saturating_sub(MAX_ENGINE_QUEUE_MS),
+        start_until_ms: machine.weights_ms.saturating_sub(MAX_CANCEL_MS),
         ..defaults.weights
     };
     let settings = GatewaySettings {
@@ -164,10 +164,10 @@
             address: peer_address,
             source,
         })?;
-    let (drain_teller, drain) = Drain::channel();
+    let (drain_sender, drain) = Drain::channel();
     let instance = Instance::new(machine, settings, wall_ms(), drain);
-    let store_client = CallClient::new(instance.machine().store_address, STORE_CONNECT_MS);
-    let (pool, store) = (Rc::new(Pool::default()), Rc::new(store_client));
+    let store_client = CallClient::new(instance.machine().store_address, STORE_CONNECT_TIMEOUT_MS);
+    let (pool, store) = (Rc::new(ConnectionPool::default()), Rc::new(store_client));
     log::info!(
         target: LIFECYCLE,
         "event=started domain={} callers={} incarnation={}",
@@ -175,7 +175,7 @@
         instance.machine().caller_address,
         instance.incarnation,
     );
-    let mut tasks = VitalTasks::default();
+    let mut tasks = CriticalTasks::default();
     tasks.start("heartbeats", mesh::exchange(instance.clone(), peers));
     tasks.start(
         "configuration",
@@ -194,57 +194,57 @@
         "callers",
         serve_callers(instance.clone(), pool.clone(), callers),
     );
-    tasks.start("kept_parts", watch_kept(instance.clone()));
+    tasks.start("kept_parts", watch_cache_store(instance.clone()));
     tasks.start("sweep", sweep(instance.clone(), pool.clone()));
-    tasks.start("probes", probe_silent(instance.clone(), pool));
+    tasks.start("probes", probe_silent_engines(instance.clone(), pool));
     tasks.start(
         "settings",
-        reload(
+        reload_settings(
             instance.clone(),
-            catch(SignalKind::hangup())?,
+            listen_for(SignalKind::hangup())?,
             path.to_owned(),
         ),
     );
     spawn_local(register(instance.clone(), store));
-    let mut terminate = catch(SignalKind::terminate())?;
-    let mut interrupt = catch(SignalKind::interrupt())?;
+    let mut terminate = listen_for(SignalKind::terminate())?;
+    let mut interrupt = listen_for(SignalKind::interrupt())?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        reason = tasks.first_end() => {
+        reason = tasks.wait_for_end() => {
             log::error!("event=task_ended reason=\"{reason}\"");
-            sleep(FAREWELL).await;
+            sleep(FINAL_FLUSH_TIME).await;
             return Err(RunError::TaskEnded { reason });
         }
     }
-    stop(&instance, &drain_teller).await;
+    shut_down(&instance, &drain_sender).await;
     Ok(())
 }
 
-fn catch(kind: SignalKind) -> Result<Signal, RunError> {
+fn listen_for(kind: SignalKind) -> Result<Signal, RunError> {
     signal(kind).map_err(|source| RunError::System {
         what: "signals",
         source,
     })
 }
 
-async fn sweep(instance: Rc<Instance>, pool: Rc<Pool>) {
+async fn sweep(instance: Rc<Instance>, pool: Rc<ConnectionPool>) {
     loop {
-        sleep(SWEEP).await;
-        unlist_missing(&instance);
+        sleep(SWEEP_INTERVAL).await;
+        remove_expired_entries(&instance);
         let engines = instance.engines.borrow();
         pool.sweep(
-            |one| {
+            |incarnation| {
                 engines
-                    .get(&one.id)
-                    .is_some_and(|belief| belief.entry.incarnation == *one)
+                    .get(&incarnation.id)
+                    .is_some_and(|known_engine| known_engine.entry.incarnation == *incarnation)
             },
             now_ms(),
         );
     }
 }
 
-fn unlist_missing(instance: &Instance) {
+fn remove_expired_entries(instance: &Instance) {
     let now_ms = now_ms();
     let mut engines = instance.engines.borrow_mut();
     let revision = engines.list_revision();
@@ -257,30 +257,30 @@
 /// Reads the settings again at each SIGHUP, and from time to time without one,
 /// as the file may change without a signal. A file that can't be used changes
 /// nothing.
-async fn reload(instance: Rc<Instance>, mut hangup: Signal, path: std::path::PathBuf) {
+async fn reload_settings(instance: Rc<Instance>, mut hangup: Signal, path: std::path::PathBuf) {
     let mut last = read_settings(&path);
     loop {
-        let is_told = tokio::select! {
-            told = hangup.recv() => told.is_some(),
-            () = sleep(SETTINGS_LOOK) => false,
+        let is_signaled = tokio::select! {
+            signal = hangup.recv() => signal.is_some(),
+            () = sleep(SETTINGS_POLL_INTERVAL) => false,
         };
         let read = read_settings(&path);
-        let is_new = match (&read, &last) {
+        let is_changed = match (&read, &last) {
             (Ok(read), Ok(last)) => read != last,
             (Err(read), Err(last)) => read.to_string() != last.to_string(),
             _ => true,
         };
-        if !is_told && !is_new {
+        if !is_signaled && !is_changed {
             continue;
         }
         match &read {
             Ok(machine) => {
-                let reload = instance.reload(machine);
+                let outcome = instance.reload(machine);
                 log::info!(
                     target: LIFECYCLE,
                     "event=reloaded taken={} waiting_for_start={}",
-                    reload.taken.join(","),
-                    reload.waiting.join(","),
+                    outcome.applied.join(","),
+                    outcome.needs_restart.join(","),
                 );
             }
             Err(error) => log::warn!("event=reload_refused error=\"{error}\""),
@@ -291,25 +291,26 @@
 
 /// Stops: out of the addresses at once, still serving those who keep old
 /// ones, then ending what is open, all within the time before the kill.
-async fn stop(instance: &Instance, drain: &watch::Sender<Drain>) {
+async fn shut_down(instance: &Instance, drain: &watch::Sender<Drain>) {
     let began_ms = now_ms();
     let last_ms = began_ms + instance.machine().grace_ms - instance.settings.exit_margin_ms;
     // Callers keep addresses up to three times as long as they were told. Those who
     // come later are sent elsewhere at once: a long stream would be cut off.
-    let kept_ms = 3 * 1_000 * instance.settings.keep_s;
-    let close_ms = (began_ms + kept_ms - SIGNAL_MS).min(last_ms.saturating_sub(500));
+    let max_address_age_ms = 3 * 1_000 * instance.settings.address_ttl_s;
+    let close_ms =
+        (began_ms + max_address_age_ms - MAX_SIGNAL_DELAY_MS).min(last_ms.saturating_sub(500));
     log::info!(target: LIFECYCLE, "event=stopping open={}", instance.open_requests.get());
     drain.send_replace(Drain::Departing);
-    instance.notes.heartbeat.notify_one();
+    instance.wake_ups.heartbeat.notify_one();
     while now_ms() < close_ms {
-        sleep(DRAIN_LOOK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     drain.send_replace(Drain::Closing);
     while now_ms() < last_ms && instance.open_requests.get() > 0 {
-        sleep(DRAIN_LOOK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     drain.send_replace(Drain::Stopped);
-    instance.notes.heartbeat.notify_one();
+    instance.wake_ups.heartbeat.notify_one();
     log::info!(target: LIFECYCLE, "event=stopped open={}", instance.open_requests.get());
-    sleep(FAREWELL).await;
+    sleep(FINAL_FLUSH_TIME).await;
 }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -34,9 +34,9 @@
 pub(super) async fn follow<F: Follower>(instance: &Instance, store: &CallClient, follower: F) {
     loop {
         let revision = read_with_retries(instance, store, &follower).await;
-        instance.following.began();
+        instance.store_availability.follow_started();
         watch(instance, store, &follower, revision).await;
-        instance.following.ended();
+        instance.store_availability.follow_ended();
     }
 }
 
@@ -51,13 +51,13 @@
     loop {
         let began_ms = now_ms();
         if let Some(revision) = read(instance, store, follower).await {
-            instance.following.answered(now_ms());
+            instance.store_availability.read_answered(now_ms());
             if lost {
                 log::warn!("event=store_regained kind={} revision={revision}", F::KIND);
             }
             return revision;
         }
-        instance.following.failed(began_ms);
+        instance.store_availability.read_failed(began_ms);
         if !lost {
             lost = true;
             instance.counters.count("store_lost", "read");
@@ -105,7 +105,10 @@
     loop {
         let after = objects.last().map(|object: &Stored| object.name.clone());
         let call = Page::call(F::KIND, after.as_deref());
-        let (status, body) = match store.call(&call, instance.settings.store_ms).await {
+        let (status, body) = match store
+            .call(&call, instance.settings.store_call_timeout_ms)
+            .await
+        {
             Ok(answer) => answer,
             Err(error) => {
                 log::info!("event=store_call_failed kind={} error=\"{error}\"", F::KIND);
@@ -144,12 +147,12 @@
 ) -> Option<Changes> {
     let freshness = instance.freshness(now_ms());
     let wait_ms = match freshness {
-        Freshness::Current => instance.settings.current_watch_ms,
-        Freshness::MayLag => instance.settings.watch_ms,
+        Freshness::Current => instance.settings.max_current_watch_ms,
+        Freshness::MayLag => instance.settings.max_watch_ms,
     };
     let call = Changes::call(F::KIND, revision, wait_ms, freshness);
     match store
-        .call(&call, wait_ms + instance.settings.answer_ms)
+        .call(&call, wait_ms + instance.settings.watch_answer_margin_ms)
         .await
     {
         Ok((200, body)) => decoded_or_logged::<F, _>(decode_changes(&body)),
--- a/crates/gateway/src/store/followers.rs
+++ b/crates/gateway/src/store/followers.rs
@@ -17,7 +17,7 @@
 impl ConfigurationFollower {
     fn apply(&self, object: &Stored) {
         match decode_configuration(&object.spec) {
-            Ok(configuration) => self.0.apply(configuration, "store", now_ms()),
+            Ok(configuration) => self.0.apply_configuration(configuration, "store", now_ms()),
             Err(error) => log::warn!(
                 "event=configuration_refused name={} error=\"{error}\"",
                 object.name
@@ -44,7 +44,7 @@
     async fn wait_until_behind(&self) {
         let instance = &self.0;
         loop {
-            instance.notes.configuration.notified().await;
+            instance.wake_ups.configuration.notified().await;
             // All learn of it at about the same time; only a watch that has
             // fallen silent or lags needs a reading of its own.
             sleep(Duration::from_millis(instance.settings.peer_lead_ms)).await;
@@ -66,7 +66,7 @@
         match decode_newest_weights(&object.spec) {
             Some(newest) => {
                 self.instance
-                    .name_weights(&newest.model, newest.version, at, "store");
+                    .record_published_weights(&newest.model, newest.version, at, "store");
             }
             None => log::warn!("event=weights_refused name={}", object.name),
         }
@@ -110,7 +110,7 @@
                     );
                 }
                 if draining {
-                    self.0.notes.heartbeat.notify_one();
+                    self.0.wake_ups.heartbeat.notify_one();
                 }
             }
             Err(error) => {
@@ -121,12 +121,16 @@
     }
 
     fn remove_entry(&self, engines: &mut EngineTable, name: &str, revision: u64, now_ms: u64) {
-        let (lapsed_ms, settled_ms) = (self.0.settings.lapsed_ms, self.0.machine().settled_ms);
-        let following = &self.0.following;
-        let keep_until_ms = following.keep_missing_until_ms(lapsed_ms, settled_ms, now_ms);
+        let (expired_entry_grace_ms, settled_ms) = (
+            self.0.settings.expired_entry_grace_ms,
+            self.0.machine().settled_ms,
+        );
+        let following = &self.0.store_availability;
+        let keep_until_ms =
+            following.missing_entries_usable_until_ms(expired_entry_grace_ms, settled_ms, now_ms);
         if engines.remove_entry(name, revision, keep_until_ms, now_ms) {
             log::info!("event=engine_gone engine={name} revision={revision}");
-            self.0.notes.heartbeat.notify_one();
+            self.0.wake_ups.heartbeat.notify_one();
         } else if engines.get(name).is_some() {
             let grace_ms = keep_until_ms.unwrap_or(now_ms).saturating_sub(now_ms);
             log::info!(
@@ -140,7 +144,7 @@
     const KIND: Kind = Kind::Engines;
 
     fn batch_ms(&self) -> u64 {
-        self.0.settings.gather_ms
+        self.0.settings.batch_ms
     }
 
     fn replace_all(&self, objects: &[Stored], revision: u64) {
@@ -157,7 +161,7 @@
         if !self.0.engines_known.replace(true) {
             log::info!("event=engines_known count={}", objects.len());
         }
-        self.0.notes.orders.notify_one();
+        self.0.wake_ups.orders.notify_one();
     }
 
     fn apply_changes(&self, changes: &[(String, Option<Stored>)], revision: u64) {
@@ -171,7 +175,7 @@
         }
         engines.set_list_revision(revision, now_ms);
         if !changes.is_empty() {
-            self.0.notes.orders.notify_one();
+            self.0.wake_ups.orders.notify_one();
         }
     }
 }
--- a/crates/gateway/src/store/register.rs
+++ b/crates/gateway/src/store/register.rs
@@ -21,7 +21,7 @@
 
 async fn publish_and_read_peers(instance: &Instance, store: &CallClient) -> bool {
     let name = &instance.machine().name;
-    let timeout_ms = instance.settings.store_ms;
+    let timeout_ms = instance.settings.store_call_timeout_ms;
     let record = MemberRecord {
         peer_address: instance.machine().peer_address,
     };
@@ -52,7 +52,7 @@
             add_peer_address(instance, address);
         }
     }
-    instance.notes.heartbeat.notify_one();
+    instance.wake_ups.heartbeat.notify_one();
     true
 }
 
--- a/crates/gateway/src/upstreams/connection.rs
+++ b/crates/gateway/src/upstreams/connection.rs
@@ -11,7 +11,7 @@
 };
 
 /// Silence of an idle connection after which its other end is asked.
-const KEEPALIVE_IDLE_S: u64 = 2;
+const KEEPALIVE_INTERVAL_S: u64 = 2;
 
 /// Why there is no connection. Nothing was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
@@ -36,12 +36,12 @@
         address,
         reason: reason.to_string(),
     };
-    let limit = Duration::from_millis(settings.connect_ms);
-    let stream = timeout(limit, TcpStream::connect(address))
+    let connect_timeout = Duration::from_millis(settings.connect_timeout_ms);
+    let stream = timeout(connect_timeout, TcpStream::connect(address))
         .await
         .map_err(|_| refused(&"time ran out"))?
         .map_err(|error| refused(&error))?;
-    tune(&stream, settings).map_err(|error| refused(&error))?;
+    set_timeouts(&stream, settings).map_err(|error| refused(&error))?;
     let (sender, connection) = http1::Builder::new()
         .handshake(TokioIo::new(stream))
         .await
@@ -54,10 +54,10 @@
 }
 
 /// Sets what ends a connection whose other end is gone without a reset.
-fn tune(stream: &TcpStream, settings: &GatewaySettings) -> io::Result<()> {
+fn set_timeouts(stream: &TcpStream, settings: &GatewaySettings) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(Duration::from_millis(settings.unacknowledged_ms)))?;
-    let idle = Duration::from_secs(KEEPALIVE_IDLE_S);
+    socket.set_tcp_user_timeout(Some(Duration::from_millis(settings.tcp_user_timeout_ms)))?;
+    let idle = Duration::from_secs(KEEPALIVE_INTERVAL_S);
     socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(idle).with_interval(idle))
 }
--- a/crates/gateway/src/upstreams/exchange.rs
+++ b/crates/gateway/src/upstreams/exchange.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Kept, Pool, connect},
+    super::{ConnectionPool, PooledConnection, connect},
     crate::{clock::now_ms, instance::GatewaySettings},
     bytes::Bytes,
     derive_more::{Display, Error},
@@ -37,36 +37,36 @@
     /// The body.
     pub body: Incoming,
     /// The connection, to be put back behind the whole body.
-    pub connection: Kept,
+    pub connection: PooledConnection,
 }
 
 /// Sends a request to an engine, on a kept connection or a new one, and waits
 /// for the head of the answer.
 ///
-/// `make` builds the request; it is called again if a kept connection turned
+/// `build_request` builds the request; it is called again if a kept connection turned
 /// out to be closed before a byte was sent.
 ///
 /// # Errors
 ///
 /// Tells whether the request may have run.
 pub async fn send(
-    pool: &Rc<Pool>,
+    pool: &Rc<ConnectionPool>,
     engine: &EngineEntry,
     settings: &GatewaySettings,
-    make: impl Fn() -> Request<Full<Bytes>>,
+    build_request: impl Fn() -> Request<Full<Bytes>>,
 ) -> Result<Answer, SendError> {
     loop {
         let (connection, is_new) = match pool.take(engine, now_ms()) {
-            Some(kept) => (kept, false),
+            Some(pooled) => (pooled, false),
             None => {
                 let connected = connect(engine.address, settings).await;
                 let (sender, task) = connected.map_err(|error| SendError::NotSent {
                     reason: error.to_string(),
                 })?;
-                (pool.adopt(engine, sender, task), true)
+                (pool.wrap(engine, sender, task), true)
             }
         };
-        match exchange(connection, make()).await {
+        match send_on(connection, build_request()).await {
             // The kept connection had been closed; the next one may be good.
             Err(SendError::NotSent { .. }) if !is_new => {}
             result => return result,
@@ -74,8 +74,8 @@
     }
 }
 
-async fn exchange(
-    mut connection: Kept,
+async fn send_on(
+    mut connection: PooledConnection,
     request: Request<Full<Bytes>>,
 ) -> Result<Answer, SendError> {
     let Some(sender) = connection.sender() else {
@@ -95,7 +95,7 @@
     };
     let (parts, body) = response.into_parts();
     let head = AnswerHead::decode(parts.status, &parts.headers);
-    connection.keep_for_s(head.keep_alive_s);
+    connection.set_keep_alive_s(head.keep_alive_s);
     Ok(Answer {
         head,
         parts,
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -1,15 +1,15 @@
 //! Connections to engines, and one exchange on them.
 
+mod cache_store;
 mod connection;
 mod exchange;
-mod kept;
 mod pool;
 mod probe;
 
 pub use {
+    cache_store::watch_cache_store,
     connection::{ConnectError, connect},
     exchange::{Answer, SendError, send},
-    kept::watch_kept,
-    pool::{Kept, Pool},
-    probe::{doubt, is_silent, probe_silent},
+    pool::{ConnectionPool, PooledConnection},
+    probe::{check_silent, probe_engine, probe_silent_engines},
 };
--- a/crates/gateway/src/upstreams/probe.rs
+++ b/crates/gateway/src/upstreams/probe.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Pool, connect},
+    super::{ConnectionPool, connect},
     crate::{clock::now_ms, instance::Instance},
     futures_util::future::join_all,
     mangowalk_core::pool::EngineEntry,
@@ -8,57 +8,65 @@
 };
 
 /// Pause between two tries with engines that fell silent.
-const PAUSE: Duration = Duration::from_millis(400);
+const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Tries to connect to engines that fell silent until they take a connection.
 ///
 /// A caller's request would be the other way to find out, and most likely be
 /// lost. A question of health takes a place in the engine's queue and costs
 /// more than a connection, which the next request then uses.
-pub async fn probe_silent(instance: Rc<Instance>, pool: Rc<Pool>) {
+pub async fn probe_silent_engines(instance: Rc<Instance>, pool: Rc<ConnectionPool>) {
     loop {
         let silent: Vec<EngineEntry> = {
             let engines = instance.engines.borrow();
             let silent = engines.silent_engines();
             let silent = silent.iter().filter_map(|id| engines.get(id));
-            silent.map(|belief| belief.entry.clone()).collect()
+            silent
+                .map(|known_engine| known_engine.entry.clone())
+                .collect()
         };
         if silent.is_empty() {
-            instance.notes.silent.notified().await;
+            instance.wake_ups.silent_engine.notified().await;
         }
-        join_all(silent.iter().map(|entry| probe(&instance, &pool, entry))).await;
-        sleep(PAUSE).await;
+        join_all(
+            silent
+                .iter()
+                .map(|entry| reconnect(&instance, &pool, entry)),
+        )
+        .await;
+        sleep(PROBE_INTERVAL).await;
     }
 }
 
-async fn probe(instance: &Instance, pool: &Rc<Pool>, entry: &EngineEntry) {
+async fn reconnect(instance: &Instance, pool: &Rc<ConnectionPool>, entry: &EngineEntry) {
     let Ok((sender, task)) = connect(entry.address, &instance.settings).await else {
         return;
     };
     let now_ms = now_ms();
-    pool.adopt(entry, sender, task).put_back(now_ms);
-    if let Some(belief) = instance.engines.borrow_mut().get_mut(&entry.incarnation.id) {
-        belief.health.record_connection();
+    pool.wrap(entry, sender, task).return_to_pool(now_ms);
+    if let Some(known_engine) = instance.engines.borrow_mut().get_mut(&entry.incarnation.id) {
+        known_engine.health.record_connection();
     }
     log::warn!("event=engine_answers_again engine={}", entry.incarnation.id);
 }
 
 /// Returns whether an engine that is waited for is silent. One that was heard
 /// by nobody here since a time, and isn't known to be silent, is tried.
-pub fn is_silent(
+pub fn check_silent(
     instance: &Rc<Instance>,
-    pool: &Rc<Pool>,
+    pool: &Rc<ConnectionPool>,
     entry: &EngineEntry,
-    unheard_since_ms: u64,
+    quiet_since_ms: u64,
     now_ms: u64,
 ) -> bool {
     let engines = instance.engines.borrow();
-    let belief = engines.get(&entry.incarnation.id);
-    let is_silent = belief.is_none_or(|belief| belief.is_silent(now_ms));
-    let is_quiet = belief.is_some_and(|belief| belief.last_received_ms < unheard_since_ms);
+    let known_engine = engines.get(&entry.incarnation.id);
+    let is_silent = known_engine.is_none_or(|known_engine| known_engine.is_silent(now_ms));
+    let is_quiet =
+        known_engine.is_some_and(|known_engine| known_engine.last_received_ms < quiet_since_ms);
     drop(engines);
     if is_quiet && !is_silent {
-        doubt(instance, pool, entry);
+        probe_engine(instance, pool, entry);
     }
     is_silent
 }
@@ -68,36 +76,38 @@
 ///
 /// Silence alone shows nothing: an engine that reads long prompts is silent
 /// too, and keeping work from the busy ones would overload the rest.
-pub fn doubt(instance: &Rc<Instance>, pool: &Rc<Pool>, entry: &EngineEntry) {
+pub fn probe_engine(instance: &Rc<Instance>, pool: &Rc<ConnectionPool>, entry: &EngineEntry) {
     {
         let mut engines = instance.engines.borrow_mut();
-        let Some(belief) = engines.get_mut(&entry.incarnation.id) else {
+        let Some(known_engine) = engines.get_mut(&entry.incarnation.id) else {
             return;
         };
         let now_ms = now_ms();
-        if now_ms < belief.last_probe_ms + PAUSE.as_millis() as u64 || belief.health.is_silent() {
+        if now_ms < known_engine.last_probe_ms + PROBE_INTERVAL.as_millis() as u64
+            || known_engine.health.is_silent()
+        {
             return;
         }
-        belief.last_probe_ms = now_ms;
+        known_engine.last_probe_ms = now_ms;
     }
     let (instance, pool, entry) = (instance.clone(), pool.clone(), entry.clone());
     spawn_local(async move {
         let error = match connect(entry.address, &instance.settings).await {
-            Ok((sender, task)) => return pool.adopt(&entry, sender, task).put_back(now_ms()),
+            Ok((sender, task)) => return pool.wrap(&entry, sender, task).return_to_pool(now_ms()),
             Err(error) => error,
         };
-        if let Some(belief) = instance.engines.borrow_mut().get_mut(&entry.incarnation.id) {
+        if let Some(known_engine) = instance.engines.borrow_mut().get_mut(&entry.incarnation.id) {
             let health = &instance.settings.choice.health;
-            belief.health.record_silence(health, now_ms());
+            known_engine.health.record_silence(health, now_ms());
         }
-        pool.drop_idle(&entry.incarnation);
+        pool.close_idle(&entry.incarnation);
         instance
             .crashes
             .borrow_mut()
-            .crashed(&entry.incarnation, now_ms());
+            .record_engine_crash(&entry.incarnation, now_ms());
         instance.counters.count("engine_silent", "no_connection");
-        instance.notes.silent.notify_one();
-        instance.notes.heartbeat.notify_one();
+        instance.wake_ups.silent_engine.notify_one();
+        instance.wake_ups.heartbeat.notify_one();
         log::warn!(
             "event=engine_silent engine={} error=\"{error}\"",
             entry.incarnation.id
--- a/crates/gateway/src/weights/orderer.rs
+++ b/crates/gateway/src/weights/orderer.rs
@@ -58,7 +58,7 @@
         let pause = orderer.look().await;
         tokio::select! {
             () = sleep(pause) => {}
-            () = instance.notes.orders.notified() => {}
+            () = instance.wake_ups.orders.notified() => {}
         }
     }
 }
@@ -79,13 +79,13 @@
             if !self.progress.is_empty() {
                 self.progress.forget();
             }
-            self.instance.orders.borrow_mut().clear();
+            self.instance.order_reports.borrow_mut().clear();
             return if lagging.is_empty() { REST } else { WATCH };
         }
         if !lagging.is_empty() {
             self.work(&lagging).await;
         }
-        *self.instance.orders.borrow_mut() = self.progress.notes();
+        *self.instance.order_reports.borrow_mut() = self.progress.notes();
         if lagging.is_empty() && !self.progress.is_busy() {
             return REST;
         }
@@ -102,7 +102,7 @@
     }
 
     fn lagging(&self) -> Vec<Lagging> {
-        let newest = self.instance.newest.borrow();
+        let newest = self.instance.weights_histories.borrow();
         let engines = self.instance.engines.borrow();
         let mut lagging = Vec::new();
         for belief in engines.staying_engines(now_ms()) {
@@ -163,7 +163,7 @@
             let report = ask(&entry).await;
             // The receiver lives as long as the program.
             let _ = tell.send(Heard::Report(entry, report));
-            instance.notes.orders.notify_one();
+            instance.wake_ups.orders.notify_one();
         });
     }
 
@@ -179,7 +179,7 @@
         }
         let fence = lease.held().fence;
         self.progress.wait_for(&one.entry.incarnation);
-        self.instance.ordered_ms.set(Some(now_ms()));
+        self.instance.last_order_ms.set(Some(now_ms()));
         let (tell, instance) = (self.tell.clone(), self.instance.clone());
         spawn_local(async move {
             let order = WeightsOrder {
@@ -200,7 +200,7 @@
             );
             // The receiver lives as long as the program.
             let _ = tell.send(Heard::Answer(one, answer));
-            instance.notes.orders.notify_one();
+            instance.wake_ups.orders.notify_one();
         });
     }
 
@@ -237,14 +237,14 @@
     /// more, which takes a repeat of its service's budget.
     fn cuts(&self, model: &str) -> u32 {
         let now_ms = now_ms();
-        let instances = self.instance.instances();
+        let instances = self.instance.instance_count();
         let engines = self.instance.engines.borrow();
         let mut engines = engines.iter();
         let serves = |entry: &EngineEntry| entry.models.iter().any(|m| m.model == model);
         let Some(belief) = engines.find(|belief| serves(&belief.entry)) else {
             return 0;
         };
-        let mut budgets = self.instance.budgets.borrow_mut();
+        let mut budgets = self.instance.retry_budgets.borrow_mut();
         let budget = budgets.entry(belief.entry.service.clone()).or_default();
         budget.remaining(&self.instance.machine().retries, instances, now_ms)
     }
--- a/crates/gateway/src/weights/progress.rs
+++ b/crates/gateway/src/weights/progress.rs
@@ -253,8 +253,8 @@
         };
         let note = told(&one.entry.incarnation, &given, now_ms);
         self.given.insert(one.entry.incarnation.clone(), given);
-        self.instance.apply_order_note(&note, now_ms);
-        self.instance.notes.heartbeat.notify_one();
+        self.instance.apply_order_report(&note, now_ms);
+        self.instance.wake_ups.heartbeat.notify_one();
     }
 
     /// Returns what the peers shall hear.
--- a/crates/gateway/src/weights/right.rs
+++ b/crates/gateway/src/weights/right.rs
@@ -92,7 +92,7 @@
         self.hold = Hold::Vacant(Lease::new(self.instance.settings.lease));
         self.failing_since_ms = None;
         self.instance.holds_lease.set(false);
-        self.instance.notes.heartbeat.notify_one();
+        self.instance.wake_ups.heartbeat.notify_one();
     }
 
     /// Leaves the lease when the instance stops: at once if nothing is begun,
@@ -158,7 +158,7 @@
     }
 
     async fn try_to_take(&mut self, since_ms: u64) {
-        let within_ms = self.instance.settings.store_ms;
+        let within_ms = self.instance.settings.store_call_timeout_ms;
         let call = Call::get(path_of_object(Kind::Leases, RECORD));
         let (quiet_since_ms, write) = match self.store.call(&call, within_ms).await {
             Ok((404, _)) if self.is_turn(since_ms) => (
@@ -185,7 +185,7 @@
 
     async fn write(&mut self, write: Call, quiet_since_ms: Option<u64>) {
         let sent_ms = now_ms();
-        let within_ms = self.instance.settings.store_ms;
+        let within_ms = self.instance.settings.store_call_timeout_ms;
         let Ok((200 | 201, body)) = self.store.call(&write, within_ms).await else {
             return;
         };
@@ -198,7 +198,7 @@
             self.hold = Hold::Held(held);
         }
         self.instance.holds_lease.set(true);
-        self.instance.notes.heartbeat.notify_one();
+        self.instance.wake_ups.heartbeat.notify_one();
         let waits_ms = quiet_since_ms.map(|quiet_ms| now_ms().saturating_sub(quiet_ms));
         log::info!(
             "event=lease_taken fence={} revision={} quiet_ms={waits_ms:?}",
@@ -285,7 +285,7 @@
         let sent_ms = now_ms();
         match self
             .store
-            .call(&call, self.instance.settings.store_ms)
+            .call(&call, self.instance.settings.store_call_timeout_ms)
             .await
         {
             Ok((200, body)) => self.renewed(&body, sent_ms),
--- a/crates/gateway/tests/vital.rs
+++ b/crates/gateway/tests/vital.rs
@@ -1,7 +1,7 @@
 //! Tasks without which an instance can't serve.
 
 use {
-    mangowalk_gateway::VitalTasks,
+    mangowalk_gateway::CriticalTasks,
     std::future::pending,
     tokio::{runtime, task::LocalSet},
 };
@@ -10,15 +10,15 @@
 /// sent to an instance that its peers take for gone; so the panic is told to
 /// whoever may end the process.
 #[test]
-fn the_end_of_a_vital_task_is_told() {
+fn a_panic_of_a_critical_task_is_reported() {
     let event_loop = runtime::Builder::new_current_thread()
         .build()
         .expect("the system gives an event loop");
-    let told = LocalSet::new().block_on(&event_loop, async {
-        let mut tasks = VitalTasks::default();
+    let reason = LocalSet::new().block_on(&event_loop, async {
+        let mut tasks = CriticalTasks::default();
         tasks.start("callers", pending());
         tasks.start("heartbeats", async { panic!("the table is borrowed") });
-        tasks.first_end().await
+        tasks.wait_for_end().await
     });
-    assert_eq!(told, "panicked: the table is borrowed");
+    assert_eq!(reason, "panicked: the table is borrowed");
 }
