--- a/crates/gateway/src/instance/counters.rs
+++ b/crates/gateway/src/instance/counters.rs
@@ -10,10 +10,10 @@
     count: u64,
 }
 
-/// Counters and latency histograms, served as text.
+/// Counters and latency histograms, rendered as text for scraping.
 ///
-/// Labels are words of this program only, never names from outside, so their
-/// number is bounded whatever the configuration holds.
+/// Labels come only from string literals of this program and never from input, so
+/// their number is bounded whatever the configuration holds.
 #[derive(Debug, Default)]
 pub struct Counters {
     counts: RefCell<BTreeMap<(&'static str, &'static str), u64>>,
@@ -21,12 +21,12 @@
 }
 
 impl Counters {
-    /// Counts one event with its reason.
+    /// Adds one to the counter `mangowalk_<name>_total` with a reason as its label.
     pub fn count(&self, name: &'static str, reason: &'static str) {
         *self.counts.borrow_mut().entry((name, reason)).or_default() += 1;
     }
 
-    /// Notes a latency.
+    /// Adds a latency to the histogram `mangowalk_<name>_ms`.
     pub fn observe(&self, name: &'static str, latency_ms: u64) {
         let mut histograms = self.histograms.borrow_mut();
         let histogram = histograms.entry(name).or_default();
@@ -37,7 +37,7 @@
         histogram.count += 1;
     }
 
-    /// Returns everything in the usual text format of metrics.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         for ((name, reason), count) in self.counts.borrow().iter() {
--- a/crates/gateway/src/instance/crashes.rs
+++ b/crates/gateway/src/instance/crashes.rs
@@ -6,14 +6,15 @@
     std::collections::VecDeque,
 };
 
-/// Time within which an engine that lost a request must be seen to be gone for
-/// the loss to count as a crash.
+/// Time after an engine lost a request within which the engine must be found to be
+/// gone for the loss to count as a crash.
 const CRASH_WINDOW_MS: u64 = 2_000;
 
-/// Losses remembered until it is known whether their engine is gone.
+/// Maximum number of lost requests that are kept until it is known whether their
+/// engine is gone.
 const MAX_LOST_REQUESTS: usize = 256;
 
-/// Crashes told in one heartbeat, so that it fits one datagram.
+/// Maximum number of crashes in one heartbeat, so that it fits one datagram.
 const MAX_REPORTS: usize = 12;
 
 struct LostRequest {
@@ -22,10 +23,11 @@
     lost_ms: u64,
 }
 
-/// Requests that were on engines when these crashed.
+/// Attributes crashes of engines to the requests that were running on them.
 ///
-/// A request may crash each engine that begins to run it, and its caller sends
-/// it again. A lost answer alone is no crash: the engine has to be gone.
+/// A request may crash each engine that starts to run it while its caller keeps
+/// retrying. A lost answer alone doesn't count as a crash: the engine must also
+/// be gone.
 #[derive(Default)]
 pub struct CrashTracker {
     ledger: PoisonLedger,
@@ -33,7 +35,7 @@
 }
 
 impl CrashTracker {
-    /// Notes that an engine's answer to a request was lost.
+    /// Records that an engine's answer to a request was lost.
     pub fn record_lost(&mut self, engine: &Incarnation, request: u64, now_ms: u64) {
         self.lost.push_back(LostRequest {
             engine: engine.clone(),
@@ -45,7 +47,8 @@
         }
     }
 
-    /// Notes that an engine is gone, and charges what it ran with the crash.
+    /// Records that an engine is gone, and attributes the crash to the most suspect
+    /// of the requests that it lost within `CRASH_WINDOW_MS`.
     pub fn record_engine_crash(&mut self, engine: &Incarnation, now_ms: u64) {
         let on_engine: Vec<(u64, usize)> = self
             .lost
@@ -65,30 +68,31 @@
         }
     }
 
-    /// Returns whether no crash is remembered; then no request need be named.
+    /// Returns whether no crash is recorded, so that callers needn't compute the
+    /// identity of a request.
     pub fn is_empty(&self) -> bool {
         self.ledger.is_empty()
     }
 
-    /// Returns whether a request has crashed so many engines that it is kept
-    /// from the others.
+    /// Returns whether [`MAX_CRASHES`] or more crashes are attributed to a request,
+    /// so that it must not be sent to further engines.
     pub fn is_poison(&self, request: u64, now_ms: u64) -> bool {
         self.ledger.crashes(request, now_ms) >= MAX_CRASHES
     }
 
-    /// Notes that a request completed.
+    /// Records that a request completed, which clears it of all known crashes.
     pub fn record_completed(&mut self, request: u64) {
         self.ledger.clear(request);
     }
 
-    /// Returns what to tell peers.
+    /// Returns the latest crashes, to be reported to peers.
     pub fn reports(&self, now_ms: u64) -> Vec<CrashReport> {
         let mut reports = self.ledger.reports(now_ms);
         reports.truncate(MAX_REPORTS);
         reports
     }
 
-    /// Takes what a peer told.
+    /// Merges the crashes that a peer reported.
     pub fn merge(&mut self, reports: &[CrashReport], now_ms: u64) {
         if !reports.is_empty() {
             self.ledger.merge(reports, now_ms);
@@ -96,7 +100,7 @@
     }
 }
 
-/// Returns a short hash.
+/// Returns the first 64 bits of the BLAKE3 hash of `bytes`, read as little-endian.
 pub fn hash(bytes: &[u8]) -> u64 {
     let mut first = [0; 8];
     first.copy_from_slice(&blake3::hash(bytes).as_bytes()[..8]);
--- a/crates/gateway/src/instance/drain.rs
+++ b/crates/gateway/src/instance/drain.rs
@@ -1,31 +1,32 @@
 use tokio::sync::watch;
 
-/// How far the stop of an instance is.
+/// Phase of the shutdown of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Drain {
-    /// It serves.
+    /// The instance serves callers.
     Serving,
-    /// It is out of the addresses, but callers still come who keep old ones;
-    /// each is told to connect elsewhere with the answer it gets.
+    /// The instance is withdrawn from the directory but still serves callers with old
+    /// addresses. Each answer asks its caller to connect elsewhere.
     Departing,
-    /// Idle connections are closed, open requests end.
+    /// Idle connections are closed, and open requests may finish.
     Closing,
-    /// Nothing is open; peers are told, and the process ends.
+    /// The instance serves nobody; it notifies its peers, and the process exits.
     Stopped,
 }
 
 impl Drain {
-    /// Returns the ends by which parts tell and learn how far the stop is.
+    /// Returns a channel that distributes the phase, beginning with
+    /// [`Drain::Serving`].
     pub fn channel() -> (watch::Sender<Drain>, watch::Receiver<Drain>) {
         watch::channel(Drain::Serving)
     }
 
     /// Waits until idle connections are to be closed.
     ///
-    /// The guard that the channel gives on its value is dropped here. Held on,
-    /// while a request ends, it kept the next step of the stop waiting on the one
-    /// thread that could end the request: the process hung until it was killed,
-    /// and its peers went on setting aside its part of each team's rate.
+    /// The read guard on the channel's value is dropped before this returns. A guard
+    /// held while a request finishes blocks the sender of the next phase, on the
+    /// only thread that could finish the request: the process hangs until it is
+    /// killed, and its peers keep reserving its share of each team's rate.
     pub async fn wait_for_closing(drain: &mut watch::Receiver<Drain>) {
         if drain
             .wait_for(|drain| *drain >= Drain::Closing)
--- a/crates/gateway/src/instance/heartbeats.rs
+++ b/crates/gateway/src/instance/heartbeats.rs
@@ -8,17 +8,18 @@
     },
 };
 
-/// Longest time for which a note of a change of weights is believed without
-/// being heard again. Longer than an engine takes to finish what runs and to
-/// load; if the orderer dies, the engine is used again after it.
+/// Longest pause of new requests to an engine after the last report of its order
+/// to load weights. It is longer than an engine needs to finish its running
+/// requests and to load. If the lease holder dies, the engine is used again after
+/// it.
 const MAX_ORDER_PAUSE_MS: u64 = 5_000;
 
-/// Time for which a peer's word that an engine is silent is believed: three
+/// Time for which a peer's report that an engine is silent applies: three
 /// heartbeats.
 const SILENCE_REPORT_MS: u64 = 600;
 
 impl Instance {
-    /// Takes over a peer's heartbeat, unless it is older than one that came.
+    /// Applies a peer's heartbeat, unless it is older than one already received.
     pub fn receive_heartbeat(&self, heartbeat: Heartbeat, now_ms: u64) {
         if heartbeat.name == self.machine().name {
             return;
@@ -47,7 +48,8 @@
 
     fn apply_engine_reports(&self, heartbeat: &Heartbeat, now_ms: u64) {
         for &(part, _) in &heartbeat.placements {
-            // The peer's engine was asked to send it; so none here needs to be.
+            // The peer's engine was asked to save the part to the KV cache store, so
+            // no engine needs to be asked here.
             self.cache_store.borrow_mut().claim_save(part, now_ms);
         }
         let mut engines = self.engines.borrow_mut();
@@ -78,7 +80,9 @@
         }
     }
 
-    /// Believes what the orderer tells of an engine's weights.
+    /// Applies a report of the lease holder on an order to an engine: pauses new
+    /// requests to the engine while its weights change, and records its new version
+    /// when the order is done.
     pub fn apply_order_report(&self, order: &OrderReport, now_ms: u64) {
         let mut engines = self.engines.borrow_mut();
         let Some(known_engine) = engines.get_mut(&order.engine) else {
--- a/crates/gateway/src/instance/mod.rs
+++ b/crates/gateway/src/instance/mod.rs
@@ -1,4 +1,4 @@
-//! What the parts of an instance share.
+//! State that the tasks of an instance share, and its settings.
 
 mod counters;
 mod crashes;
--- a/crates/gateway/src/instance/reload.rs
+++ b/crates/gateway/src/instance/reload.rs
@@ -1,20 +1,20 @@
 use mangowalk_platform::MachineSettings;
 
-/// What became of a settings file that changed while the instance ran.
+/// What a reload of the settings file did with each changed field.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ReloadOutcome {
-    /// What is in force from now on.
+    /// Names of the changed fields that are in force from now on.
     pub applied: Vec<&'static str>,
-    /// What differs and waits for the next start.
+    /// Names of the changed fields that take effect at the next start.
     pub needs_restart: Vec<&'static str>,
 }
 
-/// Returns the settings in force after a change, and what became of each field
-/// that changed.
+/// Returns the settings in force after the settings file has changed, and what
+/// became of each changed field.
 ///
-/// Bounds on what requests may do can change at any time. Addresses can't, as
-/// peers and callers know this instance by them; nor can the times of the lease,
-/// which two holders must not count differently.
+/// Limits on requests can change at any time. Addresses can't, as peers and
+/// callers know this instance by them. Neither can the lease times, as two
+/// holders must not measure a lease differently.
 pub fn apply_reloadable(
     old: &MachineSettings,
     new: &MachineSettings,
--- a/crates/gateway/src/instance/settings.rs
+++ b/crates/gateway/src/instance/settings.rs
@@ -4,66 +4,66 @@
     weights::{LeaseSettings, PlanSettings, WeightsSettings},
 };
 
-/// How an instance behaves. The platform's own figures are in its settings.
+/// Settings of the router that are not in the platform's settings file.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GatewaySettings {
-    /// Heartbeats between instances.
+    /// Heartbeats, and when a peer counts as silent or gone.
     pub mesh: MeshSettings,
-    /// Choice among engines.
+    /// Choice of an engine for a request.
     pub choice: ChoiceSettings,
     /// Refusal of requests that would wait too long.
     pub admission: AdmitSettings,
-    /// Ages of weights that matter to requests.
+    /// Bounds on the age of weights that requests may use.
     pub weights: WeightsSettings,
-    /// Pace of new weights.
+    /// Pace of a rollout of new weights.
     pub plan: PlanSettings,
-    /// The lease under which weights are ordered.
+    /// The lease under which orders are sent to engines.
     pub lease: LeaseSettings,
-    /// Longest time for a new connection within the deployment. Its ends are
-    /// a few milliseconds apart; beyond this the other end is gone.
+    /// Timeout for a new connection to an engine. Machines of a deployment are a
+    /// few milliseconds apart, so after this time the engine is gone.
     pub connect_timeout_ms: u64,
-    /// Silence of an engine with work, after which it is tried whether it
-    /// still takes connections. A busy engine that reads one long prompt says
-    /// nothing for about as long.
+    /// Time without a byte from an engine with work, after which it is probed for
+    /// whether it still accepts connections. A busy engine that prefills one long
+    /// prompt sends nothing for about as long.
     pub probe_after_ms: u64,
-    /// Time after which the system gives up unacknowledged bytes. A partition
-    /// gives no reset, so nothing else ends such a connection.
+    /// Value of `TCP_USER_TIMEOUT`, after which unacknowledged bytes end a
+    /// connection. A partition sends no reset, so nothing else would end it.
     pub tcp_user_timeout_ms: u64,
-    /// Longest wait of one call for changes in the store. Each call is paid
-    /// for; a watch that fell silent is noticed this much later.
+    /// Longest wait of one watch call to the store. Each call has a price, but a
+    /// watch without an answer is noticed only after this time.
     pub max_watch_ms: u64,
-    /// The same for an instance that reads currently for the others. Shorter:
-    /// the others may rely on it, and it is one of few.
+    /// Longest wait of one watch call of an instance that reads current state.
+    /// Shorter than [`Self::max_watch_ms`], as other instances may rely on it and
+    /// there are few such instances.
     pub max_current_watch_ms: u64,
-    /// Time that the answer to a watch may take beyond the wait that it was asked
-    /// for.
+    /// Time beyond the requested wait within which the answer to a watch must
+    /// arrive.
     pub watch_answer_margin_ms: u64,
-    /// Instances that read the store currently, the first by their names of
-    /// those that reach it. The others' reading may lag by seconds, at a tenth
-    /// of the price, and peers tell them what can't wait. One may be cut off
-    /// without knowing it yet, so it takes two.
+    /// Number of instances that read current state from the store: the first by
+    /// name of those that can reach it. Reads of the others may lag by seconds, at
+    /// a tenth of the price, and peers report urgent changes to them. One reader
+    /// may be cut off without having noticed, so there must be two.
     pub current_readers: usize,
-    /// Time by which a peer may learn of a change before this instance's own
-    /// watch does. After it the store is asked for what the peer knows more.
+    /// Time by which a peer may receive a change before this instance's own watch
+    /// does. If the peer is still ahead after it, the store is read again.
     pub peer_lead_ms: u64,
-    /// Time after the store's return in which engines that the list lacks are
-    /// used: their entries lapsed meanwhile, and are written again in about two
-    /// seconds.
+    /// Grace period after the recovery of the store in which engines with a missing
+    /// entry are still used: their entries expired during the outage, and are
+    /// written again within about two seconds.
     pub expired_entry_grace_ms: u64,
-    /// Pause after changes of the list of engines, in which further changes
-    /// gather. Each answer to a watch costs a call of every instance.
+    /// Time for which further changes of the engine list are batched after a change.
+    /// Each answer to a watch costs every instance one call.
     pub batch_ms: u64,
-    /// Longest time for any other call to the store.
+    /// Timeout of all other calls to the store.
     pub store_call_timeout_ms: u64,
-    /// Seconds that callers may keep addresses. Some keep them three times as
-    /// long, which has to fit into the time that a stopping instance has.
+    /// Seconds for which callers may cache the addresses of instances. Some callers
+    /// keep them three times as long, and a stopping instance must have that time.
     pub address_ttl_s: u64,
-    /// Time that a stopping instance keeps before it is killed: for its last
-    /// heartbeat and log lines, and timers that fire a tenth of a second late.
-    /// With half of it some instances were killed, and the log did not say that
-    /// they had stopped.
+    /// Time that a stopping instance reserves before it is killed, for its last
+    /// heartbeat and log lines and for timers that fire 100 ms late. With half of
+    /// it some instances were killed before they logged that they had stopped.
     pub exit_margin_ms: u64,
-    /// Least time left for which a request is still sent to an engine.
+    /// Minimum time left until a request's deadline for it to be sent to an engine.
     pub min_remaining_ms: u64,
 }
 
@@ -100,8 +100,8 @@
 }
 
 impl GatewaySettings {
-    /// Returns the age beyond which the list of engines is older than a watch
-    /// that is answered lets it grow.
+    /// Returns the age in milliseconds that the engine list doesn't exceed as long
+    /// as each watch is answered.
     pub fn max_list_age_ms(&self) -> u64 {
         self.max_watch_ms + self.watch_answer_margin_ms
     }
--- a/crates/gateway/src/instance/shared_state.rs
+++ b/crates/gateway/src/instance/shared_state.rs
@@ -22,90 +22,95 @@
     tokio::sync::{Notify, watch},
 };
 
-/// Wake-ups from one part to another.
+/// Notifications between the tasks of an instance.
 #[derive(Debug, Default)]
 pub struct WakeUps {
-    /// A peer has a newer configuration than this instance.
+    /// Sent when a peer has a newer configuration than this instance.
     pub configuration: Notify,
-    /// Newer weights were named, or an engine needs them.
+    /// Sent when newer weights were published, or an engine may need them.
     pub orders: Notify,
-    /// An engine fell silent.
+    /// Sent when an engine was found to be silent.
     pub silent_engine: Notify,
-    /// A heartbeat should leave at once.
+    /// Sent when a heartbeat should be sent at once.
     pub heartbeat: Notify,
 }
 
-/// Time for which a placement is told: two heartbeats, as one may be lost.
+/// Time for which a placement is reported to peers: two heartbeats, as one may be
+/// lost.
 const PLACEMENT_REPORT_MS: u64 = 450;
 
-/// Part of a team's allowed slack that all instances together may overdraw for a
-/// moment. The rest is for those that don't hear each other.
+/// Fraction of a team's permitted overdraft that all instances together may use
+/// for a moment. The rest is left for instances that can't reach each other.
 const SHARED_SLACK_FRACTION: f64 = 0.5;
 
-/// Time within which it isn't told again that an engine keeps a part. The first
-/// parts of prompts are used many times a second.
+/// Time within which a part at an engine isn't reported again. The first parts of
+/// prompts are used many times a second.
 const PLACEMENT_REPEAT_MS: u64 = 1_000;
 
-/// Placements told in one heartbeat, so that it fits one datagram.
+/// Maximum number of placements in one heartbeat, so that it fits one datagram.
 const MAX_PLACEMENTS: usize = 48;
 
-/// The blackboard of an instance. Parts read and write it; none calls
-/// another.
+/// The state that the tasks of an instance share. Tasks read and write it, and
+/// don't call each other.
 pub struct Instance {
-    /// What the platform says of the machine.
+    /// Settings of the machine, from the platform's settings file.
     machine: RefCell<Rc<MachineSettings>>,
-    /// How the instance behaves.
+    /// Settings of the router itself.
     pub settings: GatewaySettings,
-    /// Time of day at the start; tells this start from the one before.
+    /// Wall clock in milliseconds at the start; distinguishes this start from
+    /// earlier ones.
     pub incarnation: u64,
-    /// Requests that were on engines when these crashed.
+    /// Requests that were running on engines when these crashed.
     pub crashes: RefCell<CrashTracker>,
-    /// What the store of kept parts holds.
+    /// Known contents of the KV cache store.
     pub cache_store: RefCell<KvStoreContents>,
-    /// Shared parts that engines have read for this instance, and when.
+    /// Shared prompt parts that engines recently cached for this instance, oldest
+    /// first: time in milliseconds, part and short hash of the engine's name.
     pub placements: RefCell<VecDeque<(u64, u64, u32)>>,
-    /// When this instance started.
+    /// Time of the start, on the clock of [`now_ms`].
     pub started_ms: u64,
-    /// Configuration in force.
+    /// Routes of the configuration in force.
     pub routes: RefCell<Rc<RouteTable>>,
-    /// Engines and what is believed of them.
+    /// Listed engines and their known state.
     pub engines: RefCell<EngineTable>,
-    /// Whether the list of engines was read since the start.
+    /// Whether the engine list was read since the start.
     pub engines_known: Cell<bool>,
-    /// How far the store can be read.
+    /// Whether the store can be read, and when its last outage ended.
     pub store_availability: StoreAvailability,
-    /// How fast engines read prompts.
+    /// Estimated speed at which engines prefill prompts.
     pub prefill_rate: Cell<PrefillRate>,
-    /// How fast engines' memory fills.
+    /// Rate at which this instance fills the engines' memory.
     pub turnover: Cell<Turnover>,
-    /// The usual length of prompts.
+    /// Mean length of prompts.
     pub mean_prompt_length: Cell<MeanPromptLength>,
-    /// Newest weights by model.
+    /// Published versions of weights by model.
     pub weights_histories: RefCell<BTreeMap<String, WeightsHistory>>,
-    /// Parts of teams' rates.
+    /// This instance's share of each team's rate.
     pub shares: RefCell<ShareTable>,
-    /// Repeats by service.
+    /// Retry budgets by service.
     pub retry_budgets: RefCell<HashMap<String, RetryBudget>>,
-    /// Peers.
+    /// Known peers and their last heartbeats.
     pub members: RefCell<MemberTable>,
-    /// Whether this instance holds the lease under which orders are given.
+    /// Whether this instance holds the lease under which orders are sent.
     pub holds_lease: Cell<bool>,
-    /// When this instance gave its last order.
+    /// When this instance sent its last order; `None` if it sent none since its
+    /// start.
     pub last_order_ms: Cell<Option<u64>>,
-    /// Orders that this instance gives, for its heartbeats.
+    /// Orders in progress, as reported in heartbeats; empty without the lease.
     pub order_reports: RefCell<Vec<OrderReport>>,
-    /// Counters for operators.
+    /// Metrics for operators.
     pub counters: Counters,
-    /// Requests that were read and not answered in full.
+    /// Number of requests that were received and not yet answered in full.
     pub open_requests: Cell<usize>,
-    /// How far the stop is.
+    /// Current phase of the shutdown.
     pub drain: watch::Receiver<Drain>,
-    /// Wake-ups.
+    /// Notifications between tasks.
     pub wake_ups: WakeUps,
 }
 
 impl Instance {
-    /// Returns the blackboard of an instance that knows nothing yet.
+    /// Returns the state of an instance that has just started: without a
+    /// configuration, engines or peers.
     pub fn new(
         machine: MachineSettings,
         settings: GatewaySettings,
@@ -148,12 +153,13 @@
         })
     }
 
-    /// Returns what the platform says of the machine.
+    /// Returns the machine settings in force.
     pub fn machine(&self) -> Rc<MachineSettings> {
         self.machine.borrow().clone()
     }
 
-    /// Takes over what may change while the instance runs.
+    /// Applies the settings that may change while the instance runs, and adds the
+    /// seeds as candidate addresses. Returns what became of each changed field.
     pub fn reload(&self, new: &MachineSettings) -> ReloadOutcome {
         let (settings, outcome) = apply_reloadable(&self.machine(), new);
         *self.machine.borrow_mut() = Rc::new(settings);
@@ -161,7 +167,8 @@
         outcome
     }
 
-    /// Greets the machines at which the platform expects peers.
+    /// Adds the addresses at which the platform expects peers as candidates, to
+    /// which heartbeats are sent.
     pub fn add_seed_candidates(&self) {
         let machine = self.machine();
         let mut members = self.members.borrow_mut();
@@ -172,20 +179,20 @@
         }
     }
 
-    /// Returns whether callers may be sent here.
+    /// Returns whether callers may be sent to this instance.
     pub fn is_ready(&self) -> bool {
         self.is_initialized() && *self.drain.borrow() == Drain::Serving
     }
 
-    /// Returns whether configuration and engines are known.
+    /// Returns whether the configuration and the engine list are known.
     pub fn is_initialized(&self) -> bool {
         self.routes.borrow().version() > 0 && self.engines_known.get()
     }
 
-    /// Puts a configuration in force, unless one as new is.
+    /// Puts a configuration in force if it is newer than the current one.
     ///
-    /// A lagging read or a slow peer may bring an older one; going back would
-    /// let a withdrawn key in again.
+    /// A stale read or a slow peer may deliver an older one, and applying that
+    /// would accept a withdrawn API key again.
     pub fn apply_configuration(
         &self,
         configuration: Configuration,
@@ -209,7 +216,8 @@
         self.wake_ups.heartbeat.notify_one();
     }
 
-    /// Notes weights that were named. Returns whether they are newer.
+    /// Records a published version of weights. Returns whether it is newer than
+    /// all known ones.
     pub fn record_published_weights(
         &self,
         model: &str,
@@ -231,7 +239,7 @@
         true
     }
 
-    /// Notes which peers may be spending of teams' rates.
+    /// Updates which peers and how many instances may spend from teams' rates.
     pub fn update_share_peers(&self, now_ms: u64) {
         let members = self.members.borrow();
         let mesh = &self.settings.mesh;
@@ -240,15 +248,18 @@
         shares.update_peers(|name| members.is_live(name, mesh, now_ms));
     }
 
-    /// Returns the instances that may be serving, this one included.
+    /// Returns the number of instances that may be serving, including this one.
     pub fn instance_count(&self) -> usize {
         self.members.borrow().iter().count() + 1
     }
 
-    /// Returns how fresh this instance's readings of the store have to be.
+    /// Returns the freshness that this instance requires of its reads of the
+    /// store.
     ///
-    /// An instance that hears no peer before it reads currently, so one that is
-    /// cut off from the others depends on nobody's word.
+    /// The first [`GatewaySettings::current_readers`] live instances with access to
+    /// the store, by name, read current state. An instance that receives no
+    /// heartbeat from instances before it does so too; thus an isolated one
+    /// doesn't depend on reports of peers.
     pub fn freshness(&self, now_ms: u64) -> Freshness {
         let members = self.members.borrow();
         let own = &self.machine().name;
@@ -260,7 +271,7 @@
         }
     }
 
-    /// Returns whether a peer that is heard has a newer configuration.
+    /// Returns whether a live peer has a newer configuration.
     pub fn is_behind(&self, now_ms: u64) -> bool {
         let own = self.routes.borrow().version();
         let members = self.members.borrow();
@@ -268,8 +279,8 @@
         live.any(|member| member.last_heartbeat.configuration_version > own)
     }
 
-    /// Returns where callers may connect: this instance if it is ready, and
-    /// the peers that say so and were heard just now.
+    /// Returns the sorted addresses at which callers may connect: those of live
+    /// peers that report to be ready, and of this instance if it is ready.
     pub fn caller_addresses(&self, now_ms: u64) -> Vec<SocketAddr> {
         let members = self.members.borrow();
         let mut addresses: Vec<SocketAddr> = members
@@ -284,7 +295,8 @@
         addresses
     }
 
-    /// Notes that an engine has read a shared part, here and for the peers.
+    /// Records that an engine has cached a shared part, and queues the placement
+    /// for the peers unless it was reported recently.
     pub fn record_part(&self, part: u64, engine: &str, now_ms: u64) {
         let mut engines = self.engines.borrow_mut();
         let Some(known_engine) = engines.get_mut(engine) else {
@@ -302,7 +314,8 @@
         }
     }
 
-    /// Returns the shared parts that peers should hear of.
+    /// Returns the shared parts to report to peers, each with the short hash of its
+    /// engine's name.
     pub fn recent_placements(&self, now_ms: u64) -> Vec<(u64, u32)> {
         let placements = self.placements.borrow();
         let recent = placements
--- a/crates/gateway/src/instance/store_availability.rs
+++ b/crates/gateway/src/instance/store_availability.rs
@@ -1,35 +1,37 @@
 use std::cell::Cell;
 
-/// Kinds of objects that an instance follows: configuration, engines, weights.
+/// Number of kinds of objects that an instance follows: configuration, engines
+/// and weights.
 const FOLLOWED_KINDS: usize = 3;
 
-/// How far what an instance follows in the store can be read.
+/// Whether an instance can follow the store, and when its last outage ended.
 #[derive(Debug, Default)]
 pub struct StoreAvailability {
+    /// Number of kinds that are followed now.
     followed_kinds: Cell<usize>,
-    /// When the last reading without an answer began.
+    /// When the last failed read began.
     last_failed_start_ms: Cell<Option<u64>>,
-    /// When the first reading after it was answered.
+    /// When the first read after it was answered.
     recovered_ms: Cell<Option<u64>>,
 }
 
 impl StoreAvailability {
-    /// Notes that a kind was read, and its changes are waited for.
+    /// Records that a kind was read in full and its changes are followed.
     pub fn follow_started(&self) {
         self.followed_kinds.set(self.followed_kinds.get() + 1);
     }
 
-    /// Notes that a kind has to be read anew.
+    /// Records that a kind is no longer followed and must be read again.
     pub fn follow_ended(&self) {
         self.followed_kinds
             .set(self.followed_kinds.get().saturating_sub(1));
     }
 
-    /// Notes that a reading which began at a time has failed.
+    /// Records that a read which began at `began_ms` has failed.
     pub fn read_failed(&self, began_ms: u64) {
         let last_ms = self.last_failed_start_ms.get().unwrap_or(began_ms);
         self.last_failed_start_ms.set(Some(last_ms.max(began_ms)));
-        // One that began before the store's return may fail after it.
+        // A read that began before the store recovered may fail after it.
         if self
             .recovered_ms
             .get()
@@ -39,24 +41,26 @@
         }
     }
 
-    /// Notes that a reading was answered.
+    /// Records that a read was answered. The first one after an outage marks the
+    /// recovery of the store.
     pub fn read_answered(&self, now_ms: u64) {
         if self.last_failed_start_ms.get().is_some() && self.recovered_ms.get().is_none() {
             self.recovered_ms.set(Some(now_ms));
         }
     }
 
-    /// Returns whether all kinds are followed just now.
+    /// Returns whether all kinds are followed now.
     pub fn follows_all_kinds(&self) -> bool {
         self.followed_kinds.get() == FOLLOWED_KINDS
     }
 
-    /// Returns until when engines are used that the list lacks: their entries may
-    /// have lapsed while the store was away, and are written again within
-    /// `expired_entry_grace_ms` of its return.
+    /// Returns the end of the grace period of engines with a missing entry, or
+    /// `None` if no read has failed since the start.
     ///
-    /// The store was back at the earliest when the last reading that failed had
-    /// begun; `settled_ms` after its return the list counts as it is read.
+    /// Entries may have expired during an outage of the store, and are written
+    /// again within `expired_entry_grace_ms` of its recovery. The store recovered
+    /// no earlier than the last failed read began, and `settled_ms` after the
+    /// recovery the engine list must be followed as read.
     pub fn missing_entries_usable_until_ms(
         &self,
         expired_entry_grace_ms: u64,
