--- a/crates/gateway/src/upstreams/cache_store.rs
+++ b/crates/gateway/src/upstreams/cache_store.rs
@@ -6,30 +6,32 @@
     tokio::time::sleep,
 };
 
-/// Longest wait of one call; the store allows no more.
+/// Longest wait of one call, the maximum that the KV cache store allows.
 const MAX_WAIT_MS: u64 = 1_000;
 
-/// Time that an answer may take beyond the wait.
+/// Time beyond the requested wait within which an answer must arrive.
 const ANSWER_MARGIN_MS: u64 = 400;
 
-/// Time for a connection to the store.
+/// Timeout for a new connection to the KV cache store.
 const CONNECT_TIMEOUT_MS: u64 = 300;
 
-/// Pause after a call without an answer.
+/// Pause after a failed call.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Instances that follow the store. It answers only so many at once; beyond
-/// that, instances find out by fetching.
+/// Maximum number of instances that follow the KV cache store, which answers only
+/// a limited number of concurrent calls. Other instances learn by fetching whether
+/// a part is stored.
 const MAX_FOLLOWERS: usize = 8;
 
-/// Follows what the store of kept parts holds, and whether it answers.
+/// Follows the contents of the KV cache store, and whether it answers. Never
+/// returns.
 pub async fn watch_cache_store(instance: Rc<Instance>) {
     loop {
         let address = cache_store_address(&instance);
         match address {
             Some(address) if is_follower(&instance) => follow(&instance, address).await,
             Some(_) => {
-                // Unknown content is fetched for nothing now and then.
+                // The contents are unknown here, so some fetches find nothing.
                 instance.cache_store.borrow_mut().record_answer(0, false);
                 sleep(Duration::from_secs(1)).await;
             }
--- a/crates/gateway/src/upstreams/connection.rs
+++ b/crates/gateway/src/upstreams/connection.rs
@@ -10,24 +10,27 @@
     tokio::{net::TcpStream, task::AbortHandle, time::timeout},
 };
 
-/// Silence of an idle connection after which its other end is asked.
+/// Time without traffic after which TCP keepalive probes an idle connection, and
+/// the interval between its probes.
 const KEEPALIVE_INTERVAL_S: u64 = 2;
 
-/// Why there is no connection. Nothing was sent.
+/// Why a connection could not be opened. No byte of a request was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{address} takes no connection ({reason}).")]
 pub struct ConnectError {
-    /// Where it went.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// What the system said.
+    /// Error from the operating system or the HTTP client.
     pub reason: String,
 }
 
-/// Opens a connection to an engine.
+/// Opens an HTTP/1.1 connection to an engine. Returns its sender and a handle that
+/// closes it.
 ///
 /// # Errors
 ///
-/// Fails where the engine takes none in time.
+/// Fails if the engine doesn't accept the connection within
+/// [`GatewaySettings::connect_timeout_ms`].
 pub async fn connect(
     address: SocketAddr,
     settings: &GatewaySettings,
@@ -47,13 +50,13 @@
         .await
         .map_err(|error| refused(&error))?;
     let task = tokio::spawn(async move {
-        // Whoever waits for an answer is told of the end by the sender.
+        // The sender reports the end of the connection to whoever awaits an answer.
         let _ = connection.await;
     });
     Ok((sender, task.abort_handle()))
 }
 
-/// Sets what ends a connection whose other end is gone without a reset.
+/// Sets the TCP timeouts that end a connection whose peer is gone without a reset.
 fn set_timeouts(stream: &TcpStream, settings: &GatewaySettings) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/gateway/src/upstreams/exchange.rs
+++ b/crates/gateway/src/upstreams/exchange.rs
@@ -11,44 +11,45 @@
     std::rc::Rc,
 };
 
-/// Why an engine gave no answer.
+/// Why a request got no answer from an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum SendError {
-    /// No byte of the request left; it has not run.
+    /// No byte of the request was sent, so it has not run.
     #[display("The request was not sent: {reason}")]
     NotSent {
-        /// What was seen.
+        /// Error of the connection.
         reason: String,
     },
-    /// The connection ended behind the request; it may have run.
+    /// The connection ended after the request was sent, so it may have run.
     #[display("The request was sent and its connection ended: {reason}")]
     Lost {
-        /// What was seen.
+        /// Error of the connection.
         reason: String,
     },
 }
 
-/// An engine's answer whose body is still to be read.
+/// An engine's answer whose body has not been read yet.
 pub struct Answer {
-    /// What the engine says in the head.
+    /// Decoded fields of the response head.
     pub head: AnswerHead,
-    /// Status and headers as they came.
+    /// Status and headers as received.
     pub parts: response::Parts,
-    /// The body.
+    /// Body of the response, as a stream.
     pub body: Incoming,
-    /// The connection, to be put back behind the whole body.
+    /// The connection, to be returned to the pool once the body is read in full.
     pub connection: PooledConnection,
 }
 
-/// Sends a request to an engine, on a kept connection or a new one, and waits
-/// for the head of the answer.
+/// Sends a request to an engine, on a pooled connection or a new one, and waits for
+/// the head of the answer.
 ///
-/// `build_request` builds the request; it is called again if a kept connection turned
-/// out to be closed before a byte was sent.
+/// `build_request` is called again if a pooled connection turns out to be closed
+/// before a byte was sent.
 ///
 /// # Errors
 ///
-/// Tells whether the request may have run.
+/// Fails if no connection can be opened or the connection ends before the head
+/// arrives. The error says whether the request may have run.
 pub async fn send(
     pool: &Rc<ConnectionPool>,
     engine: &EngineEntry,
@@ -67,7 +68,7 @@
             }
         };
         match send_on(connection, build_request()).await {
-            // The kept connection had been closed; the next one may be good.
+            // The pooled connection was already closed; the next one may be open.
             Err(SendError::NotSent { .. }) if !is_new => {}
             result => return result,
         }
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to engines, and one exchange on them.
+//! Connections to engines, requests on them, and probes of silent engines.
 
 mod cache_store;
 mod connection;
--- a/crates/gateway/src/upstreams/pool.rs
+++ b/crates/gateway/src/upstreams/pool.rs
@@ -11,15 +11,15 @@
     tokio::task::AbortHandle,
 };
 
-/// Time for which an idle connection is used if the engine names none.
+/// Idle timeout of a connection if the engine's answer doesn't name one.
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 4_000;
 
-/// Time before an engine closes an idle connection in which it is no longer
-/// used. A request that crosses the close may have run, for all that can be
-/// known here; a second covers any delay on the way.
+/// Time before an engine's idle timeout from which a connection is no longer used.
+/// A request that is sent while the engine closes the connection counts as one that
+/// may have run; a second covers any delay on the network.
 const IDLE_TIMEOUT_MARGIN_MS: u64 = 1_200;
 
-/// Idle connections kept to one engine.
+/// Maximum number of idle connections to one engine.
 const MAX_IDLE_PER_ENGINE: usize = 24;
 
 struct IdleConnection {
@@ -28,14 +28,15 @@
     expires_ms: u64,
 }
 
-/// Idle connections to engines.
+/// Idle connections to engines, by the engine's incarnation.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: RefCell<HashMap<Incarnation, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// Takes an idle connection that can be used, the one used last first.
+    /// Takes the most recently used idle connection that is ready, and closes
+    /// those that have expired. Returns `None` if there is none.
     pub fn take(
         self: &Rc<ConnectionPool>,
         engine: &EngineEntry,
@@ -63,7 +64,7 @@
         })
     }
 
-    /// Wraps a new connection.
+    /// Wraps a new connection, so that it can be returned to this pool.
     pub fn wrap(
         self: &Rc<ConnectionPool>,
         engine: &EngineEntry,
@@ -79,8 +80,9 @@
         }
     }
 
-    /// Closes all idle connections to an engine that fell silent. A request on
-    /// one of them would be lost; on a new one it is known not to be sent.
+    /// Closes all idle connections to an engine that doesn't answer. A request on
+    /// one of them would be lost, while a failed attempt to open a new connection
+    /// shows that the request was not sent.
     pub fn close_idle(&self, engine: &Incarnation) {
         let connections = self.idle.borrow_mut().remove(engine);
         for connection in connections.unwrap_or_default() {
@@ -88,7 +90,8 @@
         }
     }
 
-    /// Closes connections that are idle for too long, or whose engine is gone.
+    /// Closes connections that have expired or were closed by their engine, and
+    /// those to engines for which `is_listed` is false.
     pub fn sweep(&self, is_listed: impl Fn(&Incarnation) -> bool, now_ms: u64) {
         self.idle.borrow_mut().retain(|engine, connections| {
             let has_entry = is_listed(engine);
@@ -105,9 +108,10 @@
     }
 }
 
-/// A connection in use. Dropped before its answer is whole, it is closed:
-/// the engine then stops the work, and no bytes of this answer can be taken
-/// for another's.
+/// A connection in use.
+///
+/// It is closed if it is dropped before its answer is complete. The engine then
+/// stops the work, and the remaining bytes can't be mistaken for another answer.
 pub struct PooledConnection {
     pool: Weak<ConnectionPool>,
     engine: Incarnation,
@@ -117,19 +121,21 @@
 }
 
 impl PooledConnection {
-    /// Returns what sends on the connection.
+    /// Returns the sender of the connection, or `None` once it was returned to the
+    /// pool.
     pub fn sender(&mut self) -> Option<&mut SendRequest<Full<Bytes>>> {
         self.sender.as_mut()
     }
 
-    /// Notes how long the engine keeps the connection when idle.
+    /// Sets the idle timeout that the engine named; `None` leaves it unchanged.
     pub fn set_keep_alive_s(&mut self, keep_alive_s: Option<u64>) {
         if let Some(keep_alive_s) = keep_alive_s {
             self.idle_timeout_ms = keep_alive_s * 1_000;
         }
     }
 
-    /// Puts the connection back, once its answer was read whole.
+    /// Returns the connection to the pool, once its answer was read in full. Closes
+    /// it instead if it is no longer usable or the engine has enough idle ones.
     pub fn return_to_pool(mut self, now_ms: u64) {
         let (Some(sender), Some(pool)) = (self.sender.take(), self.pool.upgrade()) else {
             return;
--- a/crates/gateway/src/upstreams/probe.rs
+++ b/crates/gateway/src/upstreams/probe.rs
@@ -7,14 +7,15 @@
     tokio::{task::spawn_local, time::sleep},
 };
 
-/// Pause between two tries with engines that fell silent.
+/// Minimum interval between two probes of an engine.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Tries to connect to engines that fell silent until they take a connection.
+/// Probes silent engines by opening a connection, until they accept one. Never
+/// returns.
 ///
-/// A caller's request would be the other way to find out, and most likely be
-/// lost. A question of health takes a place in the engine's queue and costs
-/// more than a connection, which the next request then uses.
+/// Without probes only a caller's request would show that an engine is back, and
+/// most such requests would be lost. A health request would occupy a place in the
+/// engine's queue and cost more than a connection, which the next request uses.
 pub async fn probe_silent_engines(instance: Rc<Instance>, pool: Rc<ConnectionPool>) {
     loop {
         let silent: Vec<EngineEntry> = {
@@ -50,8 +51,10 @@
     log::warn!("event=engine_answers_again engine={}", entry.incarnation.id);
 }
 
-/// Returns whether an engine that is waited for is silent. One that was heard
-/// by nobody here since a time, and isn't known to be silent, is tried.
+/// Returns whether an engine with an open request is silent or no longer known.
+///
+/// Starts a probe if the engine isn't known to be silent and this instance has
+/// received nothing from it since `quiet_since_ms`.
 pub fn check_silent(
     instance: &Rc<Instance>,
     pool: &Rc<ConnectionPool>,
@@ -71,11 +74,13 @@
     is_silent
 }
 
-/// Tries whether an engine from which nothing comes still takes connections.
-/// If not, it gets no further requests, and the peers are told.
+/// Starts a probe of whether an engine still accepts connections, unless one was
+/// started within `PROBE_INTERVAL` or the engine is already known to be silent.
+/// If the probe fails, the engine gets no further requests, and the peers are
+/// notified.
 ///
-/// Silence alone shows nothing: an engine that reads long prompts is silent
-/// too, and keeping work from the busy ones would overload the rest.
+/// The lack of bytes alone proves nothing: an engine sends none while it prefills
+/// long prompts, and excluding busy engines would overload the others.
 pub fn probe_engine(instance: &Rc<Instance>, pool: &Rc<ConnectionPool>, entry: &EngineEntry) {
     {
         let mut engines = instance.engines.borrow_mut();
