--- a/crates/gateway/src/logs/mod.rs
+++ b/crates/gateway/src/logs/mod.rs
@@ -1,4 +1,5 @@
-//! Structured lines on standard output, bounded and never waited for.
+//! Structured log lines on standard output, limited in rate and queued, so that
+//! logging never blocks.
 
 mod sink;
 
--- a/crates/gateway/src/logs/sink.rs
+++ b/crates/gateway/src/logs/sink.rs
@@ -10,20 +10,21 @@
     },
 };
 
-/// Target of lines on the process itself and what it depends on. There are few
-/// of them, and whoever looks for the end of an instance in its log must find it:
-/// they go with the failures, which are not limited.
+/// Log target of lines about the process itself and its dependencies.
+///
+/// Like failures they are exempt from the rate limit: there are few of them,
+/// and the end of an instance must always be found in its log.
 pub const LIFECYCLE: &str = "mangowalk::lifecycle";
 
-/// How much is logged.
+/// Bounds on the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Lines that wait for a reader that has stopped reading.
+    /// Maximum number of lines in each queue while standard output isn't read.
     pub queue_lines: usize,
-    /// Ordinary lines a second; further ones are counted and dropped. Lines
-    /// on failures go on.
+    /// Maximum number of ordinary lines per second. Further ones are dropped and
+    /// counted; failures and lifecycle lines are exempt.
     pub lines_per_s: u64,
-    /// Pause in which lines gather, so that one write takes many.
+    /// Milliseconds between two writes, so that one write takes many lines.
     pub batch_ms: u64,
 }
 
@@ -37,11 +38,11 @@
     }
 }
 
-/// Lines on their way to standard output.
+/// Queues log lines for standard output.
 ///
-/// Standard output may stop being read. Then a write blocks, so it is done by
-/// a thread of its own, and the lines that no longer fit are dropped and
-/// counted. Failures have a queue of their own, which is written first.
+/// A write blocks while standard output isn't read, so a separate thread
+/// writes. Lines that don't fit a queue are dropped and counted. Failures and
+/// lifecycle lines have their own queue, which is written first.
 struct Sink {
     settings: LogSettings,
     instance: String,
@@ -52,11 +53,13 @@
     dropped: AtomicU64,
 }
 
-/// Sends the program's log to standard output.
+/// Sends the program's log to standard output. Each line carries the wall clock
+/// and the instance's name.
 ///
 /// # Errors
 ///
-/// Fails where a log is installed already, or there is no thread for it.
+/// Fails if a logger is already installed, or if the writer thread can't be
+/// started.
 pub fn install(settings: LogSettings, instance: &str) -> io::Result<()> {
     let (priority, priority_lines) = flume::bounded(settings.queue_lines);
     let (ordinary, ordinary_lines) = flume::bounded(settings.queue_lines);
@@ -82,7 +85,7 @@
 fn write_lines(priority: &Receiver<String>, ordinary: &Receiver<String>, batch_interval: Duration) {
     let mut text = String::new();
     loop {
-        // Waits for the first line of either kind, then takes all there are.
+        // Waits for a line from either queue, then drains both.
         let first = flume::Selector::new()
             .recv(priority, |line| line)
             .recv(ordinary, |line| line)
@@ -94,7 +97,7 @@
         for line in priority.try_iter().chain(ordinary.try_iter()) {
             text.push_str(&line);
         }
-        // A closed standard output must not end the instance.
+        // A closed standard output must not stop the instance.
         let _ = io::stdout().write_all(text.as_bytes());
         text.clear();
         thread::sleep(batch_interval);
@@ -102,7 +105,8 @@
 }
 
 impl Sink {
-    /// Returns whether an ordinary line fits into this second.
+    /// Counts an ordinary line, and returns whether it is within the limit of its
+    /// second.
     fn is_within_rate(&self, wall_ms: u64) -> bool {
         let second = wall_ms / 1_000;
         if self.current_second.swap(second, Ordering::Relaxed) != second {
