--- a/crates/gateway/src/critical_tasks.rs
+++ b/crates/gateway/src/critical_tasks.rs
@@ -3,12 +3,12 @@
     tokio::task::{JoinError, JoinSet},
 };
 
-/// Tasks without which an instance can't serve.
+/// Tasks that an instance can't serve without.
 ///
-/// A task that panics ends alone: the others would go on, and an instance that
-/// sends no heartbeat or follows no store would look alive to its callers.
-/// Whoever holds the tasks learns of the first end and ends the process, which
-/// is started again.
+/// A task that panics ends alone and the others keep running, so an instance
+/// that no longer sends heartbeats or follows the store would still look alive
+/// to its callers. The owner of the tasks waits for the first one to end and
+/// then ends the process, which is started again.
 #[derive(Debug, Default)]
 pub struct CriticalTasks {
     tasks: JoinSet<&'static str>,
@@ -16,6 +16,10 @@
 
 impl CriticalTasks {
     /// Starts a task that runs as long as the instance.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside of a [`LocalSet`](tokio::task::LocalSet).
     pub fn start(&mut self, name: &'static str, task: impl Future<Output = ()> + 'static) {
         self.tasks.spawn_local(async move {
             task.await;
@@ -23,7 +27,8 @@
         });
     }
 
-    /// Waits until a task ends, and returns what is known of it.
+    /// Waits until any task ends, and returns a description of how it ended: the
+    /// name of a task that returned, or the message of a panic.
     pub async fn wait_for_end(&mut self) -> String {
         match self.tasks.join_next().await {
             Some(Ok(name)) => format!("{name} returned"),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! The router on one event loop, for machines with a fraction of a core.
 //!
-//! One thread does all the work, so what the parts share lies in one
-//! [`instance::Instance`] without locks. Each part is a task that reads and
-//! writes it; no borrow of it lasts over a wait.
+//! One thread does all the work, so the tasks share their state in one
+//! [`instance::Instance`] without locks. Each task reads and writes it; no
+//! borrow of it may be held across an await.
 
 pub mod callers;
 pub mod instance;
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -24,83 +24,86 @@
     },
 };
 
-/// Pause between two looks while open requests end.
+/// Interval at which a stopping instance checks the time and its open requests.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time for the last heartbeat and log lines to leave. Lines gather for up to a
-/// tenth of a second before they are written.
+/// Time for the last heartbeat and log lines to be sent. Log lines are batched
+/// for up to 100 ms before they are written.
 const FINAL_FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// Time between two looks at the settings file. A change without a signal is
-/// no hurry: what has to hold within seconds comes from the store.
+/// Interval at which the settings file is checked for changes. A change without
+/// a signal isn't urgent: whatever must apply within seconds comes from the store.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Pause between two sweeps of idle connections.
+/// Interval between two sweeps of idle connections and missing engines.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time for which a request may lie in an engine's queue before it begins.
-/// Weights must not be out of bounds when it does.
+/// Longest time for which a request may wait in an engine's queue before it
+/// starts. The weights must still be within their bounds when it does.
 const MAX_ENGINE_QUEUE_MS: u64 = 1_200;
 
-/// Time that an engine may take to notice that a request is withdrawn.
+/// Longest time until an engine notices that a request was cancelled.
 const MAX_CANCEL_MS: u64 = 300;
 
-/// Time that a busy instance may take to handle the signal to stop.
+/// Longest time that a busy instance takes to handle the signal to stop.
 const MAX_SIGNAL_DELAY_MS: u64 = 200;
 
-/// Connections to the store, at its farthest a few milliseconds away.
+/// Timeout for a new connection to the store, which is at most a few
+/// milliseconds away.
 const STORE_CONNECT_TIMEOUT_MS: u64 = 400;
 
-/// Why an instance did not start. Each message names the remedy.
+/// Why an instance did not start or ended early. Each message says what to do.
 #[derive(Debug, Display, Error)]
 pub enum RunError {
     /// The settings file can't be read.
-    #[display("The settings file {path} can't be read ({source}); check path and rights.")]
+    #[display("Can't read the settings file {path} ({source}); check its path and permissions.")]
     Unreadable {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// A field of the settings file can't be used.
+    /// A field of the settings file is missing or invalid.
     #[display("{source}")]
     Settings {
-        /// Which, and what to write.
+        /// Names the field and what to write.
         source: SettingsError,
     },
-    /// An address can't be listened on.
-    #[display("{address} can't be listened on ({source}); check that no other process uses it.")]
+    /// The instance can't listen on an address.
+    #[display("Can't listen on {address} ({source}); check that no other process uses it.")]
     Listen {
-        /// The address.
+        /// Address from the settings file.
         address: SocketAddr,
-        /// What the system said.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// A task without which the instance can't serve has ended.
+    /// One of the [`CriticalTasks`] has ended.
     #[display(
-        "A part that the instance can't serve without has ended ({reason}); start it again, \
-         and report the log's last lines."
+        "A critical task has ended ({reason}); restart the instance, and report the last lines \
+         of its log."
     )]
     TaskEnded {
-        /// Which, and how.
+        /// Name of a task that returned, or the message of its panic.
         #[error(not(source))]
         reason: String,
     },
-    /// The system gives no event loop, signals or thread.
-    #[display("The system gives no {what} ({source}); raise its limits.")]
+    /// The operating system can't provide an event loop, signals or a
+    /// thread.
+    #[display("The operating system can't provide {what} ({source}); raise its limits.")]
     System {
-        /// What is missing.
+        /// Resource that is missing, such as "an event loop".
         what: &'static str,
-        /// What the system said.
+        /// Error from the operating system.
         source: io::Error,
     },
 }
 
-/// Reads a settings file.
+/// Reads and decodes a settings file.
 ///
 /// # Errors
 ///
-/// Names the field that can't be used.
+/// Fails if the file can't be read, or names the field that is missing or
+/// invalid.
 pub fn read_settings(path: &Path) -> Result<MachineSettings, RunError> {
     let text = fs::read_to_string(path).map_err(|source| RunError::Unreadable {
         path: path.display().to_string(),
@@ -109,22 +112,23 @@
     decode_settings(&text).map_err(|source| RunError::Settings { source })
 }
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance with the settings file at `path` until it receives SIGTERM
+/// or SIGINT, and then shuts it down.
 ///
 /// # Errors
 ///
-/// Fails where it can't start.
+/// Fails if the instance can't start, or if one of its critical tasks ends.
 pub fn run(path: &Path) -> Result<(), RunError> {
     let machine = read_settings(path)?;
     logs::install(LogSettings::default(), &machine.name).map_err(|source| RunError::System {
-        what: "thread for the log",
+        what: "a thread for the log",
         source,
     })?;
     let event_loop = runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|source| RunError::System {
-            what: "event loop",
+            what: "an event loop",
             source,
         })?;
     let tasks = LocalSet::new();
@@ -228,6 +232,8 @@
     })
 }
 
+/// Removes engines whose grace period has expired and closes unusable idle
+/// connections, every [`SWEEP_INTERVAL`].
 async fn sweep(instance: Rc<Instance>, pool: Rc<ConnectionPool>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
@@ -244,6 +250,7 @@
     }
 }
 
+/// Removes the engines whose entry is still missing when their grace period ends.
 fn remove_expired_entries(instance: &Instance) {
     let now_ms = now_ms();
     let mut engines = instance.engines.borrow_mut();
@@ -254,9 +261,9 @@
     }
 }
 
-/// Reads the settings again at each SIGHUP, and from time to time without one,
-/// as the file may change without a signal. A file that can't be used changes
-/// nothing.
+/// Reads the settings file again at each SIGHUP, and every
+/// [`SETTINGS_POLL_INTERVAL`], as the file may change without a signal. An
+/// invalid file is logged and changes nothing.
 async fn reload_settings(instance: Rc<Instance>, mut hangup: Signal, path: std::path::PathBuf) {
     let mut last = read_settings(&path);
     loop {
@@ -289,13 +296,15 @@
     }
 }
 
-/// Stops: out of the addresses at once, still serving those who keep old
-/// ones, then ending what is open, all within the time before the kill.
+/// Shuts the instance down before the platform kills it: withdraws it from the
+/// directory at once, serves callers with old addresses for some time, then
+/// closes idle connections and waits for open requests.
 async fn shut_down(instance: &Instance, drain: &watch::Sender<Drain>) {
     let began_ms = now_ms();
     let last_ms = began_ms + instance.machine().grace_ms - instance.settings.exit_margin_ms;
-    // Callers keep addresses up to three times as long as they were told. Those who
-    // come later are sent elsewhere at once: a long stream would be cut off.
+    // Some callers keep addresses for three times their TTL. Callers that connect
+    // after that are sent to other instances at once, as the kill would cut off a
+    // long stream.
     let max_address_age_ms = 3 * 1_000 * instance.settings.address_ttl_s;
     let close_ms =
         (began_ms + max_address_age_ms - MAX_SIGNAL_DELAY_MS).min(last_ms.saturating_sub(500));
