--- a/crates/gateway/tests/following.rs
+++ b/crates/gateway/tests/following.rs
@@ -1,4 +1,5 @@
-//! How long engines are used that the list lacks after the store was away.
+//! Tests how long engines without an entry in the store are used after an outage
+//! of the store.
 
 use mangowalk_gateway::instance::StoreAvailability;
 
@@ -16,7 +17,8 @@
     assert_eq!(until_ms(&availability, 1_000), None);
 }
 
-/// Guards against a grace that begins anew with each kind that is read again.
+/// Guards against a grace period that restarts with each kind of objects that is
+/// read again.
 #[test]
 fn the_grace_period_starts_at_the_first_answer_after_an_outage() {
     let availability = StoreAvailability::default();
@@ -27,8 +29,9 @@
     assert_eq!(until_ms(&availability, 11_200), Some(12_000));
 }
 
-/// Guards against a grace that outlasts the time after which the list has to be
-/// gone by, where a reading waited in vain before the next one was answered.
+/// Guards against a grace period that outlasts `SETTLED_MS`, after which the
+/// engine list must be followed, if a read waited without an answer before the
+/// next one was answered.
 #[test]
 fn the_grace_period_is_capped_after_a_late_answer() {
     let availability = StoreAvailability::default();
@@ -37,8 +40,8 @@
     assert_eq!(until_ms(&availability, 12_200), Some(13_000));
 }
 
-/// Guards against taking the return of an earlier outage for that of the next,
-/// which would leave no engine in use.
+/// Guards against counting the grace period from the recovery of an earlier
+/// outage, which would leave no engine in use.
 #[test]
 fn each_outage_starts_its_own_grace_period() {
     let availability = StoreAvailability::default();
@@ -48,8 +51,8 @@
     assert_eq!(until_ms(&availability, 20_500), Some(22_500));
 }
 
-/// Guards against a reading from before the store's return that ends its grace
-/// or lets it begin anew.
+/// Guards against a read that began before the store recovered, and fails after
+/// it, ending or restarting the grace period.
 #[test]
 fn a_read_that_began_before_recovery_and_fails_after_it_is_ignored() {
     let availability = StoreAvailability::default();
--- a/crates/gateway/tests/vital.rs
+++ b/crates/gateway/tests/vital.rs
@@ -1,4 +1,4 @@
-//! Tasks without which an instance can't serve.
+//! Tests that the end of a critical task is reported.
 
 use {
     mangowalk_gateway::CriticalTasks,
@@ -6,14 +6,15 @@
     tokio::{runtime, task::LocalSet},
 };
 
-/// The task that sends heartbeats panics while all others run. Callers would be
-/// sent to an instance that its peers take for gone; so the panic is told to
-/// whoever may end the process.
+/// Guards against an instance that keeps running after the task that sends
+/// heartbeats panics: callers would still be sent to it although its peers take
+/// it for gone. The panic must reach the owner of the tasks, which ends the
+/// process.
 #[test]
 fn a_panic_of_a_critical_task_is_reported() {
     let event_loop = runtime::Builder::new_current_thread()
         .build()
-        .expect("the system gives an event loop");
+        .expect("the event loop can be built");
     let reason = LocalSet::new().block_on(&event_loop, async {
         let mut tasks = CriticalTasks::default();
         tasks.start("callers", pending());
