--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -301,13 +301,13 @@
 /// closes idle connections and waits for open requests.
 async fn shut_down(instance: &Instance, drain: &watch::Sender<Drain>) {
     let began_ms = now_ms();
-    let last_ms = began_ms + instance.machine().grace_ms - instance.settings.exit_margin_ms;
+    let deadline_ms = began_ms + instance.machine().grace_ms - instance.settings.exit_margin_ms;
     // Some callers keep addresses for three times their TTL. Callers that connect
     // after that are sent to other instances at once, as the kill would cut off a
     // long stream.
     let max_address_age_ms = 3 * 1_000 * instance.settings.address_ttl_s;
     let close_ms =
-        (began_ms + max_address_age_ms - MAX_SIGNAL_DELAY_MS).min(last_ms.saturating_sub(500));
+        (began_ms + max_address_age_ms - MAX_SIGNAL_DELAY_MS).min(deadline_ms.saturating_sub(500));
     log::info!(target: LIFECYCLE, "event=stopping open={}", instance.open_requests.get());
     drain.send_replace(Drain::Departing);
     instance.wake_ups.heartbeat.notify_one();
@@ -315,7 +315,7 @@
         sleep(DRAIN_POLL_INTERVAL).await;
     }
     drain.send_replace(Drain::Closing);
-    while now_ms() < last_ms && instance.open_requests.get() > 0 {
+    while now_ms() < deadline_ms && instance.open_requests.get() > 0 {
         sleep(DRAIN_POLL_INTERVAL).await;
     }
     drain.send_replace(Drain::Stopped);
--- a/crates/gateway/src/upstreams/connection.rs
+++ b/crates/gateway/src/upstreams/connection.rs
@@ -35,20 +35,20 @@
     address: SocketAddr,
     settings: &GatewaySettings,
 ) -> Result<(SendRequest<Full<Bytes>>, AbortHandle), ConnectError> {
-    let refused = |reason: &dyn std::fmt::Display| ConnectError {
+    let connect_error = |reason: &dyn std::fmt::Display| ConnectError {
         address,
         reason: reason.to_string(),
     };
     let connect_timeout = Duration::from_millis(settings.connect_timeout_ms);
     let stream = timeout(connect_timeout, TcpStream::connect(address))
         .await
-        .map_err(|_| refused(&"time ran out"))?
-        .map_err(|error| refused(&error))?;
-    set_timeouts(&stream, settings).map_err(|error| refused(&error))?;
+        .map_err(|_| connect_error(&"time ran out"))?
+        .map_err(|error| connect_error(&error))?;
+    set_timeouts(&stream, settings).map_err(|error| connect_error(&error))?;
     let (sender, connection) = http1::Builder::new()
         .handshake(TokioIo::new(stream))
         .await
-        .map_err(|error| refused(&error))?;
+        .map_err(|error| connect_error(&error))?;
     let task = tokio::spawn(async move {
         // The sender reports the end of the connection to whoever awaits an answer.
         let _ = connection.await;
