--- a/crates/gateway/src/vital.rs
+++ b/crates/gateway/src/critical_tasks.rs
@@ -3,19 +3,23 @@
     tokio::task::{JoinError, JoinSet},
 };
 
-/// Tasks without which an instance can't serve.
+/// Tasks that an instance can't serve without.
 ///
-/// A task that panics ends alone: the others would go on, and an instance that
-/// sends no heartbeat or follows no store would look alive to its callers.
-/// Whoever holds the tasks learns of the first end and ends the process, which
-/// is started again.
+/// A task that panics ends alone and the others keep running, so an instance
+/// that no longer sends heartbeats or follows the store would still look alive
+/// to its callers. The owner of the tasks waits for the first one to end and
+/// then ends the process, which is started again.
 #[derive(Debug, Default)]
-pub struct VitalTasks {
+pub struct CriticalTasks {
     tasks: JoinSet<&'static str>,
 }
 
-impl VitalTasks {
+impl CriticalTasks {
     /// Starts a task that runs as long as the instance.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside of a [`LocalSet`](tokio::task::LocalSet).
     pub fn start(&mut self, name: &'static str, task: impl Future<Output = ()> + 'static) {
         self.tasks.spawn_local(async move {
             task.await;
@@ -23,17 +27,18 @@
         });
     }
 
-    /// Waits until a task ends, and returns what is known of it.
-    pub async fn first_end(&mut self) -> String {
+    /// Waits until any task ends, and returns a description of how it ended: the
+    /// name of a task that returned, or the message of a panic.
+    pub async fn wait_for_end(&mut self) -> String {
         match self.tasks.join_next().await {
             Some(Ok(name)) => format!("{name} returned"),
-            Some(Err(error)) => failure(error),
+            Some(Err(error)) => describe_failure(error),
             None => "there are none".to_owned(),
         }
     }
 }
 
-fn failure(error: JoinError) -> String {
+fn describe_failure(error: JoinError) -> String {
     let Ok(panic) = error.try_into_panic() else {
         return "it was cancelled".to_owned();
     };
--- /dev/null
+++ b/crates/gateway/src/instance/shared_state.rs
@@ -0,0 +1,326 @@
+use {
+    super::{
+        Counters, CrashTracker, Drain, GatewaySettings, ReloadOutcome, StoreAvailability,
+        apply_reloadable,
+    },
+    crate::clock::now_ms,
+    mangowalk_core::{
+        mesh::{MemberTable, OrderReport},
+        pool::{EngineTable, KvStoreContents, MeanPromptLength, PrefillRate, Turnover, short_hash},
+        retries::RetryBudget,
+        routing::{Configuration, RouteTable},
+        share::{ShareSettings, ShareTable},
+        weights::{PublishedAt, WeightsHistory},
+    },
+    mangowalk_platform::{Freshness, MachineSettings},
+    std::{
+        cell::{Cell, RefCell},
+        collections::{BTreeMap, HashMap, VecDeque},
+        net::SocketAddr,
+        rc::Rc,
+    },
+    tokio::sync::{Notify, watch},
+};
+
+/// Notifications between the tasks of an instance.
+#[derive(Debug, Default)]
+pub struct WakeUps {
+    /// Sent when a peer has a newer configuration than this instance.
+    pub configuration: Notify,
+    /// Sent when newer weights were published, or an engine may need them.
+    pub orders: Notify,
+    /// Sent when an engine was found to be silent.
+    pub silent_engine: Notify,
+    /// Sent when a heartbeat should be sent at once.
+    pub heartbeat: Notify,
+}
+
+/// Time for which a placement is reported to peers: two heartbeats, as one may be
+/// lost.
+const PLACEMENT_REPORT_MS: u64 = 450;
+
+/// Fraction of a team's permitted overdraft that all instances together may use
+/// for a moment. The rest is left for instances that can't reach each other.
+const SHARED_SLACK_FRACTION: f64 = 0.5;
+
+/// Time within which a part at an engine isn't reported again. The first parts of
+/// prompts are used many times a second.
+const PLACEMENT_REPEAT_MS: u64 = 1_000;
+
+/// Maximum number of placements in one heartbeat, so that it fits one datagram.
+const MAX_PLACEMENTS: usize = 48;
+
+/// The state that the tasks of an instance share. Tasks read and write it, and
+/// don't call each other.
+pub struct Instance {
+    /// Settings of the machine, from the platform's settings file.
+    machine: RefCell<Rc<MachineSettings>>,
+    /// Settings of the router itself.
+    pub settings: GatewaySettings,
+    /// Wall clock in milliseconds at the start; distinguishes this start from
+    /// earlier ones.
+    pub incarnation: u64,
+    /// Requests that were running on engines when these crashed.
+    pub crashes: RefCell<CrashTracker>,
+    /// Known contents of the KV cache store.
+    pub cache_store: RefCell<KvStoreContents>,
+    /// Shared prompt parts that engines recently cached for this instance, oldest
+    /// first: time in milliseconds, part and short hash of the engine's name.
+    pub placements: RefCell<VecDeque<(u64, u64, u32)>>,
+    /// Time of the start, on the clock of [`now_ms`].
+    pub started_ms: u64,
+    /// Routes of the configuration in force.
+    pub routes: RefCell<Rc<RouteTable>>,
+    /// Listed engines and their known state.
+    pub engines: RefCell<EngineTable>,
+    /// Whether the engine list was read since the start.
+    pub engines_known: Cell<bool>,
+    /// Whether the store can be read, and when its last outage ended.
+    pub store_availability: StoreAvailability,
+    /// Estimated speed at which engines prefill prompts.
+    pub prefill_rate: Cell<PrefillRate>,
+    /// Rate at which this instance fills the engines' memory.
+    pub turnover: Cell<Turnover>,
+    /// Mean length of prompts.
+    pub mean_prompt_length: Cell<MeanPromptLength>,
+    /// Published versions of weights by model.
+    pub weights_histories: RefCell<BTreeMap<String, WeightsHistory>>,
+    /// This instance's share of each team's rate.
+    pub shares: RefCell<ShareTable>,
+    /// Retry budgets by service.
+    pub retry_budgets: RefCell<HashMap<String, RetryBudget>>,
+    /// Known peers and their last heartbeats.
+    pub members: RefCell<MemberTable>,
+    /// Whether this instance holds the lease under which orders are sent.
+    pub holds_lease: Cell<bool>,
+    /// When this instance sent its last order; `None` if it sent none since its
+    /// start.
+    pub last_order_ms: Cell<Option<u64>>,
+    /// Orders in progress, as reported in heartbeats; empty without the lease.
+    pub order_reports: RefCell<Vec<OrderReport>>,
+    /// Metrics for operators.
+    pub counters: Counters,
+    /// Number of requests that were received and not yet answered in full.
+    pub open_requests: Cell<usize>,
+    /// Current phase of the shutdown.
+    pub drain: watch::Receiver<Drain>,
+    /// Notifications between tasks.
+    pub wake_ups: WakeUps,
+}
+
+impl Instance {
+    /// Returns the state of an instance that has just started: without a
+    /// configuration, engines or peers.
+    pub fn new(
+        machine: MachineSettings,
+        settings: GatewaySettings,
+        incarnation: u64,
+        drain: watch::Receiver<Drain>,
+    ) -> Rc<Instance> {
+        let shares = ShareTable::new(
+            &machine.name,
+            ShareSettings {
+                slack_tokens: machine.quota_slack_tokens * SHARED_SLACK_FRACTION,
+                ..ShareSettings::default()
+            },
+        );
+        Rc::new(Instance {
+            machine: RefCell::new(Rc::new(machine)),
+            settings,
+            incarnation,
+            started_ms: now_ms(),
+            crashes: RefCell::default(),
+            cache_store: RefCell::default(),
+            placements: RefCell::default(),
+            routes: RefCell::default(),
+            engines: RefCell::default(),
+            engines_known: Cell::new(false),
+            store_availability: StoreAvailability::default(),
+            prefill_rate: Cell::default(),
+            turnover: Cell::default(),
+            mean_prompt_length: Cell::default(),
+            weights_histories: RefCell::default(),
+            shares: RefCell::new(shares),
+            retry_budgets: RefCell::default(),
+            members: RefCell::default(),
+            holds_lease: Cell::new(false),
+            last_order_ms: Cell::new(None),
+            order_reports: RefCell::default(),
+            counters: Counters::default(),
+            open_requests: Cell::new(0),
+            drain,
+            wake_ups: WakeUps::default(),
+        })
+    }
+
+    /// Returns the machine settings in force.
+    pub fn machine(&self) -> Rc<MachineSettings> {
+        self.machine.borrow().clone()
+    }
+
+    /// Applies the settings that may change while the instance runs, and adds the
+    /// seeds as candidate addresses. Returns what became of each changed field.
+    pub fn reload(&self, new: &MachineSettings) -> ReloadOutcome {
+        let (settings, outcome) = apply_reloadable(&self.machine(), new);
+        *self.machine.borrow_mut() = Rc::new(settings);
+        self.add_seed_candidates();
+        outcome
+    }
+
+    /// Adds the addresses at which the platform expects peers as candidates, to
+    /// which heartbeats are sent.
+    pub fn add_seed_candidates(&self) {
+        let machine = self.machine();
+        let mut members = self.members.borrow_mut();
+        for &seed in &machine.seeds {
+            if seed != machine.peer_address {
+                members.add_candidate(seed, now_ms());
+            }
+        }
+    }
+
+    /// Returns whether callers may be sent to this instance.
+    pub fn is_ready(&self) -> bool {
+        self.is_initialized() && *self.drain.borrow() == Drain::Serving
+    }
+
+    /// Returns whether the configuration and the engine list are known.
+    pub fn is_initialized(&self) -> bool {
+        self.routes.borrow().version() > 0 && self.engines_known.get()
+    }
+
+    /// Puts a configuration in force if it is newer than the current one.
+    ///
+    /// A stale read or a slow peer may deliver an older one, and applying that
+    /// would accept a withdrawn API key again.
+    pub fn apply_configuration(
+        &self,
+        configuration: Configuration,
+        source: &'static str,
+        now_ms: u64,
+    ) {
+        let before = self.routes.borrow().version();
+        if configuration.version <= before {
+            return;
+        }
+        log::info!(
+            "event=configuration version={} before={before} routes={} source={source}",
+            configuration.version,
+            configuration.routes.len(),
+        );
+        self.counters.count("configurations", source);
+        self.shares
+            .borrow_mut()
+            .configure(&configuration.tenants, now_ms);
+        *self.routes.borrow_mut() = Rc::new(RouteTable::new(configuration));
+        self.wake_ups.heartbeat.notify_one();
+    }
+
+    /// Records a published version of weights. Returns whether it is newer than
+    /// all known ones.
+    pub fn record_published_weights(
+        &self,
+        model: &str,
+        version: u64,
+        at: PublishedAt,
+        source: &'static str,
+    ) -> bool {
+        let mut histories = self.weights_histories.borrow_mut();
+        let history = histories.entry(model.to_owned()).or_default();
+        let before = history.newest();
+        if !history.insert(version, at, &self.settings.weights, now_ms()) {
+            return false;
+        }
+        log::info!(
+            "event=weights_named model={model} version={version} before={before} source={source}"
+        );
+        self.wake_ups.orders.notify_one();
+        self.wake_ups.heartbeat.notify_one();
+        true
+    }
+
+    /// Updates which peers and how many instances may spend from teams' rates.
+    pub fn update_share_peers(&self, now_ms: u64) {
+        let members = self.members.borrow();
+        let mesh = &self.settings.mesh;
+        let mut shares = self.shares.borrow_mut();
+        shares.set_expected_instances(members.expected() + 1);
+        shares.update_peers(|name| members.is_live(name, mesh, now_ms));
+    }
+
+    /// Returns the number of instances that may be serving, including this one.
+    pub fn instance_count(&self) -> usize {
+        self.members.borrow().iter().count() + 1
+    }
+
+    /// Returns the freshness that this instance requires of its reads of the
+    /// store.
+    ///
+    /// The first [`GatewaySettings::current_readers`] live instances with access to
+    /// the store, by name, read current state. An instance that receives no
+    /// heartbeat from instances before it does so too; thus an isolated one
+    /// doesn't depend on reports of peers.
+    pub fn freshness(&self, now_ms: u64) -> Freshness {
+        let members = self.members.borrow();
+        let own = &self.machine().name;
+        let before =
+            members.count_live_before(own, |peer| peer.has_store, &self.settings.mesh, now_ms);
+        match before < self.settings.current_readers {
+            true => Freshness::Current,
+            false => Freshness::MayLag,
+        }
+    }
+
+    /// Returns whether a live peer has a newer configuration.
+    pub fn is_behind(&self, now_ms: u64) -> bool {
+        let own = self.routes.borrow().version();
+        let members = self.members.borrow();
+        let mut live = members.live(&self.settings.mesh, now_ms);
+        live.any(|member| member.last_heartbeat.configuration_version > own)
+    }
+
+    /// Returns the sorted addresses at which callers may connect: those of live
+    /// peers that report to be ready, and of this instance if it is ready.
+    pub fn caller_addresses(&self, now_ms: u64) -> Vec<SocketAddr> {
+        let members = self.members.borrow();
+        let mut addresses: Vec<SocketAddr> = members
+            .live(&self.settings.mesh, now_ms)
+            .filter(|member| member.last_heartbeat.ready)
+            .map(|member| member.last_heartbeat.caller_address)
+            .collect();
+        if self.is_ready() {
+            addresses.push(self.machine().caller_address);
+        }
+        addresses.sort();
+        addresses
+    }
+
+    /// Records that an engine has cached a shared part, and queues the placement
+    /// for the peers unless it was reported recently.
+    pub fn record_part(&self, part: u64, engine: &str, now_ms: u64) {
+        let mut engines = self.engines.borrow_mut();
+        let Some(known_engine) = engines.get_mut(engine) else {
+            return;
+        };
+        let was_reported = known_engine.has_cached(part, PLACEMENT_REPEAT_MS, now_ms);
+        known_engine.record_part(part, now_ms);
+        if was_reported {
+            return;
+        }
+        let mut placements = self.placements.borrow_mut();
+        placements.push_back((now_ms, part, short_hash(engine)));
+        while placements.len() > MAX_PLACEMENTS {
+            placements.pop_front();
+        }
+    }
+
+    /// Returns the shared parts to report to peers, each with the short hash of its
+    /// engine's name.
+    pub fn recent_placements(&self, now_ms: u64) -> Vec<(u64, u32)> {
+        let placements = self.placements.borrow();
+        let recent = placements
+            .iter()
+            .filter(|(recorded_ms, _, _)| now_ms < recorded_ms + PLACEMENT_REPORT_MS);
+        recent.map(|(_, part, engine)| (*part, *engine)).collect()
+    }
+}
--- a/crates/gateway/src/logs/sink.rs
+++ b/crates/gateway/src/logs/sink.rs
@@ -10,21 +10,22 @@
     },
 };
 
-/// Target of lines on the process itself and what it depends on. There are few
-/// of them, and whoever looks for the end of an instance in its log must find it:
-/// they go with the failures, which are not limited.
+/// Log target of lines about the process itself and its dependencies.
+///
+/// Like failures they are exempt from the rate limit: there are few of them,
+/// and the end of an instance must always be found in its log.
 pub const LIFECYCLE: &str = "mangowalk::lifecycle";
 
-/// How much is logged.
+/// Bounds on the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Lines that wait for a reader that has stopped reading.
+    /// Maximum number of lines in each queue while standard output isn't read.
     pub queue_lines: usize,
-    /// Ordinary lines a second; further ones are counted and dropped. Lines
-    /// on failures go on.
+    /// Maximum number of ordinary lines per second. Further ones are dropped and
+    /// counted; failures and lifecycle lines are exempt.
     pub lines_per_s: u64,
-    /// Pause in which lines gather, so that one write takes many.
-    pub gather_ms: u64,
+    /// Milliseconds between two writes, so that one write takes many lines.
+    pub batch_ms: u64,
 }
 
 impl Default for LogSettings {
@@ -32,86 +33,89 @@
         LogSettings {
             queue_lines: 2_048,
             lines_per_s: 150,
-            gather_ms: 100,
+            batch_ms: 100,
         }
     }
 }
 
-/// Lines on their way to standard output.
+/// Queues log lines for standard output.
 ///
-/// Standard output may stop being read. Then a write blocks, so it is done by
-/// a thread of its own, and the lines that no longer fit are dropped and
-/// counted. Failures have a queue of their own, which is written first.
+/// A write blocks while standard output isn't read, so a separate thread
+/// writes. Lines that don't fit a queue are dropped and counted. Failures and
+/// lifecycle lines have their own queue, which is written first.
 struct Sink {
     settings: LogSettings,
     instance: String,
-    odd: Sender<String>,
+    priority: Sender<String>,
     ordinary: Sender<String>,
-    second: AtomicU64,
-    in_second: AtomicU64,
+    current_second: AtomicU64,
+    lines_in_second: AtomicU64,
     dropped: AtomicU64,
 }
 
-/// Sends the program's log to standard output.
+/// Sends the program's log to standard output. Each line carries the wall clock
+/// and the instance's name.
 ///
 /// # Errors
 ///
-/// Fails where a log is installed already, or there is no thread for it.
+/// Fails if a logger is already installed, or if the writer thread can't be
+/// started.
 pub fn install(settings: LogSettings, instance: &str) -> io::Result<()> {
-    let (odd, odd_lines) = flume::bounded(settings.queue_lines);
+    let (priority, priority_lines) = flume::bounded(settings.queue_lines);
     let (ordinary, ordinary_lines) = flume::bounded(settings.queue_lines);
     let sink = Sink {
         settings,
         instance: instance.to_owned(),
-        odd,
+        priority,
         ordinary,
-        second: AtomicU64::new(0),
-        in_second: AtomicU64::new(0),
+        current_second: AtomicU64::new(0),
+        lines_in_second: AtomicU64::new(0),
         dropped: AtomicU64::new(0),
     };
     log::set_boxed_logger(Box::new(sink)).map_err(io::Error::other)?;
     log::set_max_level(LevelFilter::Info);
-    let gather = Duration::from_millis(settings.gather_ms);
+    let batch_interval = Duration::from_millis(settings.batch_ms);
     thread::Builder::new()
         .name("log".to_owned())
         .stack_size(64 * 1024)
-        .spawn(move || write_lines(&odd_lines, &ordinary_lines, gather))?;
+        .spawn(move || write_lines(&priority_lines, &ordinary_lines, batch_interval))?;
     Ok(())
 }
 
-fn write_lines(odd: &Receiver<String>, ordinary: &Receiver<String>, gather: Duration) {
+fn write_lines(priority: &Receiver<String>, ordinary: &Receiver<String>, batch_interval: Duration) {
     let mut text = String::new();
     loop {
-        // Waits for the first line of either kind, then takes all there are.
+        // Waits for a line from either queue, then drains both.
         let first = flume::Selector::new()
-            .recv(odd, |line| line)
+            .recv(priority, |line| line)
             .recv(ordinary, |line| line)
             .wait();
         let Ok(first) = first else {
             return;
         };
         text.push_str(&first);
-        for line in odd.try_iter().chain(ordinary.try_iter()) {
+        for line in priority.try_iter().chain(ordinary.try_iter()) {
             text.push_str(&line);
         }
-        // A closed standard output must not end the instance.
+        // A closed standard output must not stop the instance.
         let _ = io::stdout().write_all(text.as_bytes());
         text.clear();
-        thread::sleep(gather);
+        thread::sleep(batch_interval);
     }
 }
 
 impl Sink {
-    /// Returns whether an ordinary line fits into this second.
-    fn fits(&self, wall_ms: u64) -> bool {
+    /// Counts an ordinary line, and returns whether it is within the limit of its
+    /// second.
+    fn is_within_rate(&self, wall_ms: u64) -> bool {
         let second = wall_ms / 1_000;
-        if self.second.swap(second, Ordering::Relaxed) != second {
-            self.in_second.store(0, Ordering::Relaxed);
+        if self.current_second.swap(second, Ordering::Relaxed) != second {
+            self.lines_in_second.store(0, Ordering::Relaxed);
         }
-        self.in_second.fetch_add(1, Ordering::Relaxed) < self.settings.lines_per_s
+        self.lines_in_second.fetch_add(1, Ordering::Relaxed) < self.settings.lines_per_s
     }
 
-    fn drop_line(&self) {
+    fn count_dropped_line(&self) {
         self.dropped.fetch_add(1, Ordering::Relaxed);
     }
 }
@@ -126,9 +130,9 @@
             return;
         }
         let wall_ms = wall_ms();
-        let odd = record.level() <= Level::Warn || record.target() == LIFECYCLE;
-        if !odd && !self.fits(wall_ms) {
-            return self.drop_line();
+        let is_priority = record.level() <= Level::Warn || record.target() == LIFECYCLE;
+        if !is_priority && !self.is_within_rate(wall_ms) {
+            return self.count_dropped_line();
         }
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         let mut line = format!(
@@ -141,10 +145,14 @@
             line.push_str(&format!(" dropped_lines={dropped}"));
         }
         line.push('\n');
-        let queue = if odd { &self.odd } else { &self.ordinary };
+        let queue = if is_priority {
+            &self.priority
+        } else {
+            &self.ordinary
+        };
         if let Err(TrySendError::Full(_)) = queue.try_send(line) {
             self.dropped.fetch_add(dropped, Ordering::Relaxed);
-            self.drop_line();
+            self.count_dropped_line();
         }
     }
 
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -2,12 +2,12 @@
     crate::{
         callers::{serve_callers, serve_directory, serve_metrics, serve_ready},
         clock::{now_ms, wall_ms},
+        critical_tasks::CriticalTasks,
         instance::{Drain, GatewaySettings, Instance},
         logs::{self, LIFECYCLE, LogSettings},
         mesh,
         store::{CallClient, register, watch_configuration, watch_engines, watch_weights},
-        upstreams::{Pool, probe_silent, watch_kept},
-        vital::VitalTasks,
+        upstreams::{ConnectionPool, probe_silent_engines, watch_cache_store},
         weights::run_weights_updater,
     },
     derive_more::{Display, Error},
@@ -24,83 +24,86 @@
     },
 };
 
-/// Pause between two looks while open requests end.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a stopping instance checks the time and its open requests.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time for the last heartbeat and log lines to leave. Lines gather for up to a
-/// tenth of a second before they are written.
-const FAREWELL: Duration = Duration::from_millis(200);
+/// Time for the last heartbeat and log lines to be sent. Log lines are batched
+/// for up to 100 ms before they are written.
+const FINAL_FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// Time between two looks at the settings file. A change without a signal is
-/// no hurry: what has to hold within seconds comes from the store.
-const SETTINGS_LOOK: Duration = Duration::from_secs(3);
+/// Interval at which the settings file is checked for changes. A change without
+/// a signal isn't urgent: whatever must apply within seconds comes from the store.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Pause between two sweeps of idle connections.
-const SWEEP: Duration = Duration::from_millis(1_000);
+/// Interval between two sweeps of idle connections and missing engines.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time for which a request may lie in an engine's queue before it begins.
-/// Weights must not be out of bounds when it does.
-const QUEUED_MS: u64 = 1_200;
+/// Longest time for which a request may wait in an engine's queue before it
+/// starts. The weights must still be within their bounds when it does.
+const MAX_ENGINE_QUEUE_MS: u64 = 1_200;
 
-/// Time that an engine may take to notice that a request is withdrawn.
-const WITHDRAW_MS: u64 = 300;
+/// Longest time until an engine notices that a request was cancelled.
+const MAX_CANCEL_MS: u64 = 300;
 
-/// Time that a busy instance may take to handle the signal to stop.
-const SIGNAL_MS: u64 = 200;
+/// Longest time that a busy instance takes to handle the signal to stop.
+const MAX_SIGNAL_DELAY_MS: u64 = 200;
 
-/// Connections to the store, at its farthest a few milliseconds away.
-const STORE_CONNECT_MS: u64 = 400;
+/// Timeout for a new connection to the store, which is at most a few
+/// milliseconds away.
+const STORE_CONNECT_TIMEOUT_MS: u64 = 400;
 
-/// Why an instance did not start. Each message names the remedy.
+/// Why an instance did not start or ended early. Each message says what to do.
 #[derive(Debug, Display, Error)]
 pub enum RunError {
     /// The settings file can't be read.
-    #[display("The settings file {path} can't be read ({source}); check path and rights.")]
+    #[display("Can't read the settings file {path} ({source}); check its path and permissions.")]
     Unreadable {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// A field of the settings file can't be used.
+    /// A field of the settings file is missing or invalid.
     #[display("{source}")]
     Settings {
-        /// Which, and what to write.
+        /// Names the field and what to write.
         source: SettingsError,
     },
-    /// An address can't be listened on.
-    #[display("{address} can't be listened on ({source}); check that no other process uses it.")]
+    /// The instance can't listen on an address.
+    #[display("Can't listen on {address} ({source}); check that no other process uses it.")]
     Listen {
-        /// The address.
+        /// Address from the settings file.
         address: SocketAddr,
-        /// What the system said.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// A task without which the instance can't serve has ended.
+    /// One of the [`CriticalTasks`] has ended.
     #[display(
-        "A part that the instance can't serve without has ended ({reason}); start it again, \
-         and report the log's last lines."
+        "A critical task has ended ({reason}); restart the instance, and report the last lines \
+         of its log."
     )]
     TaskEnded {
-        /// Which, and how.
+        /// Name of a task that returned, or the message of its panic.
         #[error(not(source))]
         reason: String,
     },
-    /// The system gives no event loop, signals or thread.
-    #[display("The system gives no {what} ({source}); raise its limits.")]
+    /// The operating system can't provide an event loop, signals or a
+    /// thread.
+    #[display("The operating system can't provide {what} ({source}); raise its limits.")]
     System {
-        /// What is missing.
+        /// Resource that is missing, such as "an event loop".
         what: &'static str,
-        /// What the system said.
+        /// Error from the operating system.
         source: io::Error,
     },
 }
 
-/// Reads a settings file.
+/// Reads and decodes a settings file.
 ///
 /// # Errors
 ///
-/// Names the field that can't be used.
+/// Fails if the file can't be read, or names the field that is missing or
+/// invalid.
 pub fn read_settings(path: &Path) -> Result<MachineSettings, RunError> {
     let text = fs::read_to_string(path).map_err(|source| RunError::Unreadable {
         path: path.display().to_string(),
@@ -109,22 +112,23 @@
     decode_settings(&text).map_err(|source| RunError::Settings { source })
 }
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance with the settings file at `path` until it receives SIGTERM
+/// or SIGINT, and then shuts it down.
 ///
 /// # Errors
 ///
-/// Fails where it can't start.
+/// Fails if the instance can't start, or if one of its critical tasks ends.
 pub fn run(path: &Path) -> Result<(), RunError> {
     let machine = read_settings(path)?;
     logs::install(LogSettings::default(), &machine.name).map_err(|source| RunError::System {
-        what: "thread for the log",
+        what: "a thread for the log",
         source,
     })?;
     let event_loop = runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|source| RunError::System {
-            what: "event loop",
+            what: "an event loop",
             source,
         })?;
     let tasks = LocalSet::new();
@@ -144,8 +148,8 @@
     };
     let defaults = GatewaySettings::default();
     let weights = WeightsSettings {
-        dispatch_until_ms: machine.weights_ms.saturating_sub(QUEUED_MS),
-        start_until_ms: machine.weights_ms.saturating_sub(WITHDRAW_MS),
+        dispatch_until_ms: machine.weights_ms.saturating_sub(MAX_ENGINE_QUEUE_MS),
+        start_until_ms: machine.weights_ms.saturating_sub(MAX_CANCEL_MS),
         ..defaults.weights
     };
     let settings = GatewaySettings {
@@ -164,10 +168,10 @@
             address: peer_address,
             source,
         })?;
-    let (drain_teller, drain) = Drain::channel();
+    let (drain_sender, drain) = Drain::channel();
     let instance = Instance::new(machine, settings, wall_ms(), drain);
-    let store_client = CallClient::new(instance.machine().store_address, STORE_CONNECT_MS);
-    let (pool, store) = (Rc::new(Pool::default()), Rc::new(store_client));
+    let store_client = CallClient::new(instance.machine().store_address, STORE_CONNECT_TIMEOUT_MS);
+    let (pool, store) = (Rc::new(ConnectionPool::default()), Rc::new(store_client));
     log::info!(
         target: LIFECYCLE,
         "event=started domain={} callers={} incarnation={}",
@@ -175,7 +179,7 @@
         instance.machine().caller_address,
         instance.incarnation,
     );
-    let mut tasks = VitalTasks::default();
+    let mut tasks = CriticalTasks::default();
     tasks.start("heartbeats", mesh::exchange(instance.clone(), peers));
     tasks.start(
         "configuration",
@@ -194,57 +198,60 @@
         "callers",
         serve_callers(instance.clone(), pool.clone(), callers),
     );
-    tasks.start("kept_parts", watch_kept(instance.clone()));
+    tasks.start("kept_parts", watch_cache_store(instance.clone()));
     tasks.start("sweep", sweep(instance.clone(), pool.clone()));
-    tasks.start("probes", probe_silent(instance.clone(), pool));
+    tasks.start("probes", probe_silent_engines(instance.clone(), pool));
     tasks.start(
         "settings",
-        reload(
+        reload_settings(
             instance.clone(),
-            catch(SignalKind::hangup())?,
+            listen_for(SignalKind::hangup())?,
             path.to_owned(),
         ),
     );
     spawn_local(register(instance.clone(), store));
-    let mut terminate = catch(SignalKind::terminate())?;
-    let mut interrupt = catch(SignalKind::interrupt())?;
+    let mut terminate = listen_for(SignalKind::terminate())?;
+    let mut interrupt = listen_for(SignalKind::interrupt())?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        reason = tasks.first_end() => {
+        reason = tasks.wait_for_end() => {
             log::error!("event=task_ended reason=\"{reason}\"");
-            sleep(FAREWELL).await;
+            sleep(FINAL_FLUSH_TIME).await;
             return Err(RunError::TaskEnded { reason });
         }
     }
-    stop(&instance, &drain_teller).await;
+    shut_down(&instance, &drain_sender).await;
     Ok(())
 }
 
-fn catch(kind: SignalKind) -> Result<Signal, RunError> {
+fn listen_for(kind: SignalKind) -> Result<Signal, RunError> {
     signal(kind).map_err(|source| RunError::System {
         what: "signals",
         source,
     })
 }
 
-async fn sweep(instance: Rc<Instance>, pool: Rc<Pool>) {
+/// Removes engines whose grace period has expired and closes unusable idle
+/// connections, every [`SWEEP_INTERVAL`].
+async fn sweep(instance: Rc<Instance>, pool: Rc<ConnectionPool>) {
     loop {
-        sleep(SWEEP).await;
-        unlist_missing(&instance);
+        sleep(SWEEP_INTERVAL).await;
+        remove_expired_entries(&instance);
         let engines = instance.engines.borrow();
         pool.sweep(
-            |one| {
+            |incarnation| {
                 engines
-                    .get(&one.id)
-                    .is_some_and(|belief| belief.entry.incarnation == *one)
+                    .get(&incarnation.id)
+                    .is_some_and(|known_engine| known_engine.entry.incarnation == *incarnation)
             },
             now_ms(),
         );
     }
 }
 
-fn unlist_missing(instance: &Instance) {
+/// Removes the engines whose entry is still missing when their grace period ends.
+fn remove_expired_entries(instance: &Instance) {
     let now_ms = now_ms();
     let mut engines = instance.engines.borrow_mut();
     let revision = engines.list_revision();
@@ -254,33 +261,33 @@
     }
 }
 
-/// Reads the settings again at each SIGHUP, and from time to time without one,
-/// as the file may change without a signal. A file that can't be used changes
-/// nothing.
-async fn reload(instance: Rc<Instance>, mut hangup: Signal, path: std::path::PathBuf) {
+/// Reads the settings file again at each SIGHUP, and every
+/// [`SETTINGS_POLL_INTERVAL`], as the file may change without a signal. An
+/// invalid file is logged and changes nothing.
+async fn reload_settings(instance: Rc<Instance>, mut hangup: Signal, path: std::path::PathBuf) {
     let mut last = read_settings(&path);
     loop {
-        let is_told = tokio::select! {
-            told = hangup.recv() => told.is_some(),
-            () = sleep(SETTINGS_LOOK) => false,
+        let is_signaled = tokio::select! {
+            signal = hangup.recv() => signal.is_some(),
+            () = sleep(SETTINGS_POLL_INTERVAL) => false,
         };
         let read = read_settings(&path);
-        let is_new = match (&read, &last) {
+        let is_changed = match (&read, &last) {
             (Ok(read), Ok(last)) => read != last,
             (Err(read), Err(last)) => read.to_string() != last.to_string(),
             _ => true,
         };
-        if !is_told && !is_new {
+        if !is_signaled && !is_changed {
             continue;
         }
         match &read {
             Ok(machine) => {
-                let reload = instance.reload(machine);
+                let outcome = instance.reload(machine);
                 log::info!(
                     target: LIFECYCLE,
                     "event=reloaded taken={} waiting_for_start={}",
-                    reload.taken.join(","),
-                    reload.waiting.join(","),
+                    outcome.applied.join(","),
+                    outcome.needs_restart.join(","),
                 );
             }
             Err(error) => log::warn!("event=reload_refused error=\"{error}\""),
@@ -289,27 +296,30 @@
     }
 }
 
-/// Stops: out of the addresses at once, still serving those who keep old
-/// ones, then ending what is open, all within the time before the kill.
-async fn stop(instance: &Instance, drain: &watch::Sender<Drain>) {
+/// Shuts the instance down before the platform kills it: withdraws it from the
+/// directory at once, serves callers with old addresses for some time, then
+/// closes idle connections and waits for open requests.
+async fn shut_down(instance: &Instance, drain: &watch::Sender<Drain>) {
     let began_ms = now_ms();
-    let last_ms = began_ms + instance.machine().grace_ms - instance.settings.exit_margin_ms;
-    // Callers keep addresses up to three times as long as they were told. Those who
-    // come later are sent elsewhere at once: a long stream would be cut off.
-    let kept_ms = 3 * 1_000 * instance.settings.keep_s;
-    let close_ms = (began_ms + kept_ms - SIGNAL_MS).min(last_ms.saturating_sub(500));
+    let deadline_ms = began_ms + instance.machine().grace_ms - instance.settings.exit_margin_ms;
+    // Some callers keep addresses for three times their TTL. Callers that connect
+    // after that are sent to other instances at once, as the kill would cut off a
+    // long stream.
+    let max_address_age_ms = 3 * 1_000 * instance.settings.address_ttl_s;
+    let close_ms =
+        (began_ms + max_address_age_ms - MAX_SIGNAL_DELAY_MS).min(deadline_ms.saturating_sub(500));
     log::info!(target: LIFECYCLE, "event=stopping open={}", instance.open_requests.get());
     drain.send_replace(Drain::Departing);
-    instance.notes.heartbeat.notify_one();
+    instance.wake_ups.heartbeat.notify_one();
     while now_ms() < close_ms {
-        sleep(DRAIN_LOOK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     drain.send_replace(Drain::Closing);
-    while now_ms() < last_ms && instance.open_requests.get() > 0 {
-        sleep(DRAIN_LOOK).await;
+    while now_ms() < deadline_ms && instance.open_requests.get() > 0 {
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     drain.send_replace(Drain::Stopped);
-    instance.notes.heartbeat.notify_one();
+    instance.wake_ups.heartbeat.notify_one();
     log::info!(target: LIFECYCLE, "event=stopped open={}", instance.open_requests.get());
-    sleep(FAREWELL).await;
+    sleep(FINAL_FLUSH_TIME).await;
 }
--- a/crates/gateway/src/upstreams/connection.rs
+++ b/crates/gateway/src/upstreams/connection.rs
@@ -10,54 +10,57 @@
     tokio::{net::TcpStream, task::AbortHandle, time::timeout},
 };
 
-/// Silence of an idle connection after which its other end is asked.
-const KEEPALIVE_IDLE_S: u64 = 2;
+/// Time without traffic after which TCP keepalive probes an idle connection, and
+/// the interval between its probes.
+const KEEPALIVE_INTERVAL_S: u64 = 2;
 
-/// Why there is no connection. Nothing was sent.
+/// Why a connection could not be opened. No byte of a request was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{address} takes no connection ({reason}).")]
 pub struct ConnectError {
-    /// Where it went.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// What the system said.
+    /// Error from the operating system or the HTTP client.
     pub reason: String,
 }
 
-/// Opens a connection to an engine.
+/// Opens an HTTP/1.1 connection to an engine. Returns its sender and a handle that
+/// closes it.
 ///
 /// # Errors
 ///
-/// Fails where the engine takes none in time.
+/// Fails if the engine doesn't accept the connection within
+/// [`GatewaySettings::connect_timeout_ms`].
 pub async fn connect(
     address: SocketAddr,
     settings: &GatewaySettings,
 ) -> Result<(SendRequest<Full<Bytes>>, AbortHandle), ConnectError> {
-    let refused = |reason: &dyn std::fmt::Display| ConnectError {
+    let connect_error = |reason: &dyn std::fmt::Display| ConnectError {
         address,
         reason: reason.to_string(),
     };
-    let limit = Duration::from_millis(settings.connect_ms);
-    let stream = timeout(limit, TcpStream::connect(address))
+    let connect_timeout = Duration::from_millis(settings.connect_timeout_ms);
+    let stream = timeout(connect_timeout, TcpStream::connect(address))
         .await
-        .map_err(|_| refused(&"time ran out"))?
-        .map_err(|error| refused(&error))?;
-    tune(&stream, settings).map_err(|error| refused(&error))?;
+        .map_err(|_| connect_error(&"time ran out"))?
+        .map_err(|error| connect_error(&error))?;
+    set_timeouts(&stream, settings).map_err(|error| connect_error(&error))?;
     let (sender, connection) = http1::Builder::new()
         .handshake(TokioIo::new(stream))
         .await
-        .map_err(|error| refused(&error))?;
+        .map_err(|error| connect_error(&error))?;
     let task = tokio::spawn(async move {
-        // Whoever waits for an answer is told of the end by the sender.
+        // The sender reports the end of the connection to whoever awaits an answer.
         let _ = connection.await;
     });
     Ok((sender, task.abort_handle()))
 }
 
-/// Sets what ends a connection whose other end is gone without a reset.
-fn tune(stream: &TcpStream, settings: &GatewaySettings) -> io::Result<()> {
+/// Sets the TCP timeouts that end a connection whose peer is gone without a reset.
+fn set_timeouts(stream: &TcpStream, settings: &GatewaySettings) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(Duration::from_millis(settings.unacknowledged_ms)))?;
-    let idle = Duration::from_secs(KEEPALIVE_IDLE_S);
+    socket.set_tcp_user_timeout(Some(Duration::from_millis(settings.tcp_user_timeout_ms)))?;
+    let idle = Duration::from_secs(KEEPALIVE_INTERVAL_S);
     socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(idle).with_interval(idle))
 }
--- a/crates/gateway/src/weights/progress.rs
+++ b/crates/gateway/src/weights/progress.rs
@@ -264,8 +264,8 @@
         };
         let note = order_report(&update.entry.incarnation, &order, now_ms);
         self.orders.insert(update.entry.incarnation.clone(), order);
-        self.instance.apply_order_note(&note, now_ms);
-        self.instance.notes.heartbeat.notify_one();
+        self.instance.apply_order_report(&note, now_ms);
+        self.instance.wake_ups.heartbeat.notify_one();
     }
 
     /// Returns the order notes for the peers, and drops orders that were completed
