--- a/crates/gateway/src/weights/lease.rs
+++ b/crates/gateway/src/weights/lease.rs
@@ -97,7 +97,7 @@
         self.state = LeaseState::Vacant(Lease::new(self.instance.settings.lease));
         self.failing_since_ms = None;
         self.instance.holds_lease.set(false);
-        self.instance.notes.heartbeat.notify_one();
+        self.instance.wake_ups.heartbeat.notify_one();
     }
 
     /// Releases the lease when the instance is stopping: as soon as no order is
@@ -116,8 +116,8 @@
     /// Returns whether another instance reports that it holds the lease.
     fn is_held_elsewhere(&self) -> bool {
         let members = self.instance.members.borrow();
-        let mut responsive = members.heard(&self.instance.settings.mesh, now_ms());
-        responsive.any(|member| member.last.holds_lease)
+        let mut responsive = members.live(&self.instance.settings.mesh, now_ms());
+        responsive.any(|member| member.last_heartbeat.holds_lease)
     }
 
     /// Returns whether this instance may try to take the lease now.
@@ -130,9 +130,14 @@
         let now_ms = now_ms();
         let own = (self.instance.incarnation, &self.instance.machine().name);
         let instances_ahead = members
-            .heard(&self.instance.settings.mesh, now_ms)
-            .filter(|member| member.last.ready)
-            .filter(|member| (member.last.incarnation, &member.last.name) > own)
+            .live(&self.instance.settings.mesh, now_ms)
+            .filter(|member| member.last_heartbeat.ready)
+            .filter(|member| {
+                (
+                    member.last_heartbeat.incarnation,
+                    &member.last_heartbeat.name,
+                ) > own
+            })
             .count() as u64;
         now_ms >= since_ms + instances_ahead * TAKEOVER_STAGGER_MS
     }
@@ -158,7 +163,7 @@
 
     /// Reads the record and takes the lease if its holder permits it.
     async fn try_acquire(&mut self, since_ms: u64) {
-        let within_ms = self.instance.settings.store_ms;
+        let within_ms = self.instance.settings.store_call_timeout_ms;
         let call = Call::get(path_of_object(Kind::Leases, RECORD_NAME));
         let (no_orders_since_ms, write) = match self.store.call(&call, within_ms).await {
             Ok((404, _)) if self.is_own_turn(since_ms) => (
@@ -188,7 +193,7 @@
     /// Writes the record, and holds the lease if the store accepts it.
     async fn write_record(&mut self, write: Call, no_orders_since_ms: Option<u64>) {
         let sent_ms = now_ms();
-        let within_ms = self.instance.settings.store_ms;
+        let within_ms = self.instance.settings.store_call_timeout_ms;
         let Ok((200 | 201, body)) = self.store.call(&write, within_ms).await else {
             return;
         };
@@ -201,7 +206,7 @@
             self.state = LeaseState::Held(held);
         }
         self.instance.holds_lease.set(true);
-        self.instance.notes.heartbeat.notify_one();
+        self.instance.wake_ups.heartbeat.notify_one();
         let no_orders_ms = no_orders_since_ms.map(|since_ms| now_ms().saturating_sub(since_ms));
         log::info!(
             "event=lease_taken fence={} revision={} quiet_ms={no_orders_ms:?}",
@@ -245,8 +250,8 @@
     fn holder_report(&self, record: &LeaseRecord) -> Option<HolderReport> {
         let members = self.instance.members.borrow();
         let mut members = members.iter();
-        let holder = members.find(|member| member.last.name == record.holder)?;
-        let last = &holder.last;
+        let holder = members.find(|member| member.last_heartbeat.name == record.holder)?;
+        let last = &holder.last_heartbeat;
         if last.holds_lease {
             return None;
         }
@@ -257,8 +262,8 @@
             _ => up_ms,
         };
         Some(HolderReport {
-            no_orders_since_ms: holder.heard_ms.saturating_sub(ago_ms),
-            received_ms: holder.heard_ms,
+            no_orders_since_ms: holder.received_ms.saturating_sub(ago_ms),
+            received_ms: holder.received_ms,
             is_restarted,
         })
     }
@@ -293,7 +298,7 @@
         let sent_ms = now_ms();
         match self
             .store
-            .call(&call, self.instance.settings.store_ms)
+            .call(&call, self.instance.settings.store_call_timeout_ms)
             .await
         {
             Ok((200, body)) => self.apply_renewal(&body, sent_ms),
--- a/crates/gateway/src/weights/updater.rs
+++ b/crates/gateway/src/weights/updater.rs
@@ -62,7 +62,7 @@
         let pause = updater.poll().await;
         tokio::select! {
             () = sleep(pause) => {}
-            () = instance.notes.orders.notified() => {}
+            () = instance.wake_ups.orders.notified() => {}
         }
     }
 }
@@ -84,7 +84,7 @@
             if !self.progress.is_empty() {
                 self.progress.clear();
             }
-            self.instance.orders.borrow_mut().clear();
+            self.instance.order_reports.borrow_mut().clear();
             return if pending.is_empty() {
                 IDLE_POLL_INTERVAL
             } else {
@@ -94,7 +94,7 @@
         if !pending.is_empty() {
             self.advance(&pending).await;
         }
-        *self.instance.orders.borrow_mut() = self.progress.order_reports();
+        *self.instance.order_reports.borrow_mut() = self.progress.order_reports();
         if pending.is_empty() && !self.progress.is_busy() {
             return IDLE_POLL_INTERVAL;
         }
@@ -116,10 +116,10 @@
 
     /// Returns all engines that lack the newest weights of one of their models.
     fn pending_updates(&self) -> Vec<PendingUpdate> {
-        let newest = self.instance.newest.borrow();
+        let newest = self.instance.weights_histories.borrow();
         let engines = self.instance.engines.borrow();
         let mut pending = Vec::new();
-        for engine in engines.staying(now_ms()) {
+        for engine in engines.staying_engines(now_ms()) {
             for model in &engine.entry.models {
                 let version = newest
                     .get(&model.model)
@@ -185,7 +185,7 @@
             let report = fetch_report(&entry).await;
             // Can't fail: the receiver lives as long as the process.
             let _ = responses_tx.send(EngineResponse::Report(entry, report));
-            instance.notes.orders.notify_one();
+            instance.wake_ups.orders.notify_one();
         });
     }
 
@@ -201,7 +201,7 @@
         }
         let fence = lease.held().fence;
         self.progress.mark_call_started(&update.entry.incarnation);
-        self.instance.ordered_ms.set(Some(now_ms()));
+        self.instance.last_order_ms.set(Some(now_ms()));
         let (responses_tx, instance) = (self.responses_tx.clone(), self.instance.clone());
         spawn_local(async move {
             let order = WeightsOrder {
@@ -222,7 +222,7 @@
             );
             // Can't fail: the receiver lives as long as the process.
             let _ = responses_tx.send(EngineResponse::Answer(update, answer));
-            instance.notes.orders.notify_one();
+            instance.wake_ups.orders.notify_one();
         });
     }
 
@@ -270,16 +270,16 @@
     /// which uses one retry of its service's budget.
     fn max_cut_requests(&self, model: &str) -> u32 {
         let now_ms = now_ms();
-        let instances = self.instance.instances();
+        let instances = self.instance.instance_count();
         let engines = self.instance.engines.borrow();
         let mut engines = engines.iter();
         let serves = |entry: &EngineEntry| entry.models.iter().any(|m| m.model == model);
         let Some(engine) = engines.find(|engine| serves(&engine.entry)) else {
             return 0;
         };
-        let mut budgets = self.instance.budgets.borrow_mut();
+        let mut budgets = self.instance.retry_budgets.borrow_mut();
         let budget = budgets.entry(engine.entry.service.clone()).or_default();
-        budget.room(&self.instance.machine().retries, instances, now_ms)
+        budget.remaining(&self.instance.machine().retries, instances, now_ms)
     }
 
     /// Returns the number of responsive engines of a model, and the number of
@@ -289,7 +289,7 @@
         let engines = self.instance.engines.borrow();
         let serves = |entry: &EngineEntry| entry.models.iter().any(|m| m.model == model);
         let answering = engines
-            .staying(now_ms)
+            .staying_engines(now_ms)
             .filter(|engine| serves(&engine.entry) && !engine.is_silent(now_ms));
         let requests = answering.clone().map(|engine| engine.load().requests).sum();
         (answering.count(), requests)
