--- a/crates/gateway/src/callers/answer.rs
+++ b/crates/gateway/src/callers/answer.rs
@@ -17,20 +17,20 @@
 pub struct StreamCut;
 
 /// Parts of a streamed answer as they come.
-pub(super) type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, StreamCut>>>>;
+pub(super) type ByteStream = Pin<Box<dyn Stream<Item = Result<Bytes, StreamCut>>>>;
 
 /// Body of an answer to a caller.
 pub enum AnswerBody {
     /// Known whole.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// Passed on as it comes.
-    Stream(Pieces),
+    Stream(ByteStream),
 }
 
 impl AnswerBody {
     /// Returns a body that is known whole.
-    pub fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
-        AnswerBody::Whole(Full::new(bytes.into()))
+    pub fn buffered(bytes: impl Into<Bytes>) -> AnswerBody {
+        AnswerBody::Buffered(Full::new(bytes.into()))
     }
 }
 
@@ -43,26 +43,26 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamCut>>> {
         match &mut *self {
-            AnswerBody::Whole(body) => Pin::new(body)
+            AnswerBody::Buffered(body) => Pin::new(body)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
-            AnswerBody::Stream(pieces) => pieces
+            AnswerBody::Stream(byte_stream) => byte_stream
                 .as_mut()
                 .poll_next(context)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Whole(body) => body.is_end_stream(),
+            AnswerBody::Buffered(body) => body.is_end_stream(),
             AnswerBody::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(body) => body.size_hint(),
+            AnswerBody::Buffered(body) => body.size_hint(),
             AnswerBody::Stream(_) => SizeHint::default(),
         }
     }
--- a/crates/gateway/src/callers/whole.rs
+++ b/crates/gateway/src/callers/buffered.rs
@@ -1,12 +1,12 @@
 use {
     super::{
         AnswerBody, Refusal,
-        attempt::Answered,
-        end::{done, good, refuse},
-        judge::note,
+        attempt::EngineAnswer,
+        classify::record_engine_failure,
+        completion::{record_answered_request, record_complete_answer, refuse},
+        guards::OpenRequestGuard,
         request::CallerRequest,
-        tries::{Tries, run},
-        work::OpenRequest,
+        retry::{AttemptHistory, send_with_retries},
     },
     crate::clock::now_ms,
     http::Response,
@@ -17,43 +17,43 @@
 };
 
 /// Longest answer that is held whole; longer ones end as lost.
-const MOST_ANSWER_BYTES: usize = 2 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 2 * 1024 * 1024;
 
 /// Reads a plain answer whole before its first byte leaves, so that a broken
 /// one can be replaced.
-pub(super) async fn whole(
+pub(super) async fn forward_buffered(
     request: Rc<CallerRequest>,
-    mut answered: Answered,
-    mut tries: Tries,
-    _open: OpenRequest,
+    mut answered: EngineAnswer,
+    mut attempts: AttemptHistory,
+    _open_request: OpenRequestGuard,
 ) -> Response<AnswerBody> {
     loop {
         let parts = answered.answer.parts;
-        let body = Limited::new(answered.answer.body, MOST_ANSWER_BYTES).collect();
+        let body = Limited::new(answered.answer.body, MAX_ANSWER_BYTES).collect();
         let left = Duration::from_millis(request.left_ms());
         match timeout(left, body).await {
             Ok(Ok(body)) => {
                 let status = parts.status;
                 if !status.is_server_error() {
-                    good(&request, &answered.engine.incarnation.id);
+                    record_complete_answer(&request, &answered.engine.incarnation.id);
                 }
                 answered.answer.connection.put_back(now_ms());
-                done(&request, &answered.engine.incarnation.id, status.as_u16());
-                let mut response = Response::new(AnswerBody::whole(body.to_bytes()));
+                record_answered_request(&request, &answered.engine.incarnation.id, status.as_u16());
+                let mut response = Response::new(AnswerBody::buffered(body.to_bytes()));
                 *response.status_mut() = status;
                 *response.headers_mut() = answer_headers(&parts.headers);
                 return response;
             }
-            Ok(Err(_)) => note(&request, &answered.engine, "broken_answer"),
+            Ok(Err(_)) => record_engine_failure(&request, &answered.engine, "broken_answer"),
             Err(_) => {
-                note(&request, &answered.engine, "timed_out");
+                record_engine_failure(&request, &answered.engine, "timed_out");
                 return refuse(&request, Refusal::TimedOut, None);
             }
         }
-        if !request.may_run_again(tries.run) {
+        if !request.may_run_again(attempts.run_count) {
             return refuse(&request, Refusal::AnswerLost, None);
         }
-        match run(&request, &mut tries, None).await {
+        match send_with_retries(&request, &mut attempts, None).await {
             Ok(next) => answered = *next,
             Err(refusal) => return refuse(&request, refusal, None),
         }
--- a/crates/gateway/src/callers/judge.rs
+++ b/crates/gateway/src/callers/classify.rs
@@ -1,9 +1,9 @@
 use {
     super::{
-        attempt::{Answered, Outcome},
-        plan::Plan,
+        attempt::{EngineAnswer, Outcome},
+        guards::LoadGuard,
+        plan::SendPlan,
         request::CallerRequest,
-        work::Work,
     },
     crate::{
         clock::now_ms,
@@ -18,20 +18,20 @@
 const REFUSED_PAUSE_MS: u64 = 150;
 
 /// Decides whether an answer is the engine's own and for this request.
-pub(super) fn judge(
+pub(super) fn classify_answer(
     request: &CallerRequest,
     answer: Answer,
-    work: Work,
+    load_guard: LoadGuard,
     engine: EngineEntry,
-    plan: &Plan,
+    plan: &SendPlan,
 ) -> Outcome {
     let head = &answer.head;
     let status = answer.parts.status;
     if head.not_run {
-        return rejected(request, &engine, &answer, plan);
+        return classify_rejection(request, &engine, &answer, plan);
     }
-    let is_ours = head.request_id.as_deref() == Some(request.id());
-    let promises = matches!(
+    let is_for_request = head.request_id.as_deref() == Some(request.id());
+    let implies_not_run = matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
             | StatusCode::TOO_MANY_REQUESTS
@@ -39,43 +39,43 @@
     );
     // Without the engine's signature the bytes may be anybody's; and a status
     // that promises "not run" can't be passed on for a request that has run.
-    if !is_ours || !head.is_signed || head.is_encoded || promises {
-        note(request, &engine, "foreign_answer");
+    if !is_for_request || !head.is_signed || head.is_encoded || implies_not_run {
+        record_engine_failure(request, &engine, "foreign_answer");
         return Outcome::Unknown(engine.incarnation.id);
     }
     let now_ms = now_ms();
     let mut engines = request.instance.engines.borrow_mut();
-    if let Some(belief) = engines.get_mut(&engine.incarnation.id) {
-        belief.record_received(now_ms);
-        if let (Some(model), Some(version)) = (&request.need.model, head.version)
-            && version > belief.version(model)
+    if let Some(known_engine) = engines.get_mut(&engine.incarnation.id) {
+        known_engine.record_received(now_ms);
+        if let (Some(model), Some(version)) = (&request.requirements.model, head.version)
+            && version > known_engine.version(model)
         {
-            belief.set_version(model, version);
+            known_engine.set_version(model, version);
         }
         let health = &request.instance.settings.choice.health;
         if status.is_server_error() {
-            belief.health.record_failure(health, now_ms);
+            known_engine.health.record_failure(health, now_ms);
         }
     }
     drop(engines);
     if status.is_success() {
-        for (part, _) in request.need.shared_parts() {
+        for (part, _) in request.requirements.shared_parts() {
             let id = &engine.incarnation.id;
             request.instance.record_part(part, id, now_ms);
         }
     }
-    Outcome::Answer(Box::new(Answered {
+    Outcome::Answer(Box::new(EngineAnswer {
         answer,
-        work,
+        load_guard,
         engine,
     }))
 }
 
-fn rejected(
+fn classify_rejection(
     request: &CallerRequest,
     engine: &EngineEntry,
     answer: &Answer,
-    plan: &Plan,
+    plan: &SendPlan,
 ) -> Outcome {
     let now_ms = now_ms();
     let status = answer.parts.status;
@@ -90,20 +90,20 @@
     } else {
         "full"
     };
-    if let Some(belief) = engines.get_mut(&engine.incarnation.id) {
-        belief.record_received(now_ms);
-        match (reason, &request.need.model) {
-            ("other_engine", _) => belief.leaving_since_ms = Some(now_ms),
+    if let Some(known_engine) = engines.get_mut(&engine.incarnation.id) {
+        known_engine.record_received(now_ms);
+        match (reason, &request.requirements.model) {
+            ("other_engine", _) => known_engine.leaving_since_ms = Some(now_ms),
             ("other_weights", Some(model)) => {
-                let named = request.wanted(now_ms).newest;
-                let version = answer.head.version.unwrap_or(named);
+                let newest = request.version_bounds(now_ms).newest;
+                let version = answer.head.version.unwrap_or(newest);
                 if version > plan.version {
-                    belief.set_version(model, version);
+                    known_engine.set_version(model, version);
                 } else {
-                    belief.pause_after_refusal(REFUSED_PAUSE_MS, now_ms);
+                    known_engine.pause_after_refusal(REFUSED_PAUSE_MS, now_ms);
                 }
             }
-            _ => belief.pause_after_refusal(REFUSED_PAUSE_MS, now_ms),
+            _ => known_engine.pause_after_refusal(REFUSED_PAUSE_MS, now_ms),
         }
     }
     drop(engines);
@@ -120,7 +120,11 @@
 }
 
 /// Notes a send without an answer, and tells whether the request may have run.
-pub(super) fn failed(request: &CallerRequest, engine: &EngineEntry, error: &SendError) -> Outcome {
+pub(super) fn classify_send_error(
+    request: &CallerRequest,
+    engine: &EngineEntry,
+    error: &SendError,
+) -> Outcome {
     log::warn!(
         "event=send_failed request={} engine={} error=\"{error}\"",
         request.id(),
@@ -128,18 +132,22 @@
     );
     match error {
         SendError::NotSent { .. } => {
-            note(request, engine, "not_connected");
+            record_engine_failure(request, engine, "not_connected");
             Outcome::NotRun(engine.incarnation.id.clone())
         }
         SendError::Lost { .. } => {
-            note(request, engine, "lost");
+            record_engine_failure(request, engine, "lost");
             Outcome::Unknown(engine.incarnation.id.clone())
         }
     }
 }
 
 /// Notes a failure of an engine.
-pub(super) fn note(request: &CallerRequest, engine: &EngineEntry, reason: &'static str) {
+pub(super) fn record_engine_failure(
+    request: &CallerRequest,
+    engine: &EngineEntry,
+    reason: &'static str,
+) {
     let now_ms = now_ms();
     request.instance.counters.count("engine_failed", reason);
     log::warn!(
@@ -148,11 +156,11 @@
         engine.incarnation.id,
     );
     let mut engines = request.instance.engines.borrow_mut();
-    let Some(belief) = engines.get_mut(&engine.incarnation.id) else {
+    let Some(known_engine) = engines.get_mut(&engine.incarnation.id) else {
         return;
     };
     let health = &request.instance.settings.choice.health;
-    belief.health.record_failure(health, now_ms);
+    known_engine.health.record_failure(health, now_ms);
     drop(engines);
     if matches!(reason, "lost" | "broken_off" | "half_event") {
         let identity = request.identity();
--- a/crates/gateway/src/callers/end.rs
+++ b/crates/gateway/src/callers/completion.rs
@@ -6,22 +6,22 @@
 
 /// Shortest and longest time after which a refused caller should come back.
 /// Spread, so that those refused together don't return together.
-const RETRY_LEAST_MS: u64 = 150;
-const RETRY_SPREAD_MS: u64 = 350;
+const MIN_RETRY_MS: u64 = 150;
+const RETRY_JITTER_MS: u64 = 350;
 
 /// Notes an answer that came whole.
-pub(super) fn good(request: &CallerRequest, engine: &str) {
+pub(super) fn record_complete_answer(request: &CallerRequest, engine: &str) {
     let now_ms = now_ms();
     let mut engines = request.instance.engines.borrow_mut();
-    if let Some(belief) = engines.get_mut(engine) {
-        belief.record_received(now_ms);
+    if let Some(known_engine) = engines.get_mut(engine) {
+        known_engine.record_received(now_ms);
         let health = &request.instance.settings.choice.health;
-        belief.health.record_answer(health, now_ms);
+        known_engine.health.record_answer(health, now_ms);
     }
 }
 
 /// Notes the end of a request that an engine answered.
-pub(super) fn done(request: &CallerRequest, engine: &str, status: u16) {
+pub(super) fn record_answered_request(request: &CallerRequest, engine: &str, status: u16) {
     let took_ms = now_ms().saturating_sub(request.arrived_ms);
     let mut crashes = request.instance.crashes.borrow_mut();
     if !crashes.is_empty() {
@@ -43,12 +43,12 @@
     refusal: Refusal,
     wait_ms: Option<u64>,
 ) -> Response<AnswerBody> {
-    let promises = matches!(
+    let sends_retry_time = matches!(
         refusal,
         Refusal::NoEngine | Refusal::OverRate | Refusal::Poison
     );
-    let spread_ms = rand::random_range(0..RETRY_SPREAD_MS);
-    let retry_after_ms = promises.then(|| wait_ms.unwrap_or(RETRY_LEAST_MS) + spread_ms);
+    let jitter_ms = rand::random_range(0..RETRY_JITTER_MS);
+    let retry_after_ms = sends_retry_time.then(|| wait_ms.unwrap_or(MIN_RETRY_MS) + jitter_ms);
     request.instance.counters.count("refused", refusal.reason());
     log::warn!(
         "event=refused request={} reason={} route={} after_ms={} retry_after_ms={retry_after_ms:?} configuration={}",
--- a/crates/gateway/src/callers/directory.rs
+++ b/crates/gateway/src/callers/directory.rs
@@ -10,12 +10,12 @@
 };
 
 /// Addresses told in one answer; callers take no more.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 /// Longest time for the head of such a request.
-const HEAD_MS: u64 = 3_000;
+const HEADER_TIMEOUT_MS: u64 = 3_000;
 
-type Answerer = fn(&Instance, &Request<Incoming>) -> Response<AnswerBody>;
+type Handler = fn(&Instance, &Request<Incoming>) -> Response<AnswerBody>;
 
 /// Serves callers who ask where to connect.
 pub async fn serve_directory(instance: Rc<Instance>, listener: TcpListener) {
@@ -32,7 +32,7 @@
     serve(instance, listener, metrics).await;
 }
 
-async fn serve(instance: Rc<Instance>, listener: TcpListener, answer: Answerer) {
+async fn serve(instance: Rc<Instance>, listener: TcpListener, handler: Handler) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             continue;
@@ -40,12 +40,12 @@
         let instance = instance.clone();
         spawn_local(async move {
             let service = service_fn(|request| {
-                let response = answer(&instance, &request);
+                let response = handler(&instance, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
             let served = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(Duration::from_millis(HEAD_MS))
+                .header_read_timeout(Duration::from_millis(HEADER_TIMEOUT_MS))
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
             if let Err(error) = served {
@@ -63,12 +63,12 @@
     if addresses.is_empty() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    addresses.truncate(MOST_ADDRESSES);
-    let keep_s = instance
+    addresses.truncate(MAX_ADDRESSES);
+    let ttl_s = instance
         .settings
         .keep_s
         .min(instance.machine().directory_keep_s.max(1));
-    let mut response = Response::new(AnswerBody::whole(encode_addresses(&addresses, keep_s)));
+    let mut response = Response::new(AnswerBody::buffered(encode_addresses(&addresses, ttl_s)));
     response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -86,11 +86,11 @@
 }
 
 fn metrics(instance: &Instance, _request: &Request<Incoming>) -> Response<AnswerBody> {
-    Response::new(AnswerBody::whole(instance.counters.render()))
+    Response::new(AnswerBody::buffered(instance.counters.render()))
 }
 
 fn status(status: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(""));
+    let mut response = Response::new(AnswerBody::buffered(""));
     *response.status_mut() = status;
     response
 }
--- a/crates/gateway/src/callers/work.rs
+++ b/crates/gateway/src/callers/guards.rs
@@ -5,50 +5,50 @@
 };
 
 /// Counts a request that was read and not answered in full.
-pub(super) struct OpenRequest(Rc<Instance>);
+pub(super) struct OpenRequestGuard(Rc<Instance>);
 
-impl OpenRequest {
-    pub(super) fn new(instance: &Rc<Instance>) -> OpenRequest {
+impl OpenRequestGuard {
+    pub(super) fn new(instance: &Rc<Instance>) -> OpenRequestGuard {
         instance.open_requests.set(instance.open_requests.get() + 1);
-        OpenRequest(instance.clone())
+        OpenRequestGuard(instance.clone())
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
 
 /// Work that lies at an engine, told to peers until it is dropped.
-pub(super) struct Work {
+pub(super) struct LoadGuard {
     instance: Rc<Instance>,
     engine: Incarnation,
     load: Load,
     began_ms: u64,
     /// Whether the engine had nothing else to read.
-    is_alone: bool,
+    engine_was_idle: bool,
 }
 
-impl Work {
-    pub(super) fn begin(instance: &Rc<Instance>, engine: &Incarnation, load: Load) -> Work {
-        let mut is_alone = false;
-        if let Some(belief) = instance.engines.borrow_mut().get_mut(&engine.id) {
-            is_alone = belief.load().requests == 0;
-            belief.own.add(load);
+impl LoadGuard {
+    pub(super) fn begin(instance: &Rc<Instance>, engine: &Incarnation, load: Load) -> LoadGuard {
+        let mut engine_was_idle = false;
+        if let Some(known_engine) = instance.engines.borrow_mut().get_mut(&engine.id) {
+            engine_was_idle = known_engine.load().requests == 0;
+            known_engine.own.add(load);
         }
-        Work {
+        LoadGuard {
             instance: instance.clone(),
             engine: engine.clone(),
             load,
             began_ms: now_ms(),
-            is_alone,
+            engine_was_idle,
         }
     }
 
     /// Notes that the prompt was read.
-    pub(super) fn read(&mut self, now_ms: u64) {
-        if self.is_alone {
+    pub(super) fn record_prefill(&mut self, now_ms: u64) {
+        if self.engine_was_idle {
             let took_ms = now_ms.saturating_sub(self.began_ms);
             let mut rate = self.instance.read_rate.get();
             rate.record(self.load.prefill_tokens, took_ms);
@@ -63,13 +63,13 @@
     }
 
     fn remove(&self, load: Load) {
-        if let Some(belief) = self.instance.engines.borrow_mut().get_mut(&self.engine.id) {
-            belief.own.remove(load);
+        if let Some(known_engine) = self.instance.engines.borrow_mut().get_mut(&self.engine.id) {
+            known_engine.own.remove(load);
         }
     }
 }
 
-impl Drop for Work {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         self.remove(self.load);
     }
--- a/crates/gateway/src/callers/listener.rs
+++ b/crates/gateway/src/callers/listener.rs
@@ -30,7 +30,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                spawn_local(connection(instance.clone(), pool.clone(), stream));
+                spawn_local(serve_connection(instance.clone(), pool.clone(), stream));
             }
             Err(error) => {
                 log::warn!("event=accept_failed error=\"{error}\"");
@@ -40,7 +40,7 @@
     }
 }
 
-async fn connection(instance: Rc<Instance>, pool: Rc<Pool>, stream: TcpStream) {
+async fn serve_connection(instance: Rc<Instance>, pool: Rc<Pool>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("event=caller_connection_ended error=\"{error}\"");
         return;
--- a/crates/gateway/src/callers/mod.rs
+++ b/crates/gateway/src/callers/mod.rs
@@ -2,18 +2,18 @@
 
 mod answer;
 mod attempt;
+mod buffered;
+mod classify;
+mod completion;
 mod directory;
-mod end;
-mod judge;
+mod guards;
 mod listener;
-mod passing;
 mod plan;
 mod refusal;
 mod request;
+mod retry;
 mod serve;
-mod tries;
-mod whole;
-mod work;
+mod stream;
 
 pub use {
     answer::{AnswerBody, StreamCut},
--- a/crates/gateway/src/callers/plan.rs
+++ b/crates/gateway/src/callers/plan.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        attempt::{Outcome, Try},
+        attempt::{AttemptContext, Outcome},
         request::CallerRequest,
     },
     mangowalk_core::pool::{
@@ -13,67 +13,80 @@
 
 /// Shared tokens from which on they are fetched from another engine. Setting a
 /// transfer up takes about as long as reading a hundred.
-const LEAST_NEAR_TOKENS: u64 = 100;
+const MIN_ENGINE_FETCH_TOKENS: u64 = 100;
 
 /// Shared tokens from which on they are kept in, and fetched from, the store.
 /// Its link and memory are one for all: with short parts there as well, first
 /// events came twice as late (median 42 to 89 ms on a full day).
-const LEAST_FETCH_TOKENS: u64 = 512;
+const MIN_STORE_TOKENS: u64 = 512;
 
 /// What was decided on a send.
-pub(super) struct Plan {
+pub(super) struct SendPlan {
     pub(super) load: Load,
-    pub(super) seen: Seen,
+    pub(super) load_at_choice: LoadAtChoice,
     pub(super) version: u64,
-    pub(super) is_kept: bool,
-    pub(super) salt: Option<String>,
+    pub(super) is_cached: bool,
+    pub(super) cache_salt: Option<String>,
     pub(super) fetch_from: Option<SocketAddr>,
     pub(super) save_to: Option<SocketAddr>,
 }
 
 /// Work at the engine when it was chosen.
-pub(super) struct Seen {
+pub(super) struct LoadAtChoice {
     pub(super) own: Load,
     pub(super) others: Load,
 }
 
 /// Chooses an engine, unless the request would wait too long there.
-pub(super) fn place(
+pub(super) fn choose_engine(
     request: &CallerRequest,
-    this: &Try<'_>,
+    context: &AttemptContext<'_>,
     now_ms: u64,
-) -> Result<(EngineEntry, Plan), Outcome> {
+) -> Result<(EngineEntry, SendPlan), Outcome> {
     let instance = &request.instance;
-    let need = &request.need;
+    let requirements = &request.requirements;
     let routes = instance.routes.borrow();
     let limits = routes
-        .service(&need.service)
+        .service(&requirements.service)
         .and_then(|service| service.engine);
     let memory_tokens = limits.map_or(u64::MAX, |limits| limits.memory_tokens);
     let mut engines = instance.engines.borrow_mut();
-    let count = engines.accepting_engines(&need.service, now_ms).count();
-    let settings = &adapted(request, memory_tokens, count, now_ms);
+    let count = engines
+        .accepting_engines(&requirements.service, now_ms)
+        .count();
+    let settings = &adapted_choice(request, memory_tokens, count, now_ms);
     let chosen = choose(
         engines
-            .accepting_engines(&need.service, now_ms)
-            .filter(|belief| !this.tried.contains(&belief.entry.incarnation.id)),
-        need,
-        request.wanted(now_ms),
+            .accepting_engines(&requirements.service, now_ms)
+            .filter(|known_engine| {
+                !context
+                    .tried_engines
+                    .contains(&known_engine.entry.incarnation.id)
+            }),
+        requirements,
+        request.version_bounds(now_ms),
         memory_tokens,
         settings,
         rand::random(),
         now_ms,
     )
     .ok_or(Outcome::NoEngine)?;
-    if need.model.is_some() && this.may_be_refused {
+    if requirements.model.is_some() && context.may_be_refused {
         let admit = &instance.settings.admit;
         let rate = instance.read_rate.get();
-        let is_first = request.is_first();
+        let has_first_priority = request.has_first_priority();
         let target_ms = request.route.target_ms;
-        let own_tokens = need.prompt_tokens.saturating_sub(need.shared_tokens());
-        if let Some(return_ms) =
-            retry_after_ms(chosen, &rate, admit, own_tokens, target_ms, is_first)
-        {
+        let own_tokens = requirements
+            .prompt_tokens
+            .saturating_sub(requirements.shared_tokens());
+        if let Some(retry_ms) = retry_after_ms(
+            chosen,
+            &rate,
+            admit,
+            own_tokens,
+            target_ms,
+            has_first_priority,
+        ) {
             log::warn!(
                 "event=full request={} engine={} wait_ms={:.0} target_ms={target_ms} own={} others={} read_per_ms={:.1}",
                 request.id(),
@@ -83,18 +96,18 @@
                 chosen.others.prefill_tokens,
                 rate.tokens_per_ms(),
             );
-            return Err(Outcome::Full(return_ms));
+            return Err(Outcome::Full(retry_ms));
         }
     }
-    let stores = &routes.configuration().services;
-    let store = stores
+    let services = &routes.configuration().services;
+    let store = services
         .iter()
         .find_map(|service| service.kv_cache_store.as_ref());
     let store = store.map(|store| store.address);
     let draw = rand::random();
-    let holder = find_cache_source(
+    let source = find_cache_source(
         chosen,
-        need,
+        requirements,
         engines.iter(),
         settings.retention_ms,
         draw,
@@ -102,50 +115,57 @@
     );
     let plan = plan(
         request,
-        this,
+        context,
         chosen,
         store,
-        holder,
+        source,
         settings.retention_ms,
         now_ms,
     );
-    if need.model.is_some() {
+    if requirements.model.is_some() {
         let mut turnover = instance.turnover.get();
-        turnover.record_sent(taken_in(need, plan.is_kept), now_ms);
+        turnover.record_sent(new_memory_tokens(requirements, plan.is_cached), now_ms);
         instance.turnover.set(turnover);
     }
     let entry = chosen.entry.clone();
-    let standing = engines.listing_status(&entry.incarnation.id, now_ms);
-    log_uncertain(request, &entry, standing);
-    if let Some(belief) = engines.get_mut(&entry.incarnation.id) {
-        belief.health.record_sent(&settings.health, now_ms);
+    let listing_status = engines.listing_status(&entry.incarnation.id, now_ms);
+    log_uncertain(request, &entry, listing_status);
+    if let Some(known_engine) = engines.get_mut(&entry.incarnation.id) {
+        known_engine.health.record_sent(&settings.health, now_ms);
     }
     Ok((entry, plan))
 }
 
 /// Logs why an engine was chosen that may have left.
-fn log_uncertain(request: &CallerRequest, entry: &EngineEntry, standing: Option<ListingStatus>) {
+fn log_uncertain(
+    request: &CallerRequest,
+    entry: &EngineEntry,
+    listing_status: Option<ListingStatus>,
+) {
     let instance = &request.instance;
-    let Some(standing) = standing else {
+    let Some(listing_status) = listing_status else {
         return;
     };
-    let Some(doubt) = standing.departure_suspicion(instance.settings.list_fresh_ms()) else {
+    let Some(suspicion) = listing_status.departure_suspicion(instance.settings.list_fresh_ms())
+    else {
         return;
     };
-    instance.counters.count("uncertain_engine", doubt.label());
+    instance
+        .counters
+        .count("uncertain_engine", suspicion.label());
     log::info!(
-        "event=uncertain_engine request={} engine={} reason={doubt} entry_revision={} \
+        "event=uncertain_engine request={} engine={} reason={suspicion} entry_revision={} \
          list_revision={} list_age_ms={} missing_ms={} departure_revision={} \
          reported_by={} reported_ago_ms={}",
         request.id(),
         entry.incarnation.id,
-        standing.entry_revision,
-        standing.list_revision,
-        standing.list_age_ms,
-        or_none(standing.missing_ms),
-        or_none(standing.departure.map(|departure| departure.revision)),
-        or_none(standing.reported_by),
-        or_none(standing.reported_ago_ms),
+        listing_status.entry_revision,
+        listing_status.list_revision,
+        listing_status.list_age_ms,
+        or_none(listing_status.missing_ms),
+        or_none(listing_status.departure.map(|departure| departure.revision)),
+        or_none(listing_status.reported_by),
+        or_none(listing_status.reported_ago_ms),
     );
 }
 
@@ -154,7 +174,7 @@
 }
 
 /// Returns the settings of the choice, with what was learned while serving.
-fn adapted(
+fn adapted_choice(
     request: &CallerRequest,
     memory_tokens: u64,
     engines: usize,
@@ -163,73 +183,83 @@
     let instance = &request.instance;
     let choice = instance.settings.choice;
     let turnover = instance.turnover.get();
-    let usual = instance.usual_prompt.get();
+    let mean_prompt = instance.usual_prompt.get();
     ChoiceSettings {
-        sample: usual.sample_size(choice.sample, request.need.prompt_tokens),
+        sample: mean_prompt.sample_size(choice.sample, request.requirements.prompt_tokens),
         retention_ms: turnover.retention_ms(memory_tokens, engines, instance.instances(), now_ms),
         ..choice
     }
 }
 
 /// Returns the tokens that an engine has to make room for.
-fn taken_in(need: &EngineRequirements, is_kept: bool) -> u64 {
-    let kept_tokens = if is_kept { need.shared_tokens() } else { 0 };
-    need.memory_tokens.saturating_sub(kept_tokens)
+fn new_memory_tokens(requirements: &EngineRequirements, is_cached: bool) -> u64 {
+    let cached_tokens = if is_cached {
+        requirements.shared_tokens()
+    } else {
+        0
+    };
+    requirements.memory_tokens.saturating_sub(cached_tokens)
 }
 
 fn plan(
     request: &CallerRequest,
-    this: &Try<'_>,
-    belief: &KnownEngine,
+    context: &AttemptContext<'_>,
+    known_engine: &KnownEngine,
     store: Option<SocketAddr>,
-    holder: Option<CacheSource>,
-    kept_ms: u64,
+    source: Option<CacheSource>,
+    retention_ms: u64,
     now_ms: u64,
-) -> Plan {
-    let need = &request.need;
-    let version = need.model.as_ref().map_or(0, |model| belief.version(model));
-    let is_kept = need
+) -> SendPlan {
+    let requirements = &request.requirements;
+    let version = requirements
+        .model
+        .as_ref()
+        .map_or(0, |model| known_engine.version(model));
+    let is_cached = requirements
         .shared_part()
-        .is_some_and(|part| belief.has_cached(part, kept_ms, now_ms));
-    let shared_tokens = need.shared_tokens();
-    let worth_fetching = version > 0 && shared_tokens >= LEAST_FETCH_TOKENS;
-    let holder = holder.filter(|holder| version > 0 && holder.tokens >= LEAST_NEAR_TOKENS);
-    let salt = need.model.as_ref().map(|_| salt(request, version));
-    let mut kept = request.instance.kept.borrow_mut();
-    let store = store.filter(|_| worth_fetching && kept.is_up());
-    let shared = need.parts.iter().rev().nth(1);
-    let is_saved = salt
+        .is_some_and(|part| known_engine.has_cached(part, retention_ms, now_ms));
+    let shared_tokens = requirements.shared_tokens();
+    let is_worth_storing = version > 0 && shared_tokens >= MIN_STORE_TOKENS;
+    let source = source.filter(|source| version > 0 && source.tokens >= MIN_ENGINE_FETCH_TOKENS);
+    let cache_salt = requirements
+        .model
+        .as_ref()
+        .map(|_| cache_salt(request, version));
+    let mut cache_store = request.instance.kept.borrow_mut();
+    let store = store.filter(|_| is_worth_storing && cache_store.is_up());
+    let shared = requirements.parts.iter().rev().nth(1);
+    let is_in_store = cache_salt
         .as_ref()
         .zip(shared)
-        .is_some_and(|(salt, part)| kept.holds(kv_store_key(salt, part.id)));
+        .is_some_and(|(cache_salt, part)| cache_store.holds(kv_store_key(cache_salt, part.id)));
     // Another engine's link is faster than the store's, but its memory turns
     // over within seconds.
-    let (fetch_from, fetched_tokens) = match (is_saved, holder) {
+    let (fetch_from, fetched_tokens) = match (is_in_store, source) {
         (true, _) => (store, shared_tokens),
-        (false, Some(holder)) => (Some(holder.address), holder.tokens),
+        (false, Some(source)) => (Some(source.address), source.tokens),
         (false, None) => (store, 0),
     };
-    let is_asked = store.is_some()
-        && !is_saved
-        && need
+    let requests_save = store.is_some()
+        && !is_in_store
+        && requirements
             .shared_part()
-            .is_some_and(|part| kept.claim_save(part, now_ms));
-    Plan {
+            .is_some_and(|part| cache_store.claim_save(part, now_ms));
+    SendPlan {
         load: Load {
             requests: 1,
-            memory_tokens: need.memory_tokens as u32,
-            prefill_tokens: unread(need, is_kept, fetched_tokens) as u32,
-            must_finish: u32::from(!this.may_go_on),
+            memory_tokens: requirements.memory_tokens as u32,
+            prefill_tokens: tokens_to_prefill(requirements, is_cached, fetched_tokens) as u32,
+            must_finish: u32::from(!context.can_resume_elsewhere),
         },
-        seen: Seen {
-            own: belief.own,
-            others: belief.others,
+        load_at_choice: LoadAtChoice {
+            own: known_engine.own,
+            others: known_engine.others,
         },
         version,
-        is_kept,
+        is_cached,
         fetch_from,
-        save_to: store.filter(|_| is_asked),
-        salt,
+        save_to: store.filter(|_| requests_save),
+        cache_salt,
     }
 }
 
@@ -239,17 +269,21 @@
 
 /// Part of the shared tokens that fetching them takes of an engine's time, as
 /// if they were read.
-const FETCHED: f64 = 0.2;
+const FETCH_COST_FACTOR: f64 = 0.2;
 
 /// Returns the tokens that an engine has to read, as far as known.
-fn unread(need: &EngineRequirements, is_kept: bool, fetched_tokens: u64) -> u64 {
-    let shared = need.shared_tokens().min(need.prompt_tokens);
-    let own = need.prompt_tokens - shared;
-    if is_kept {
+fn tokens_to_prefill(
+    requirements: &EngineRequirements,
+    is_cached: bool,
+    fetched_tokens: u64,
+) -> u64 {
+    let shared = requirements.shared_tokens().min(requirements.prompt_tokens);
+    let own = requirements.prompt_tokens - shared;
+    if is_cached {
         return own;
     }
     let fetched = fetched_tokens.min(shared);
-    need.prompt_tokens - fetched + (fetched as f64 * FETCHED) as u64
+    requirements.prompt_tokens - fetched + (fetched as f64 * FETCH_COST_FACTOR) as u64
 }
 
 /// Returns the text under which an engine keeps the prompt's parts.
@@ -257,7 +291,7 @@
 /// It holds the weights: a store keeps parts beyond a change of weights and
 /// doesn't know under which they were made. It holds the team where the team
 /// is isolated, so that no other finds them.
-fn salt(request: &CallerRequest, version: u64) -> String {
+fn cache_salt(request: &CallerRequest, version: u64) -> String {
     let isolated = request.tenant.as_ref().filter(|tenant| tenant.isolated);
     match isolated {
         Some(tenant) => format!("w{version}.{}", tenant.name),
@@ -268,24 +302,28 @@
 /// Returns the headers of the request for the engine.
 pub(super) fn headers(
     request: &CallerRequest,
-    this: &Try<'_>,
+    context: &AttemptContext<'_>,
     engine: &EngineEntry,
-    plan: &Plan,
+    plan: &SendPlan,
     left_ms: u64,
 ) -> Option<http::HeaderMap> {
     let forward = Forward {
         engine: &engine.incarnation.id,
         left_ms,
         tenant: request.tenant.as_ref().map(|tenant| tenant.name.as_str()),
-        cache_salt: plan.salt.as_deref(),
+        cache_salt: plan.cache_salt.as_deref(),
         expect_version: (plan.version > 0).then_some(plan.version),
-        urgency: request.need.model.as_ref().map(|_| match this.is_resumed {
-            true => RESUMED_URGENCY,
-            false => request.urgency(),
-        }),
+        urgency: request
+            .requirements
+            .model
+            .as_ref()
+            .map(|_| match context.is_resumed {
+                true => RESUMED_URGENCY,
+                false => request.urgency(),
+            }),
         fetch_from: plan.fetch_from,
         save_to: plan.save_to,
-        last_event_id: this.last_event_id,
+        last_event_id: context.last_event_id,
     };
     match forward_headers(&request.headers, &forward) {
         Ok(headers) => Some(headers),
--- a/crates/gateway/src/callers/refusal.rs
+++ b/crates/gateway/src/callers/refusal.rs
@@ -91,7 +91,7 @@
 
     /// Returns the answer, with when to come again where it has not run.
     pub fn response(self, retry_after_ms: Option<u64>) -> Response<AnswerBody> {
-        let mut response = Response::new(AnswerBody::whole(format!("{self}\n")));
+        let mut response = Response::new(AnswerBody::buffered(format!("{self}\n")));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(
--- a/crates/gateway/src/callers/request.rs
+++ b/crates/gateway/src/callers/request.rs
@@ -26,7 +26,7 @@
 const ROUTE_RANKS: u8 = 2;
 
 /// Rank that goes last in an engine's queue.
-const LAST_RANK: u8 = 9;
+const MAX_RANK: u8 = 9;
 
 /// A request that was read and may be passed on.
 pub(super) struct CallerRequest {
@@ -39,7 +39,7 @@
     pub(super) body: Bytes,
     pub(super) route: Rc<Route>,
     pub(super) tenant: Option<Rc<Tenant>>,
-    pub(super) need: EngineRequirements,
+    pub(super) requirements: EngineRequirements,
     pub(super) arrived_ms: u64,
     /// When the caller leaves, or the operator's limit is reached.
     pub(super) deadline_ms: u64,
@@ -79,25 +79,29 @@
     /// Returns what the request takes of its team's rate.
     pub(super) fn cost(&self) -> u64 {
         let usage = self.head.usage;
-        let tokens = usage.map(|usage| usage.prompt_tokens + usage.answer_tokens);
+        let tokens = usage.map(|usage| usage.prompt_tokens + usage.max_answer_tokens);
         self.tenant.as_ref().map_or(0, |tenant| tenant.cost(tokens))
     }
 
     /// Returns what weights the request should meet.
-    pub(super) fn wanted(&self, now_ms: u64) -> VersionBounds {
+    pub(super) fn version_bounds(&self, now_ms: u64) -> VersionBounds {
         let newest = self.instance.newest.borrow();
-        let named = self.need.model.as_ref().and_then(|model| newest.get(model));
-        named.map_or(VersionBounds::default(), |named| {
-            named.version_bounds(&self.instance.settings.weights, now_ms)
+        let history = self
+            .requirements
+            .model
+            .as_ref()
+            .and_then(|model| newest.get(model));
+        history.map_or(VersionBounds::default(), |history| {
+            history.version_bounds(&self.instance.settings.weights, now_ms)
         })
     }
 
     /// Returns how long the request may wait to begin on weights that are
     /// being replaced.
-    pub(super) fn may_wait_ms(&self, version: u64, now_ms: u64) -> Option<u64> {
+    pub(super) fn max_weights_wait_ms(&self, version: u64, now_ms: u64) -> Option<u64> {
         let newest = self.instance.newest.borrow();
-        let named = newest.get(self.need.model.as_ref()?)?;
-        let bound_ms = named.start_deadline_ms(version, &self.instance.settings.weights)?;
+        let history = newest.get(self.requirements.model.as_ref()?)?;
+        let bound_ms = history.start_deadline_ms(version, &self.instance.settings.weights)?;
         Some(bound_ms.saturating_sub(now_ms))
     }
 
@@ -109,17 +113,17 @@
         let rank = team.map_or(route, |team| {
             team.saturating_mul(ROUTE_RANKS) + route.min(ROUTE_RANKS - 1)
         });
-        rank.min(LAST_RANK)
+        rank.min(MAX_RANK)
     }
 
     /// Returns whether the request may go to another engine after so many may
     /// have run it.
-    pub(super) fn may_run_again(&self, run: u32) -> bool {
-        self.route.repeat.may_run_again() && run < self.route.max_attempts
+    pub(super) fn may_run_again(&self, run_count: u32) -> bool {
+        self.route.repeat.may_run_again() && run_count < self.route.max_attempts
     }
 
     /// Returns whether the route is of the first rank.
-    pub(super) fn is_first(&self) -> bool {
+    pub(super) fn has_first_priority(&self) -> bool {
         self.route.priority == 0
     }
 }
@@ -129,7 +133,7 @@
 /// # Errors
 ///
 /// Fails where the request may not be passed on.
-pub(super) async fn read(
+pub(super) async fn read_request(
     instance: Rc<Instance>,
     pool: Rc<Pool>,
     parts: request::Parts,
@@ -148,7 +152,7 @@
     })?;
     let routes = instance.routes.borrow().clone();
     let admitted = routes.admit(&head.host, parts.uri.path(), head.key.as_deref());
-    let (route, tenant) = admitted.map_err(|denied| match denied {
+    let (route, tenant) = admitted.map_err(|error| match error {
         RouteError::NoRoute => (Refusal::NoRoute, None),
         RouteError::BadKey => (Refusal::BadKey, None),
     })?;
@@ -169,7 +173,7 @@
             (refusal, None)
         })?
         .to_bytes();
-    let need = need(&instance, &head, &route, tenant.as_deref());
+    let requirements = requirements(&instance, &head, &route, tenant.as_deref());
     Ok(CallerRequest {
         instance,
         pool,
@@ -180,7 +184,7 @@
         body,
         route,
         tenant,
-        need,
+        requirements,
         arrived_ms,
         deadline_ms,
     })
@@ -194,7 +198,7 @@
 /// it goes to another one.
 const STOPPING_RETRY_MS: u64 = 20;
 
-fn need(
+fn requirements(
     instance: &Instance,
     head: &RequestHead,
     route: &Route,
@@ -204,21 +208,23 @@
     let model = head.usage.and_then(|_| head.model.clone());
     let usage = head.usage;
     if let Some(usage) = usage {
-        let mut usual = instance.usual_prompt.get();
-        usual.record(usage.prompt_tokens);
-        instance.usual_prompt.set(usual);
+        let mut mean_prompt = instance.usual_prompt.get();
+        mean_prompt.record(usage.prompt_tokens);
+        instance.usual_prompt.set(mean_prompt);
     }
     EngineRequirements {
         service,
         model,
-        memory_tokens: usage.map_or(0, |usage| usage.prompt_tokens + usage.answer_tokens),
+        memory_tokens: usage.map_or(0, |usage| usage.prompt_tokens + usage.max_answer_tokens),
         prompt_tokens: usage.map_or(0, |usage| usage.prompt_tokens),
         parts: head.parts.clone(),
-        isolation_salt: tenant.filter(|tenant| tenant.isolated).map_or(0, wall),
+        isolation_salt: tenant
+            .filter(|tenant| tenant.isolated)
+            .map_or(0, isolation_salt),
         domain: instance.machine().domain.clone(),
     }
 }
 
-fn wall(tenant: &Tenant) -> u64 {
+fn isolation_salt(tenant: &Tenant) -> u64 {
     hash(tenant.name.as_bytes())
 }
--- /dev/null
+++ b/crates/gateway/src/callers/retry.rs
@@ -0,0 +1,144 @@
+use {
+    super::{
+        Refusal,
+        attempt::{AttemptContext, EngineAnswer, Outcome, attempt},
+        request::CallerRequest,
+    },
+    crate::clock::now_ms,
+    mangowalk_core::routing::RepeatPolicy,
+};
+
+/// Tries with engines that refuse or can't be reached. They have not run the
+/// request, so the route's own limit doesn't count them; after three the
+/// caller is better off coming back.
+const MAX_REFUSED_ATTEMPTS: usize = 3;
+
+/// Engines that a request was sent to.
+#[derive(Default)]
+pub(super) struct AttemptHistory {
+    tried_engines: Vec<String>,
+    refused_count: usize,
+    /// Engines that may have run it.
+    pub(super) run_count: u32,
+    /// When the caller should come back, where the engines are full.
+    pub(super) retry_after_ms: Option<u64>,
+}
+
+/// Sends the request to engines until one answers.
+pub(super) async fn send_with_retries(
+    request: &CallerRequest,
+    attempts: &mut AttemptHistory,
+    last_event_id: Option<&str>,
+) -> Result<Box<EngineAnswer>, Refusal> {
+    let mut may_have_run = attempts.run_count > 0;
+    // An engine's own failure, delivered if no other engine does better.
+    let mut failed_answer = None;
+    let min_left_ms = request.instance.settings.least_left_ms;
+    loop {
+        let refusal = if may_have_run {
+            Refusal::AnswerLost
+        } else {
+            Refusal::NoEngine
+        };
+        if request.left_ms() < min_left_ms {
+            return failed_answer.ok_or(if may_have_run {
+                Refusal::TimedOut
+            } else {
+                Refusal::NoEngine
+            });
+        }
+        let is_first_attempt = attempts.run_count == 0 && attempts.refused_count == 0;
+        if !is_first_attempt && !take_retry(request) {
+            return failed_answer.ok_or(refusal);
+        }
+        let context = AttemptContext {
+            tried_engines: &attempts.tried_engines,
+            can_resume_elsewhere: request.route.repeat == RepeatPolicy::ResumableStream
+                && attempts.run_count + 1 < request.route.max_attempts,
+            may_be_refused: attempts.run_count == 0,
+            is_resumed: last_event_id.is_some(),
+            last_event_id: last_event_id.or(request.head.last_event_id.as_deref()),
+            give_up_ms: give_up_ms(request, attempts),
+        };
+        match attempt(request, &context).await {
+            Outcome::Answer(answered) => {
+                attempts.run_count += 1;
+                attempts
+                    .tried_engines
+                    .push(answered.engine.incarnation.id.clone());
+                let failed = answered.answer.parts.status.is_server_error();
+                let may_retry = failed
+                    && request.route.repeat == RepeatPolicy::Idempotent
+                    && attempts.run_count < request.route.max_attempts;
+                if !may_retry {
+                    return Ok(answered);
+                }
+                may_have_run = true;
+                if request.left_ms() < min_left_ms || !has_other_engine(request) {
+                    return Ok(answered);
+                }
+                failed_answer = Some(answered);
+            }
+            Outcome::NotRun(engine) => {
+                attempts.refused_count += 1;
+                attempts.tried_engines.push(engine);
+                if attempts.refused_count >= MAX_REFUSED_ATTEMPTS {
+                    return failed_answer.ok_or(refusal);
+                }
+            }
+            Outcome::Unknown(engine) => {
+                attempts.run_count += 1;
+                attempts.tried_engines.push(engine);
+                may_have_run = true;
+                if !request.may_run_again(attempts.run_count) {
+                    return failed_answer.ok_or(Refusal::AnswerLost);
+                }
+            }
+            Outcome::TimedOut => return failed_answer.ok_or(Refusal::TimedOut),
+            Outcome::NoEngine => return failed_answer.ok_or(refusal),
+            Outcome::Full(retry_after_ms) => {
+                attempts.retry_after_ms = Some(retry_after_ms);
+                return failed_answer.ok_or(Refusal::NoEngine);
+            }
+        }
+    }
+}
+
+fn has_other_engine(request: &CallerRequest) -> bool {
+    let engines = request.instance.engines.borrow();
+    engines
+        .accepting_engines(&request.requirements.service, now_ms())
+        .count()
+        > 1
+}
+
+/// Takes one repeat of the service's budget.
+fn take_retry(request: &CallerRequest) -> bool {
+    let instance = &request.instance;
+    let instances = instance.instances();
+    let granted = instance
+        .budgets
+        .borrow_mut()
+        .entry(request.requirements.service.clone())
+        .or_default()
+        .try_repeat(&instance.machine().retries, instances, now_ms());
+    let outcome = if granted { "granted" } else { "exhausted" };
+    instance.counters.count("repeats", outcome);
+    granted
+}
+
+/// Returns the silence after which a try is given up for another engine.
+///
+/// A plain answer takes a few milliseconds, so twice the time in which it is on
+/// time tells enough. A stream may wait its turn on a busy engine; leaving
+/// that would lose its place and read its prompt twice.
+fn give_up_ms(request: &CallerRequest, attempts: &AttemptHistory) -> Option<u64> {
+    let target_multiple = if request.route.repeat.is_stream() {
+        6
+    } else {
+        2
+    };
+    request
+        .may_run_again(attempts.run_count + 1)
+        .then(|| target_multiple * request.route.target_ms)
+}
--- a/crates/gateway/src/callers/serve.rs
+++ b/crates/gateway/src/callers/serve.rs
@@ -1,13 +1,13 @@
 use {
     super::{
         AnswerBody, Refusal,
-        attempt::Answered,
-        end::refuse,
-        passing::stream,
-        request::{CallerRequest, read},
-        tries::{Tries, run},
-        whole::whole,
-        work::OpenRequest,
+        attempt::EngineAnswer,
+        buffered::forward_buffered,
+        completion::refuse,
+        guards::OpenRequestGuard,
+        request::{CallerRequest, read_request},
+        retry::{AttemptHistory, send_with_retries},
+        stream::forward_stream,
     },
     crate::{
         clock::now_ms,
@@ -29,10 +29,10 @@
     pool: Rc<Pool>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let open = OpenRequest::new(&instance);
+    let open_request = OpenRequestGuard::new(&instance);
     let (parts, body) = request.into_parts();
-    let mut response = match read(instance.clone(), pool, parts, body).await {
-        Ok(request) => admitted(Rc::new(request), open).await,
+    let mut response = match read_request(instance.clone(), pool, parts, body).await {
+        Ok(request) => handle_request(Rc::new(request), open_request).await,
         Err((refusal, retry_after_ms)) => {
             instance.counters.count("refused", refusal.reason());
             log::info!("event=refused reason={}", refusal.reason());
@@ -48,7 +48,10 @@
     response
 }
 
-async fn admitted(request: Rc<CallerRequest>, open: OpenRequest) -> Response<AnswerBody> {
+async fn handle_request(
+    request: Rc<CallerRequest>,
+    open_request: OpenRequestGuard,
+) -> Response<AnswerBody> {
     let instance = &request.instance;
     let cost = request.cost();
     if let Some(tenant) = &request.tenant {
@@ -70,35 +73,35 @@
     if request.is_poison() {
         return refuse(&request, Refusal::Poison, Some(POISON_RETRY_MS));
     }
-    let service = request.need.service.clone();
+    let service = request.requirements.service.clone();
     instance
         .budgets
         .borrow_mut()
         .entry(service)
         .or_default()
         .record_request(&instance.machine().retries, now_ms());
-    let mut tries = Tries::default();
-    match run(&request, &mut tries, None).await {
-        Ok(answered) => answer(request, answered, tries, open).await,
+    let mut attempts = AttemptHistory::default();
+    match send_with_retries(&request, &mut attempts, None).await {
+        Ok(answered) => forward_answer(request, answered, attempts, open_request).await,
         Err(refusal) => {
             if refusal == Refusal::NoEngine
                 && let Some(tenant) = &request.tenant
             {
                 instance.shares.borrow_mut().refund(tenant, cost);
             }
-            refuse(&request, refusal, tries.return_ms)
+            refuse(&request, refusal, attempts.retry_after_ms)
         }
     }
 }
 
-async fn answer(
+async fn forward_answer(
     request: Rc<CallerRequest>,
-    answered: Box<Answered>,
-    tries: Tries,
-    open: OpenRequest,
+    answered: Box<EngineAnswer>,
+    attempts: AttemptHistory,
+    open_request: OpenRequestGuard,
 ) -> Response<AnswerBody> {
     if request.route.repeat.is_stream() && answered.answer.parts.status.is_success() {
-        return stream(request, *answered, tries, open);
+        return forward_stream(request, *answered, attempts, open_request);
     }
-    whole(request, *answered, tries, open).await
+    forward_buffered(request, *answered, attempts, open_request).await
 }
--- a/crates/gateway/src/callers/passing.rs
+++ b/crates/gateway/src/callers/stream.rs
@@ -1,13 +1,13 @@
 use {
     super::{
         AnswerBody, StreamCut,
-        answer::Pieces,
-        attempt::{Answered, LOOK_MS},
-        end::{done, good},
-        judge::note,
+        answer::ByteStream,
+        attempt::{EngineAnswer, SILENCE_CHECK_INTERVAL_MS},
+        classify::record_engine_failure,
+        completion::{record_answered_request, record_complete_answer},
+        guards::OpenRequestGuard,
         request::CallerRequest,
-        tries::{Tries, run},
-        work::OpenRequest,
+        retry::{AttemptHistory, send_with_retries},
     },
     crate::{clock::now_ms, upstreams::is_silent},
     bytes::Bytes,
@@ -21,52 +21,52 @@
 };
 
 /// A stream on its way to the caller.
-struct Passing {
+struct StreamForwarder {
     request: Rc<CallerRequest>,
-    answered: Option<Answered>,
-    tries: Tries,
+    answered: Option<EngineAnswer>,
+    attempts: AttemptHistory,
     splitter: Option<EventSplitter>,
     has_begun: bool,
     /// When the last bytes came.
-    heard_ms: u64,
-    _open: OpenRequest,
+    last_received_ms: u64,
+    _open_request: OpenRequestGuard,
 }
 
 /// Passes a stream on as it comes.
-pub(super) fn stream(
+pub(super) fn forward_stream(
     request: Rc<CallerRequest>,
-    answered: Answered,
-    tries: Tries,
-    open: OpenRequest,
+    answered: EngineAnswer,
+    attempts: AttemptHistory,
+    open_request: OpenRequestGuard,
 ) -> Response<AnswerBody> {
     let headers = answer_headers(&answered.answer.parts.headers);
     let status = answered.answer.parts.status;
     let resumable = request.route.repeat == RepeatPolicy::ResumableStream;
     let last_id = request.head.last_event_id.clone();
-    let passing = Passing {
+    let forwarder = StreamForwarder {
         splitter: resumable.then(|| EventSplitter::resume_after(last_id)),
         request,
         answered: Some(answered),
-        tries,
+        attempts,
         has_begun: false,
-        heard_ms: now_ms(),
-        _open: open,
+        last_received_ms: now_ms(),
+        _open_request: open_request,
     };
-    let pieces: Pieces = Box::pin(unfold(Some(passing), |passing| async move {
-        let mut passing = passing?;
-        match passing.next().await {
-            Ok(Some(bytes)) => Some((Ok(bytes), Some(passing))),
+    let byte_stream: ByteStream = Box::pin(unfold(Some(forwarder), |forwarder| async move {
+        let mut forwarder = forwarder?;
+        match forwarder.next().await {
+            Ok(Some(bytes)) => Some((Ok(bytes), Some(forwarder))),
             Ok(None) => None,
             Err(cut) => Some((Err(cut), None)),
         }
     }));
-    let mut response = Response::new(AnswerBody::Stream(pieces));
+    let mut response = Response::new(AnswerBody::Stream(byte_stream));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
-impl Passing {
+impl StreamForwarder {
     /// Returns the next bytes for the caller, or `None` at the end.
     async fn next(&mut self) -> Result<Option<Bytes>, StreamCut> {
         loop {
@@ -74,38 +74,38 @@
                 return Ok(None);
             };
             let left_ms = self.request.left_ms();
-            let look = Duration::from_millis(left_ms.min(LOOK_MS));
-            match timeout(look, answered.answer.body.frame()).await {
-                Err(_) if left_ms <= LOOK_MS => {
-                    note(&self.request, &answered.engine, "timed_out");
-                    return Err(self.cut("timed_out"));
+            let check_interval = Duration::from_millis(left_ms.min(SILENCE_CHECK_INTERVAL_MS));
+            match timeout(check_interval, answered.answer.body.frame()).await {
+                Err(_) if left_ms <= SILENCE_CHECK_INTERVAL_MS => {
+                    record_engine_failure(&self.request, &answered.engine, "timed_out");
+                    return Err(self.record_cut("timed_out"));
                 }
-                Err(_) if self.is_left_alone() => self.go_on("silent").await?,
+                Err(_) if self.is_stalled() => self.resume("silent").await?,
                 Err(_) => {}
                 Ok(Some(Ok(frame))) => {
                     let Ok(bytes) = frame.into_data() else {
                         continue;
                     };
-                    self.heard();
-                    let whole = match &mut self.splitter {
+                    self.record_received();
+                    let complete_events = match &mut self.splitter {
                         Some(splitter) => Bytes::from(splitter.push(&bytes)),
                         None => bytes,
                     };
-                    if !whole.is_empty() {
-                        return Ok(Some(whole));
+                    if !complete_events.is_empty() {
+                        return Ok(Some(complete_events));
                     }
                 }
-                Ok(Some(Err(_))) => self.go_on("broken_off").await?,
+                Ok(Some(Err(_))) => self.resume("broken_off").await?,
                 Ok(None)
                     if self
                         .splitter
                         .as_ref()
                         .is_some_and(EventSplitter::has_partial_event) =>
                 {
-                    self.go_on("half_event").await?;
+                    self.resume("half_event").await?;
                 }
                 Ok(None) => {
-                    self.end();
+                    self.finish();
                     return Ok(None);
                 }
             }
@@ -120,34 +120,34 @@
     /// long prompts stands still too, so what counts is whether it takes a
     /// connection. A stream that may run only once stays where it is: nobody can
     /// finish it, and the engine may be heard again.
-    fn is_left_alone(&self) -> bool {
+    fn is_stalled(&self) -> bool {
         let (Some(answered), Some(_)) = (&self.answered, &self.splitter) else {
             return false;
         };
         let instance = &self.request.instance;
         let (now_ms, silent_ms) = (now_ms(), instance.settings.silent_ms);
-        if now_ms < self.heard_ms + silent_ms {
+        if now_ms < self.last_received_ms + silent_ms {
             return false;
         }
-        let unheard_since_ms = (now_ms + 1).saturating_sub(silent_ms);
+        let silent_since_ms = (now_ms + 1).saturating_sub(silent_ms);
         is_silent(
             instance,
             &self.request.pool,
             &answered.engine,
-            unheard_since_ms,
+            silent_since_ms,
             now_ms,
         )
     }
 
-    fn heard(&mut self) {
+    fn record_received(&mut self) {
         let Some(answered) = &mut self.answered else {
             return;
         };
         let now_ms = now_ms();
-        self.heard_ms = now_ms;
+        self.last_received_ms = now_ms;
         if !self.has_begun {
             self.has_begun = true;
-            answered.work.read(now_ms);
+            answered.load_guard.record_prefill(now_ms);
             let waited_ms = now_ms.saturating_sub(self.request.arrived_ms);
             self.request
                 .instance
@@ -155,38 +155,38 @@
                 .observe("first_event", waited_ms);
         }
         let mut engines = self.request.instance.engines.borrow_mut();
-        if let Some(belief) = engines.get_mut(&answered.engine.incarnation.id) {
-            belief.record_received(now_ms);
+        if let Some(known_engine) = engines.get_mut(&answered.engine.incarnation.id) {
+            known_engine.record_received(now_ms);
         }
     }
 
-    fn end(&mut self) {
+    fn finish(&mut self) {
         if let Some(answered) = self.answered.take() {
             answered.answer.connection.put_back(now_ms());
-            good(&self.request, &answered.engine.incarnation.id);
-            done(&self.request, &answered.engine.incarnation.id, 200);
+            record_complete_answer(&self.request, &answered.engine.incarnation.id);
+            record_answered_request(&self.request, &answered.engine.incarnation.id, 200);
         }
     }
 
     /// Goes on with the stream at another engine, behind the last event that
     /// the caller has.
-    async fn go_on(&mut self, reason: &'static str) -> Result<(), StreamCut> {
+    async fn resume(&mut self, reason: &'static str) -> Result<(), StreamCut> {
         let Some(answered) = self.answered.take() else {
-            return Err(self.cut(reason));
+            return Err(self.record_cut(reason));
         };
-        note(&self.request, &answered.engine, reason);
+        record_engine_failure(&self.request, &answered.engine, reason);
         drop(answered);
-        let may = self.tries.run < self.request.route.max_attempts;
-        let Some(splitter) = self.splitter.as_ref().filter(|_| may) else {
-            return Err(self.cut(reason));
+        let may_retry = self.attempts.run_count < self.request.route.max_attempts;
+        let Some(splitter) = self.splitter.as_ref().filter(|_| may_retry) else {
+            return Err(self.record_cut(reason));
         };
         let last_id = splitter.last_id().map(str::to_owned);
-        let next = run(&self.request, &mut self.tries, last_id.as_deref()).await;
+        let next = send_with_retries(&self.request, &mut self.attempts, last_id.as_deref()).await;
         let Ok(next) = next else {
-            return Err(self.cut(reason));
+            return Err(self.record_cut(reason));
         };
         if !next.answer.parts.status.is_success() {
-            return Err(self.cut("not_resumed"));
+            return Err(self.record_cut("not_resumed"));
         }
         self.request.instance.counters.count("resumed", reason);
         log::warn!(
@@ -196,11 +196,11 @@
         );
         self.splitter = Some(EventSplitter::resume_after(last_id));
         self.answered = Some(*next);
-        self.heard_ms = now_ms();
+        self.last_received_ms = now_ms();
         Ok(())
     }
 
-    fn cut(&self, reason: &'static str) -> StreamCut {
+    fn record_cut(&self, reason: &'static str) -> StreamCut {
         self.request.instance.counters.count("stream_cut", reason);
         log::warn!(
             "event=stream_cut request={} reason={reason}",
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -2,7 +2,7 @@
     super::{CallClient, backoff::Backoff},
     crate::{clock::now_ms, instance::Instance},
     mangowalk_platform::{
-        Changes, Freshness, Kind, Page, StoreError, Stored, decode_changes, decode_page,
+        Changes, Freshness, Kind, Page, StoreError, StoredObject, decode_changes, decode_page,
     },
     std::{future::pending, time::Duration},
     tokio::time::sleep,
@@ -19,10 +19,10 @@
         0
     }
     /// Takes over the whole kind as it is at a revision.
-    fn replace_all(&self, objects: &[Stored], revision: u64);
+    fn replace_all(&self, objects: &[StoredObject], revision: u64);
     /// Takes over changes up to a revision, of which there may be none; an object
     /// that is gone is `None`.
-    fn apply_changes(&self, changes: &[(String, Option<Stored>)], revision: u64);
+    fn apply_changes(&self, changes: &[(String, Option<StoredObject>)], revision: u64);
     /// Ends when peers know more than this instance's watch has told.
     async fn wait_until_behind(&self) {
         pending().await
@@ -84,7 +84,7 @@
             return;
         };
         // A copy that lags may tell once more what was read before.
-        let is_new = |object: &Option<Stored>| {
+        let is_new = |object: &Option<StoredObject>| {
             object
                 .as_ref()
                 .is_none_or(|object| object.revision > revision)
@@ -103,7 +103,9 @@
     let mut objects = Vec::new();
     let mut revision = None;
     loop {
-        let after = objects.last().map(|object: &Stored| object.name.clone());
+        let after = objects
+            .last()
+            .map(|object: &StoredObject| object.name.clone());
         let call = Page::call(F::KIND, after.as_deref());
         let (status, body) = match store.call(&call, instance.settings.store_ms).await {
             Ok(answer) => answer,
--- a/crates/gateway/src/store/followers.rs
+++ b/crates/gateway/src/store/followers.rs
@@ -6,7 +6,7 @@
     crate::{clock::now_ms, instance::Instance},
     mangowalk_core::{pool::EngineTable, weights::PublishedAt},
     mangowalk_platform::{
-        Kind, Stored, decode_configuration, decode_engine, decode_newest_weights,
+        Kind, StoredObject, decode_configuration, decode_engine, decode_newest_weights,
     },
     std::{cell::Cell, rc::Rc, time::Duration},
     tokio::time::sleep,
@@ -15,7 +15,7 @@
 struct ConfigurationFollower(Rc<Instance>);
 
 impl ConfigurationFollower {
-    fn apply(&self, object: &Stored) {
+    fn apply(&self, object: &StoredObject) {
         match decode_configuration(&object.spec) {
             Ok(configuration) => self.0.apply(configuration, "store", now_ms()),
             Err(error) => log::warn!(
@@ -29,13 +29,13 @@
 impl Follower for ConfigurationFollower {
     const KIND: Kind = Kind::Configuration;
 
-    fn replace_all(&self, objects: &[Stored], _revision: u64) {
+    fn replace_all(&self, objects: &[StoredObject], _revision: u64) {
         for object in objects {
             self.apply(object);
         }
     }
 
-    fn apply_changes(&self, changes: &[(String, Option<Stored>)], _revision: u64) {
+    fn apply_changes(&self, changes: &[(String, Option<StoredObject>)], _revision: u64) {
         for object in changes.iter().filter_map(|(_, object)| object.as_ref()) {
             self.apply(object);
         }
@@ -62,7 +62,7 @@
 }
 
 impl WeightsFollower {
-    fn record_version(&self, object: &Stored, at: PublishedAt) {
+    fn record_version(&self, object: &StoredObject, at: PublishedAt) {
         match decode_newest_weights(&object.spec) {
             Some(newest) => {
                 self.instance
@@ -76,7 +76,7 @@
 impl Follower for WeightsFollower {
     const KIND: Kind = Kind::Weights;
 
-    fn replace_all(&self, objects: &[Stored], _revision: u64) {
+    fn replace_all(&self, objects: &[StoredObject], _revision: u64) {
         let gap_ms = self
             .last_answer_ms
             .get()
@@ -88,7 +88,7 @@
         }
     }
 
-    fn apply_changes(&self, changes: &[(String, Option<Stored>)], _revision: u64) {
+    fn apply_changes(&self, changes: &[(String, Option<StoredObject>)], _revision: u64) {
         self.last_answer_ms.set(Some(now_ms()));
         for object in changes.iter().filter_map(|(_, object)| object.as_ref()) {
             self.record_version(object, PublishedAt::Ago(0));
@@ -99,7 +99,7 @@
 struct EnginesFollower(Rc<Instance>);
 
 impl EnginesFollower {
-    fn apply_entry(&self, engines: &mut EngineTable, object: &Stored) {
+    fn apply_entry(&self, engines: &mut EngineTable, object: &StoredObject) {
         let (name, revision) = (&object.name, object.revision);
         match decode_engine(name, revision, &object.spec) {
             Ok(entry) => {
@@ -143,7 +143,7 @@
         self.0.settings.gather_ms
     }
 
-    fn replace_all(&self, objects: &[Stored], revision: u64) {
+    fn replace_all(&self, objects: &[StoredObject], revision: u64) {
         let now_ms = now_ms();
         let mut engines = self.0.engines.borrow_mut();
         let is_listed = |id: &str| objects.iter().any(|object| object.name == id);
@@ -160,7 +160,7 @@
         self.0.notes.orders.notify_one();
     }
 
-    fn apply_changes(&self, changes: &[(String, Option<Stored>)], revision: u64) {
+    fn apply_changes(&self, changes: &[(String, Option<StoredObject>)], revision: u64) {
         let now_ms = now_ms();
         let mut engines = self.0.engines.borrow_mut();
         for (name, object) in changes {
--- a/crates/gateway/src/store/register.rs
+++ b/crates/gateway/src/store/register.rs
@@ -2,7 +2,8 @@
     super::{CallClient, backoff::Backoff},
     crate::{clock::now_ms, instance::Instance},
     mangowalk_platform::{
-        Kind, MemberRecord, Page, Stored, decode_object, decode_page, encode_create, encode_replace,
+        Kind, MemberRecord, Page, StoredObject, decode_object, decode_page, encode_create,
+        encode_replace,
     },
     std::{net::SocketAddr, rc::Rc},
 };
@@ -56,7 +57,7 @@
     true
 }
 
-fn peer_address(object: &Stored) -> Option<SocketAddr> {
+fn peer_address(object: &StoredObject) -> Option<SocketAddr> {
     let record: MemberRecord = serde_json::from_value(object.spec.clone()).ok()?;
     Some(record.peer_address)
 }
--- a/crates/gateway/src/upstreams/kept.rs
+++ b/crates/gateway/src/upstreams/kept.rs
@@ -1,7 +1,7 @@
 use {
     crate::{instance::Instance, logs::LIFECYCLE, store::CallClient},
     mangowalk_core::pool::kv_store_key,
-    mangowalk_platform::KeptChanges,
+    mangowalk_platform::CacheStoreChanges,
     std::{net::SocketAddr, rc::Rc, time::Duration},
     tokio::time::sleep,
 };
@@ -56,10 +56,10 @@
     let client = CallClient::new(address, CONNECT_MS);
     let mut since = 0;
     while store_address(instance) == Some(address) && is_follower(instance) {
-        let call = KeptChanges::call(since, WAIT_MS);
+        let call = CacheStoreChanges::call(since, WAIT_MS);
         let answer = client.call(&call, WAIT_MS + ANSWER_MS).await;
         let changes = match answer {
-            Ok((200, body)) => KeptChanges::decode(&body),
+            Ok((200, body)) => CacheStoreChanges::decode(&body),
             _ => None,
         };
         let Some(changes) = changes else {
@@ -71,18 +71,18 @@
             sleep(PAUSE).await;
             continue;
         };
-        since = changes.next;
+        since = changes.resume_from;
         apply(instance, &changes);
     }
 }
 
-fn apply(instance: &Instance, changes: &KeptChanges) {
+fn apply(instance: &Instance, changes: &CacheStoreChanges) {
     let mut kept = instance.kept.borrow_mut();
     if !kept.is_up() {
         log::info!(target: LIFECYCLE, "event=kept_store_answers epoch={}", changes.epoch);
     }
     kept.record_answer(changes.epoch, changes.lost);
     for change in &changes.changes {
-        kept.apply_change(kv_store_key(&change.salt, change.part), change.came);
+        kept.apply_change(kv_store_key(&change.salt, change.part), change.is_added);
     }
 }
--- a/crates/gateway/src/weights/right.rs
+++ b/crates/gateway/src/weights/right.rs
@@ -6,7 +6,7 @@
     },
     mangowalk_core::weights::{Held, HolderReport, Lease, ObservedRecord, Vacant},
     mangowalk_platform::{
-        Call, Kind, LeaseRecord, Stored, decode_object, encode_create, encode_replace,
+        Call, Kind, LeaseRecord, StoredObject, decode_object, encode_create, encode_replace,
         path_of_object,
     },
     std::rc::Rc,
@@ -208,7 +208,7 @@
     }
 
     /// Returns whose a record is.
-    fn before(&mut self, stored: &Stored, now_ms: u64) -> Before {
+    fn before(&mut self, stored: &StoredObject, now_ms: u64) -> Before {
         let seen = self.seen.filter(|seen| seen.revision == stored.revision);
         let seen = seen.unwrap_or(ObservedRecord {
             revision: stored.revision,
@@ -266,7 +266,7 @@
         }
     }
 
-    fn replacement(&self, stored: &Stored, is_own: bool) -> Call {
+    fn replacement(&self, stored: &StoredObject, is_own: bool) -> Call {
         let before: Option<LeaseRecord> = serde_json::from_value(stored.spec.clone()).ok();
         let (fence, renewals) =
             before.map_or((1, 1), |record| (record.fence + 1, record.renewals + 1));
@@ -333,7 +333,7 @@
     }
 }
 
-fn written(body: &[u8]) -> Option<(Stored, LeaseRecord)> {
+fn written(body: &[u8]) -> Option<(StoredObject, LeaseRecord)> {
     let stored = decode_object(body).ok()?;
     let record = serde_json::from_value(stored.spec.clone()).ok()?;
     Some((stored, record))
