--- a/crates/gateway/src/callers/attempt.rs
+++ b/crates/gateway/src/callers/attempt.rs
@@ -67,7 +67,7 @@
 pub(super) async fn attempt(request: &CallerRequest, context: &AttemptContext<'_>) -> Outcome {
     let now = now_ms();
     let (engine, plan) = match choose_engine(request, context, now) {
-        Ok(placed) => placed,
+        Ok(chosen) => chosen,
         Err(outcome) => return outcome,
     };
     let left_ms = request.left_ms();
