--- a/crates/gateway/src/callers/refusal.rs
+++ b/crates/gateway/src/callers/refusal.rs
@@ -31,11 +31,11 @@
     #[display("The body did not arrive in time; send the request again.")]
     TooSlow,
     /// The team has used up its rate. The request has not run.
-    #[display("Your team's rate is used up; retry after the time given.")]
+    #[display("Your team's rate is used up; come again after the time given.")]
     OverRate,
     /// The instance has not yet read the configuration or the list of engines.
     /// The request has not run.
-    #[display("This instance has just started; retry after the time given.")]
+    #[display("This instance has just started; come again after the time given.")]
     Starting,
     /// The instance is stopping. The request has not run.
     #[display("This instance is stopping; connect to another one.")]
@@ -44,7 +44,7 @@
     #[display("This request has crashed several engines; change it before you send it again.")]
     Poison,
     /// No engine can run the request in time. It has not run.
-    #[display("No engine is free in time; retry after the time given.")]
+    #[display("No engine is free in time; come again after the time given.")]
     NoEngine,
     /// The engine's answer was lost. The request may have run.
     #[display("The engine's answer was lost; the request may have run.")]
