--- a/crates/core/src/share/bucket.rs
+++ b/crates/core/src/share/bucket.rs
@@ -1,27 +1,29 @@
 use crate::routing::TokenRate;
 
-/// Where an instance stands among all that serve.
+/// Share of a team's bucket that an instance may use.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct InstanceShare {
-    /// Part of the instances that are heard, this one included. What the
-    /// others may spend behind a partition stays set aside for them.
+    /// Fraction of all instances whose heartbeats are received, this instance
+    /// included. The rest of the rate is reserved for instances that may still
+    /// be serving on the other side of a partition.
     pub reachable_fraction: f64,
-    /// Part of a team's demand that comes to this instance.
+    /// Fraction of the team's demand that arrives at this instance.
     pub demand_fraction: f64,
-    /// Instances that are asked by the team too and have their turn before this
-    /// one.
+    /// Number of instances with demand from the team whose turn comes before
+    /// this one.
     pub instances_ahead: usize,
 }
 
-/// Shortest wait of a request whose instance isn't in turn: a heartbeat, after
-/// which the turns have changed.
+/// Minimum wait returned to a refused request: one heartbeat period, after
+/// which the order of the instances has changed.
 const MIN_WAIT_MS: f64 = 200.0;
 
-/// One instance's estimate of a team's bucket over all instances.
+/// One instance's estimate of a team's token bucket over all instances.
 ///
-/// Spending of others arrives a heartbeat late, and is subtracted then, if
-/// need be below zero: over time no more than the rate is granted, and for a
-/// moment at most what is asked for within a heartbeat.
+/// Spending of other instances is reported one heartbeat late. It is subtracted
+/// when the report arrives, below zero if necessary. In the long run no more
+/// than the rate is granted; the excess at any moment is at most what is
+/// requested within one heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetBucket {
     rate: TokenRate,
@@ -31,8 +33,8 @@
 }
 
 impl FleetBucket {
-    /// Returns a bucket that holds nothing yet. All instances together may go
-    /// below zero by the slack for a moment.
+    /// Returns an empty bucket. `slack` is the number of tokens by which all
+    /// instances together may briefly overdraw it.
     pub fn empty(rate: TokenRate, slack: f64, now_ms: u64) -> FleetBucket {
         FleetBucket {
             rate,
@@ -42,32 +44,33 @@
         }
     }
 
-    /// Returns the tokens in the bucket.
+    /// Returns the estimated tokens in the bucket, negative when overdrawn.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Takes over a new rate.
+    /// Replaces rate and burst. The level is unchanged until the next refill.
     pub fn set_rate(&mut self, rate: TokenRate) {
         self.rate = rate;
     }
 
-    /// Takes over the level that a peer knows.
+    /// Replaces the level by a peer's estimate.
     pub fn set_level(&mut self, level: f64) {
         self.level = level;
     }
 
-    /// Lowers the level to a part of the burst.
-    pub fn cap_level(&mut self, part: f64) {
-        self.level = self.level.min(self.rate.burst * part);
+    /// Lowers the level to at most this fraction of the burst.
+    pub fn cap_level(&mut self, fraction: f64) {
+        self.level = self.level.min(self.rate.burst * fraction);
     }
 
-    /// Subtracts what others have spent.
+    /// Subtracts tokens that a peer reported as spent.
     pub fn subtract_peer_spending(&mut self, tokens: f64) {
         self.level -= tokens;
     }
 
-    /// Lets time pass.
+    /// Adds the tokens for the time since the last refill, up to the burst.
+    /// Both are scaled by the reachable fraction of the instances.
     pub fn refill(&mut self, share: InstanceShare, now_ms: u64) {
         let elapsed_s = now_ms.saturating_sub(self.refilled_ms) as f64 / 1_000.0;
         self.refilled_ms = self.refilled_ms.max(now_ms);
@@ -75,44 +78,46 @@
         self.level = (self.level + refilled).min(self.rate.burst * share.reachable_fraction);
     }
 
-    /// Takes tokens, or says after how many milliseconds they may be there.
+    /// Refills the bucket and takes tokens from it, all or none.
     ///
     /// While the bucket is less than half full, an instance takes only from
-    /// its own part of it. Else all would spend the same few tokens within
-    /// one heartbeat. Above that, as many instances take at once as there are
-    /// requests of this size in the bucket, in turns that change with what is
-    /// spent: twenty instances that were asked together by a team with four
-    /// requests' burst granted twenty, and refused it for as many seconds.
+    /// its own share of the level; otherwise all instances would spend the same
+    /// few tokens within one heartbeat. At half full or more, the whole level
+    /// is available to as many instances as it holds requests of this size, in
+    /// an order that changes with the spending. Without that order, 20
+    /// instances that a team addressed at once granted 20 requests from a burst
+    /// of four, and the team was refused for 20 seconds afterwards.
     ///
-    /// A request larger than the bucket goes when the bucket is full, and
-    /// leaves a debt; else it could never go.
+    /// A request larger than the burst is granted from a full bucket and leaves
+    /// a debt; otherwise it would never be granted.
     ///
     /// # Errors
     ///
-    /// Returns the wait where there isn't enough.
+    /// Returns the estimated wait in milliseconds if the tokens are not
+    /// available.
     pub fn take(&mut self, tokens: f64, share: InstanceShare, now_ms: u64) -> Result<(), u64> {
         self.refill(share, now_ms);
         let capacity = self.rate.burst * share.reachable_fraction;
         let half = capacity / 2.0;
         let required = tokens.min(capacity * 0.95);
-        let part = (2.0 * share.demand_fraction).min(1.0);
+        let own_fraction = (2.0 * share.demand_fraction).min(1.0);
         let is_in_turn =
             (share.instances_ahead as f64) < (self.level + self.slack) / required.max(1.0);
         let available = if self.level >= half && is_in_turn {
             self.level
         } else {
-            self.level * part
+            self.level * own_fraction
         };
         if available >= required {
             self.level -= tokens;
             return Ok(());
         }
-        let target_level = (required / part.max(0.01)).min(required.max(half));
+        let target_level = (required / own_fraction.max(0.01)).min(required.max(half));
         let per_ms = (self.rate.per_s * share.reachable_fraction / 1_000.0).max(1e-9);
         Err(((target_level - self.level) / per_ms).clamp(MIN_WAIT_MS, 60_000.0) as u64)
     }
 
-    /// Gives back tokens of a request that did not run.
+    /// Returns the tokens of a request that did not run, up to the burst.
     pub fn refund(&mut self, tokens: f64) {
         self.level = (self.level + tokens).min(self.rate.burst);
     }
--- a/crates/core/src/share/mod.rs
+++ b/crates/core/src/share/mod.rs
@@ -1,5 +1,8 @@
-//! A team's rate over all instances: one bucket, of which each instance keeps
-//! an estimate by what the others tell that they have spent.
+//! Team rates shared by all instances.
+//!
+//! Each team has one token bucket for the whole deployment. Every instance
+//! keeps its own estimate of that bucket, which it corrects by the spending
+//! that its peers report.
 
 mod bucket;
 mod table;
--- a/crates/core/src/share/table.rs
+++ b/crates/core/src/share/table.rs
@@ -4,41 +4,49 @@
     std::collections::HashMap,
 };
 
-/// How rates behave where little is known.
+/// Settings for sharing rates between instances, chiefly for the time after a
+/// start and for partitions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ShareSettings {
-    /// Part of the burst that an instance believes in at most while it is new.
-    /// It begins with nothing: it can't know what was spent before, and
-    /// whatever it began with would be handed out again at each restart.
+    /// Maximum level of a bucket, as a fraction of the burst, while the instance
+    /// is learning. Buckets start empty: the instance can't know what was spent
+    /// before, and any initial level would be granted again at each restart.
     pub initial_burst_fraction: f64,
-    /// Time after the start in which instances that were listed and are not
-    /// heard yet are counted. Those that live are heard within two heartbeats;
-    /// a lone survivor would go on refusing its callers for those that left.
+    /// Time after the start, in milliseconds, during which listed instances
+    /// count even though no heartbeat of them has been received. Live instances
+    /// are received within two heartbeats; with a longer time, the last
+    /// remaining instance would keep refusing callers on behalf of instances
+    /// that have left.
     pub expected_instances_ms: u64,
-    /// Time after the start in which little is known of what others spend, unless
-    /// a peer that knows it was heard.
+    /// Time after the start, in milliseconds, during which the spending of other
+    /// instances is unknown unless a peer that knows it has reported.
     pub learning_ms: u64,
-    /// Difference of two instances' times since their start up to which they
-    /// count as started together. Machines that come back at once differ by some
-    /// hundred milliseconds.
+    /// Maximum difference between two instances' uptimes, in milliseconds, for
+    /// them to count as started together. Machines that restart at once differ
+    /// by some hundred milliseconds.
     pub simultaneous_start_ms: u64,
-    /// Time since a peer's start up to which all that it spent is recent. Longer
-    /// than heartbeats take to find a new one, shorter than a bucket takes to fill.
+    /// Maximum uptime of a newly received peer, in milliseconds, for which all of
+    /// its spending counts as recent. Longer than heartbeats take to discover a
+    /// new peer, shorter than a bucket takes to fill.
     pub recent_start_ms: u64,
-    /// Part of the rates that an instance takes at most that has just started and
-    /// hears less than half of the others.
+    /// Maximum fraction of the rates that an instance uses after its start while
+    /// it receives less than half of the expected instances.
     pub isolated_fraction: f64,
-    /// Time after the start for which it does: a window of rates.
+    /// Rate window in milliseconds: the time after the start for which
+    /// `isolated_fraction` applies, and for which a reported instance count is
+    /// valid.
     pub rate_window_ms: u64,
-    /// Part of a share that goes evenly to all instances, so that one whose
-    /// first caller comes has something to give.
+    /// Fraction of a team's bucket that is divided evenly between all instances,
+    /// so that an instance has tokens for the first request it receives. The
+    /// rest is divided by demand.
     pub even_fraction: f64,
-    /// Tokens by which all instances together may overdraw a team's bucket for
-    /// a moment. With more of them, fewer instances have to take turns.
+    /// Tokens by which all instances together may briefly overdraw a team's
+    /// bucket. A larger value lets more instances grant requests at once.
     pub slack_tokens: f64,
-    /// Part of the largest demand at one instance from which on an instance
-    /// counts as asked by a team. Demand halves in about a second and a half, so
-    /// one that isn't asked any more loses its turn within five.
+    /// Minimum demand for an instance to take part in a team's order of turns,
+    /// as a fraction of the largest demand at any instance. Measured demand
+    /// halves in about 1.5 s, so an instance without requests drops out of the
+    /// order within 5 s.
     pub active_demand_fraction: f64,
 }
 
@@ -59,31 +67,32 @@
     }
 }
 
-/// What a peer tells of one team.
+/// One team's spending at a peer, as the peer reports it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerSpending {
     /// Tokens spent since the peer's start.
     pub spent: f64,
-    /// Tokens in the bucket, as the peer estimates.
+    /// Level of the bucket in tokens, as the peer estimates it.
     pub level: f64,
-    /// Tokens a second asked for there.
+    /// Tokens per second requested at the peer, granted or not.
     pub demand_per_s: f64,
 }
 
-/// What a peer tells of all teams.
+/// Spending of all teams at a peer, as its heartbeat reports it.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PeerReport {
-    /// Its start.
+    /// Identifies the peer's process; a restart changes it.
     pub incarnation: u64,
-    /// Time since its start.
+    /// Milliseconds since the peer's start.
     pub up_ms: u64,
-    /// Instances that it counts, heard or not, itself included.
+    /// Instances that the peer counts, reachable or not, itself included.
     pub instances: usize,
-    /// Time for which that count still holds.
+    /// Milliseconds for which `instances` remains valid.
     pub count_valid_ms: u64,
-    /// Whether it knows what was spent, as it isn't new or has learned it.
+    /// Whether the peer knows what was spent: it is past its learning time or
+    /// has copied the levels of another instance.
     pub knows_spending: bool,
-    /// What it tells, by team.
+    /// Spending by team name.
     pub teams: HashMap<String, PeerSpending>,
 }
 
@@ -100,7 +109,7 @@
     demand: Demand,
 }
 
-/// Every team's bucket, as this instance estimates it.
+/// This instance's estimate of every team's bucket.
 #[derive(Debug, Default)]
 pub struct ShareTable {
     name: String,
@@ -109,10 +118,11 @@
     own: HashMap<String, OwnSpending>,
     peers: HashMap<String, Peer>,
     started_ms: Option<u64>,
-    /// Whether a peer was heard that knows what was spent before the start.
+    /// Whether levels were copied from a peer that knows what was spent before
+    /// this instance started.
     has_learned: bool,
     expected_instances: usize,
-    /// Most instances that a peer counts, and until when that holds.
+    /// Largest instance count that a peer reported, until it expires.
     max_peer_count: Option<PeerCount>,
 }
 
@@ -123,7 +133,8 @@
 }
 
 impl ShareTable {
-    /// Returns the table of an instance that knows nothing yet.
+    /// Returns an empty table for the instance `name`. It has no buckets until
+    /// [`ShareTable::configure`] is called.
     pub fn new(name: &str, settings: ShareSettings) -> ShareTable {
         ShareTable {
             name: name.to_owned(),
@@ -132,7 +143,8 @@
         }
     }
 
-    /// Returns what this instance tells its peers of each team.
+    /// Returns this instance's spending by team, sorted by name, for the
+    /// heartbeats to its peers.
     pub fn spending(&self, now_ms: u64) -> Vec<(String, PeerSpending)> {
         let mut all: Vec<_> = self
             .own
@@ -151,7 +163,9 @@
         all
     }
 
-    /// Takes over teams and rates of a configuration.
+    /// Applies the teams and rates of a configuration. The first call marks the
+    /// start of this instance. Teams without a rate lose their bucket, and teams
+    /// that are no longer listed are removed.
     pub fn configure(&mut self, tenants: &[Tenant], now_ms: u64) {
         self.started_ms.get_or_insert(now_ms);
         for tenant in tenants {
@@ -170,15 +184,17 @@
         self.own.retain(|team, _| known(team));
     }
 
-    /// Takes over what a peer tells.
+    /// Applies a peer's report: subtracts what the peer has spent since its last
+    /// report.
     ///
-    /// An instance that is new takes over the levels of the first peer that knows
-    /// them: they are the same buckets, and that peer will spend by them too. With
-    /// the lowest of all levels instead, a rolling restart would lower them with
-    /// each instance, and teams within their rate would be refused.
+    /// A new instance instead copies the levels of the first peer that knows
+    /// them: both estimate the same buckets, and that peer keeps spending by its
+    /// own estimate. Taking the lowest of all levels would lower them with every
+    /// instance of a rolling restart and refuse teams that are within their
+    /// rate.
     pub fn receive_report(&mut self, peer: &str, report: PeerReport, now_ms: u64) {
-        // Before the configuration is known there are no levels to take over; the
-        // next heartbeat brings them.
+        // Before the first configuration there are no buckets to copy levels
+        // into; the next heartbeat brings the levels again.
         let is_configured = self.started_ms.is_some();
         let copies_levels = is_configured && report.knows_spending && self.is_learning(now_ms);
         self.has_learned |= copies_levels;
@@ -208,10 +224,11 @@
         };
     }
 
-    /// Returns whether what a peer has spent since its start is accounted for,
-    /// though it was not heard before: it was up before this instance, or for so
-    /// long that the bucket has been filled since. One that comes back after half a
-    /// minute of silence would else cost its team all that it ever spent.
+    /// Returns whether the spending of a newly received peer is already reflected
+    /// in the levels: the peer started before this instance, or so long ago that
+    /// the bucket has filled since. Otherwise a peer that is received again after
+    /// half a minute would have everything it ever spent subtracted from its
+    /// teams' buckets.
     fn is_already_counted(&self, report: &PeerReport, now_ms: u64) -> bool {
         let started_ms = self.started_ms.unwrap_or(now_ms);
         let up_ms = now_ms.saturating_sub(started_ms);
@@ -219,14 +236,15 @@
         is_older || report.up_ms > self.settings.recent_start_ms
     }
 
-    /// Notes how many instances there may be, heard or not. A new instance
-    /// that hears none yet must not take itself for the only one: after a loss
-    /// of power all of them would spend the same tokens at once.
+    /// Sets how many instances are listed, reachable or not. A new instance
+    /// without heartbeats must not assume that it is the only one: after a power
+    /// loss all instances would spend the same tokens at once.
     pub fn set_expected_instances(&mut self, instances: usize) {
         self.expected_instances = instances;
     }
 
-    /// Notes which peers are heard, and forgets those that are gone.
+    /// Updates which peers are reachable, by name, and removes those for which
+    /// `is_reachable` returns `None`.
     pub fn update_peers(&mut self, mut is_reachable: impl FnMut(&str) -> Option<bool>) {
         self.peers.retain(|name, peer| match is_reachable(name) {
             Some(is_reachable) => {
@@ -237,11 +255,13 @@
         });
     }
 
-    /// Takes a request's cost of its team's rate.
+    /// Takes a request's cost in tokens from its team's bucket, and counts it as
+    /// demand. Teams without a rate are always granted.
     ///
     /// # Errors
     ///
-    /// Returns the wait in milliseconds where there isn't enough.
+    /// Returns the estimated wait in milliseconds if the tokens are not
+    /// available.
     pub fn take(&mut self, tenant: &Tenant, cost: u64, now_ms: u64) -> Result<(), u64> {
         let cost = cost as f64;
         let own = self.own.entry(tenant.name.clone()).or_default();
@@ -258,38 +278,43 @@
         Ok(())
     }
 
-    /// Returns the tokens that a team has left, as this instance estimates.
+    /// Returns the estimated tokens in a team's bucket, or `None` for a team
+    /// without a rate.
     pub fn level(&self, team: &str) -> Option<f64> {
         self.buckets.get(team).map(FleetBucket::level)
     }
 
-    /// Gives back the cost of a request that did not run.
+    /// Refunds the cost of a request that did not run.
     ///
-    /// Peers are not told: what they have subtracted comes back by time. A
-    /// count that goes down would look like a restart.
+    /// The refund is not reported to peers, whose buckets refill with time; a
+    /// decreasing spending counter would look like a restart.
     pub fn refund(&mut self, tenant: &Tenant, cost: u64) {
         if let Some(bucket) = self.buckets.get_mut(&tenant.name) {
             bucket.refund(cost as f64);
         }
     }
 
-    /// Returns whether this instance knows what was spent, for its peers.
+    /// Returns whether this instance knows what was spent before its start, for
+    /// the reports to its peers.
     pub fn knows_spending(&self, now_ms: u64) -> bool {
         !self.is_learning(now_ms)
     }
 
-    /// Returns whether little is known yet of what others spend.
+    /// Returns whether the spending of other instances is still unknown.
     fn is_learning(&self, now_ms: u64) -> bool {
         self.started_within(self.settings.learning_ms, now_ms) && !self.has_learned
     }
 
-    /// Returns the instances that count for rates, and for how long that holds.
+    /// Returns the number of instances that share the rates, this one included,
+    /// and for how many milliseconds that number is valid.
     ///
-    /// One that starts behind a cut doesn't know of those on the other side; its
-    /// peers on this side do, and what they told holds for a window of rates, though
-    /// they start anew themselves. Passed on, it holds no longer than that: else two
-    /// would remind each other for ever of one that is gone. Whoever has been up for
-    /// as long knows best itself, and forgets at once one that says that it stops.
+    /// An instance that starts inside a partition doesn't know the instances on
+    /// the other side, but its peers do. A count that they report is valid for
+    /// one rate window, even if they restart themselves. Relaying a count does
+    /// not extend its validity; otherwise two instances could keep a departed
+    /// one counted forever. After one rate window an instance relies on its own
+    /// list of peers, and drops a peer as soon as that peer announces that it
+    /// stops.
     pub fn instances(&self, now_ms: u64) -> (usize, u64) {
         let own = self.peers.len() + 1;
         let is_new = self.started_within(self.settings.rate_window_ms, now_ms);
@@ -302,9 +327,10 @@
         }
     }
 
-    /// Returns the instances that may be serving: those that count, and for a
-    /// moment after the start those that are only listed. They may be gone, so
-    /// peers aren't told of them.
+    /// Returns the number of instances that may be serving: those that share the
+    /// rates and, for `expected_instances_ms` after the start, those that are
+    /// only listed. Listed instances may be gone, so they are not reported to
+    /// peers.
     fn serving_instances(&self, now_ms: u64) -> usize {
         let counts_expected = self.started_within(self.settings.expected_instances_ms, now_ms);
         let expected = if counts_expected {
@@ -327,19 +353,21 @@
         }
     }
 
-    /// Returns whether so little time has passed since the start.
+    /// Returns whether this instance started less than `span_ms` ago or has no
+    /// configuration yet.
     fn started_within(&self, span_ms: u64, now_ms: u64) -> bool {
         self.started_ms
             .is_none_or(|started_ms| now_ms < started_ms + span_ms)
     }
 
-    /// Returns the part of the instances that is heard.
+    /// Returns the fraction of the instances whose heartbeats are received.
     ///
-    /// One that has just started and hears less than half of those that are listed
-    /// may be the last one left, or alone behind a cut while the others serve on.
-    /// For a window of rates it takes a third, which suffices for teams that ask for
-    /// little and keeps all within what is tolerated; with everything at once, a
-    /// restart behind a cut granted a twentieth more than a window may hold.
+    /// A newly started instance that receives less than half of the listed
+    /// instances may be the last one left, or isolated by a partition while the
+    /// others keep serving. For one rate window it uses at most a third of the
+    /// rates, which is enough for teams with little demand and keeps the total
+    /// within the tolerance. With the full rates, a restart inside a partition
+    /// granted 5 % more than a rate window may hold.
     fn reachable_fraction(&self, instances: usize, now_ms: u64) -> f64 {
         let reachable = self.peers.values().filter(|peer| peer.is_reachable).count() + 1;
         let fraction = reachable as f64 / instances as f64;
@@ -374,9 +402,9 @@
         }
     }
 
-    /// Returns how many instances that a team asks too have their turn before
-    /// this one. All instances that have heard of the same spending work out the
-    /// same order, and each spending changes it.
+    /// Returns how many instances with demand from a team have their turn before
+    /// this one. Instances that know the same spending compute the same order,
+    /// and any spending changes it.
     fn instances_ahead(&self, team: &str, own_per_s: f64) -> usize {
         let peers = self.peers.iter();
         let spending = peers.filter_map(|(name, peer)| Some((name, peer.teams.get(team)?)));
--- a/crates/core/tests/share.rs
+++ b/crates/core/tests/share.rs
@@ -1,4 +1,4 @@
-//! A team's rate over all instances, as each estimates it.
+//! Sharing a team's rate between instances that each estimate its bucket.
 
 use {
     mangowalk_core::{
@@ -20,7 +20,7 @@
     }
 }
 
-/// Instances that exchange what they spent every 200 ms.
+/// Instances that exchange reports of their spending every 200 ms.
 struct Fleet {
     tables: Vec<ShareTable>,
     tenant: Tenant,
@@ -49,7 +49,7 @@
         fleet
     }
 
-    /// Starts one instance anew, which knows nothing then.
+    /// Restarts one instance with an empty table.
     fn restart(&mut self, instance: usize, now_ms: u64) {
         let mut table = ShareTable::new(&instance.to_string(), ShareSettings::default());
         table.set_expected_instances(self.tables.len());
@@ -59,7 +59,8 @@
         self.started_ms[instance] = now_ms;
     }
 
-    /// Exchanges heartbeats; `is_connected` says who hears whom.
+    /// Exchanges heartbeats between all pairs for which `is_connected(from, to)`
+    /// holds.
     fn exchange(&mut self, now_ms: u64, is_connected: impl Fn(usize, usize) -> bool) {
         let starts = self.incarnations.iter().zip(&self.started_ms);
         let reports: Vec<PeerReport> = self
@@ -89,16 +90,18 @@
     }
 }
 
-/// A prompt with its answer, in tokens; the deployments' largest kind.
+/// Tokens of a request, prompt and answer together: the largest kind of the
+/// deployments.
 const REQUEST_TOKENS: u64 = 9_200;
 
-/// Most that a window of eight seconds may hold: the rate and burst with a
-/// tenth over, and what the deployments allow beyond.
+/// Returns the maximum tokens that a window of 8 s may grant: rate and burst
+/// plus 10 %, plus the overdraft that the deployments allow.
 fn max_allowed(tenant: &Tenant) -> f64 {
     let rate = tenant.rate.expect("the team has one");
     (rate.per_s * 8.0 + rate.burst) * 1.1 + 72_000.0
 }
 
+/// Returns the maximum tokens granted in any window of 8 s.
 fn max_in_window(spent: &[(u64, f64)]) -> f64 {
     let windows = spent.iter().map(|(begin_ms, _)| {
         let inside = spent
@@ -109,9 +112,9 @@
     windows.fold(0.0, f64::max)
 }
 
-/// A team asks for several times its rate at instances that change, some of
-/// which are cut off from the others for seconds. Over all of them no window
-/// holds more than the rate allows.
+/// A team requests several times its rate, mostly at one instance or evenly,
+/// while a partition separates some instances for 5.5 s. No window over all
+/// instances may grant more than the rate allows.
 #[test]
 fn no_window_holds_more_than_the_rate_allows() {
     proptest!(ProptestConfig::with_cases(64), |(
@@ -148,9 +151,9 @@
     });
 }
 
-/// A team stays within its rate, and all its callers come to one instance.
-/// It is hardly ever refused: the rate is one bucket, not a part for each
-/// instance. With a seventh of the burst for each, two prompts would fill it.
+/// All requests of a team within its rate arrive at one instance. At most 2 %
+/// may be refused: all instances share one bucket. If each had a seventh of
+/// the burst instead, two prompts would exhaust it.
 #[test]
 fn a_team_within_its_rate_is_served_by_a_single_instance() {
     let tenant = tenant(160_000.0, 160_000.0);
@@ -181,9 +184,9 @@
     }
 }
 
-/// All instances lose power and come back, twice in ten seconds, while a team
-/// asks for all it can get. What each believes to be left at its start must
-/// not hand the burst out again each time.
+/// All instances restart together twice within ten seconds while a team
+/// requests as much as it can. The initial levels after a restart must not
+/// grant the burst again.
 #[test]
 fn simultaneous_restarts_do_not_grant_the_burst_again() {
     let tenant = tenant(160_000.0, 160_000.0);
@@ -219,10 +222,11 @@
     );
 }
 
-/// Instances are restarted one after the other, as for an upgrade, while a team
-/// asks for a little more than half of its rate. One that starts doesn't know what
-/// was spent, but its peers do: the team must not be refused. Before, the lowest
-/// estimate was taken over, and each restart lowered it for all that followed.
+/// Instances restart one after the other, as in an upgrade, while a team
+/// requests a little more than half of its rate. A new instance doesn't know
+/// what was spent, but its peers do, so the team must not be refused. Copying
+/// the lowest estimate of all peers fails this: each restart lowers it for all
+/// that follow.
 #[test]
 fn a_rolling_restart_refuses_no_team_within_its_rate() {
     const INSTANCES: usize = 7;
@@ -253,9 +257,9 @@
     assert!(refused * 50 <= served, "{refused} refused, {served} served");
 }
 
-/// A team asks for several times its rate while instances are killed at random,
-/// some behind a cut. Each that starts takes over what a peer knows; over all of
-/// them no window holds more than the rate allows.
+/// A team requests several times its rate while instances are killed at random,
+/// some of them inside a partition. Each restarted instance copies the levels
+/// of a peer; no window over all instances may grant more than the rate allows.
 #[test]
 fn random_restarts_and_partitions_stay_within_the_rate() {
     proptest!(ProptestConfig::default(), |(
@@ -291,8 +295,8 @@
     });
 }
 
-/// An instance that starts hears a peer before it has read its configuration. It
-/// must still take over that peer's levels with the next heartbeat, else it refuses
+/// A new instance receives a peer's report before it has its configuration. It
+/// must still copy the peer's levels from the next report; otherwise it refuses
 /// teams within their rate until its own buckets have filled.
 #[test]
 fn levels_are_copied_from_a_peer_once_configured() {
@@ -320,9 +324,9 @@
     assert!(table.take(&tenant, 3_000, 220).is_ok());
 }
 
-/// Two of three instances have counted a third that is gone. Neither keeps
-/// counting it because the other says so, else they would set its part of the
-/// rates aside for ever.
+/// Two instances counted a third one that has left. Neither may keep counting it
+/// because of the other's reports; otherwise its part of the rates would stay
+/// reserved forever.
 #[test]
 fn a_departed_peer_is_not_counted_from_peer_reports() {
     let tenant = tenant(10_000.0, 10_000.0);
@@ -346,9 +350,9 @@
     assert_eq!(fleet.tables[1].instances(20_000).0, 2);
 }
 
-/// A peer was silent for half a minute and forgotten, and is heard again. What it
-/// spent in its whole life must not be taken from the bucket once more: its team
-/// would be refused for as long.
+/// A peer that was removed after half a minute without reports is received
+/// again. Its spending since its start must not be subtracted a second time;
+/// otherwise its team would be refused until the bucket has refilled.
 #[test]
 fn earlier_spending_of_a_returning_peer_is_not_subtracted_again() {
     let tenant = tenant(10_000.0, 10_000.0);
@@ -376,6 +380,8 @@
     assert!(table.take(&tenant, 1_000, 60_100).is_ok());
 }
 
+/// A refused request returns the wait until its tokens are available. A retry
+/// after that wait must be granted.
 #[test]
 fn a_retry_after_the_returned_wait_is_granted() {
     let tenant = tenant(1_000.0, 4_000.0);
@@ -392,8 +398,8 @@
     assert!(table.take(&tenant, 400, now_ms + wait_ms + 1).is_ok());
 }
 
-/// A prompt is larger than the whole burst. It goes when the bucket is full,
-/// and what it took beyond is missing afterwards.
+/// A request larger than the burst is granted once the bucket is full, and its
+/// excess is subtracted from later requests.
 #[test]
 fn a_request_larger_than_the_burst_is_granted_from_a_full_bucket() {
     let tenant = tenant(1_000.0, 4_000.0);
@@ -404,8 +410,8 @@
     assert!(table.take(&tenant, 100, 12_000).is_err());
 }
 
-/// One instance is left of seven, and starts again. A second later it must
-/// serve a team within its rate, though six others are still listed.
+/// The last instance of seven restarts. From one second after its start it must
+/// serve a team within its rate, although six others are still listed.
 #[test]
 fn the_last_instance_serves_within_a_second_of_its_start() {
     let tenant = tenant(160_000.0, 160_000.0);
@@ -422,10 +428,10 @@
     assert!(refused * 10 <= served, "{refused} refused, {served} served");
 }
 
-/// A team with a burst of four requests is asked for at all of twenty instances
-/// at the same moment, again and again. Each sees the same full bucket; if each
-/// took from it, twenty would run at once and the team would be refused for as
-/// many seconds to make up for it. It must get its rate, steadily.
+/// A team with a burst of four requests repeatedly sends one request to each of
+/// 20 instances at the same time. All see the same full bucket; if each granted
+/// its request, 20 would run at once and the team would be refused for 20 s
+/// afterwards. The team must receive its rate steadily.
 #[test]
 fn simultaneous_requests_at_all_instances_are_granted_in_turns() {
     let mut fleet = Fleet::new(20, tenant(1_000.0, 4_000.0));
@@ -444,7 +450,7 @@
         granted += at_once;
         max_at_once = max_at_once.max(at_once);
     }
-    // 30 seconds' rate and the burst hold 32 such requests.
+    // The rate over 30 s plus the burst is enough for 32 such requests.
     assert!(max_at_once <= 3, "{max_at_once} at once");
     assert!((20..=32).contains(&granted), "{granted} granted");
 }
