--- a/crates/core/examples/limits_skew/fleet.rs
+++ b/crates/core/examples/limits_skew/fleet.rs
@@ -10,18 +10,20 @@
 
 const TEAM: &str = "gallery";
 
-/// How an instance that is short of tokens gets more.
+/// How an instance that lacks tokens obtains more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Policy {
-    /// Not at all: each spends its own share.
+    /// It doesn't: each instance spends only its own share.
     Static,
-    /// It asks peers.
+    /// It requests tokens from peers.
     Moves,
-    /// It asks peers, and waits for tokens that are about to be minted.
+    /// It requests tokens from peers, and waits for tokens that will be refilled
+    /// soon.
     MovesAndWait,
 }
 
-/// What happens next: an end, an arrival or the end of a wait, by request.
+/// An event of the request with this index: its end, its arrival, or its second
+/// try after a wait. The order decides between events at the same time.
 #[derive(PartialEq, Eq, PartialOrd, Ord, Clone, Copy)]
 enum Event {
     End(usize),
@@ -36,14 +38,14 @@
     rate: Rate,
     policy: Policy,
     rng: StdRng,
-    /// Questions to peers.
+    /// Number of requests for tokens sent to peers.
     pub(crate) peer_requests: u64,
-    /// Tokens that requests used.
+    /// Tokens used by admitted requests.
     pub(crate) used_tokens: u64,
 }
 
 impl Fleet {
-    /// Returns instances that hold equal shares of all slots.
+    /// Returns a fleet whose instances hold equal shares of all slots.
     pub(crate) fn new(instances: usize, rate: &Rate, policy: Policy) -> Fleet {
         let mut ledgers = vec![Ledger::default(); instances];
         for slot in 0..SLOTS {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Runs requests and returns which of them were let in.
+    /// Simulates the requests and returns, for each, whether it was admitted.
     pub(crate) fn run(&mut self, requests: &[Request]) -> Vec<bool> {
         let mut events = BinaryHeap::new();
         for (i, request) in requests.iter().enumerate() {
@@ -122,8 +124,9 @@
         short.is_some()
     }
 
-    /// Adds what is missing to what a request has gathered, as the router
-    /// does; returns what peers have left.
+    /// Adds the tokens that a request lacks to those it has gathered, as the
+    /// router does. Returns the tokens that peers have left, or 0 if the
+    /// request has all of its tokens or peers are not queried.
     fn reserve(&mut self, request: &Request, gathered: &mut Reservation, now_ms: u64) -> u64 {
         let (instance, rate, tokens) =
             (self.instance_of(request), self.rate.clone(), request.tokens);
--- a/crates/core/examples/limits_skew/load.rs
+++ b/crates/core/examples/limits_skew/load.rs
@@ -5,15 +5,16 @@
 
 const SEED: u64 = 20_261_202;
 
-/// Fewest and most tokens that a request reserves.
+/// Range of tokens that a request reserves.
 const RESERVED_TOKENS: std::ops::Range<u64> = 200..4_000;
 
-/// What callers of one team send.
+/// The load that one team's callers send.
 pub(crate) struct Load {
     pub(crate) instances: usize,
-    /// Tokens used in a second, in percent of the rate.
+    /// Tokens used per second, in percent of the rate.
     pub(crate) offered_percent: u64,
-    /// Share of the requests that one instance gets beyond its part.
+    /// Percentage of the requests that all go to the first instance. The rest is
+    /// spread evenly.
     pub(crate) skew_percent: u32,
     pub(crate) span_ms: u64,
     pub(crate) rate: Rate,
@@ -35,17 +36,17 @@
     }
 }
 
-/// One request.
+/// One simulated request.
 pub(crate) struct Request {
     pub(crate) at_ms: u64,
     pub(crate) instance: usize,
-    /// Tokens reserved: the prompt and the longest answer allowed.
+    /// Tokens reserved: the prompt and the maximum answer length.
     pub(crate) tokens: u64,
     pub(crate) used_tokens: u64,
     pub(crate) duration_ms: u64,
 }
 
-/// Returns requests at random times, with the same numbers each time.
+/// Returns requests at random times, the same ones for equal loads.
 pub(crate) fn arrivals(load: &Load) -> Vec<Request> {
     let mut rng = StdRng::seed_from_u64(SEED);
     let mean_used = (RESERVED_TOKENS.start + RESERVED_TOKENS.end) as f64 / 2.0 * 0.75;
--- a/crates/core/examples/limits_skew/main.rs
+++ b/crates/core/examples/limits_skew/main.rs
@@ -1,5 +1,5 @@
-//! Counts wrongful refusals under skewed load: requests refused although one
-//! bucket for the whole fleet would have had their tokens.
+//! Counts wrongful refusals under skewed load: requests that are refused
+//! although a single bucket for the whole fleet would have had their tokens.
 //!
 //! `cargo run --release -p mangowalk-core --example limits_skew`
 
@@ -11,7 +11,7 @@
     load::{Load, arrivals},
 };
 
-/// Simulated time of one row.
+/// Simulated time per row, in milliseconds.
 const SPAN_MS: u64 = 120_000;
 
 fn main() {
@@ -37,6 +37,8 @@
     }
 }
 
+/// Simulates one load under a policy and prints the result as a table row. The
+/// reference for wrongful refusals is a single instance with the whole rate.
 fn print_row(load: &Load, policy: Policy) {
     let requests = arrivals(load);
     let ideal = Fleet::new(1, &load.rate, Policy::Static).run(&requests);
--- a/crates/core/src/limits/bucket.rs
+++ b/crates/core/src/limits/bucket.rs
@@ -3,14 +3,15 @@
 const MICRO: u128 = 1_000_000;
 const MS_PER_S: u128 = 1_000;
 
-/// One instance's tokens of one team.
+/// One instance's token bucket for one team.
 ///
-/// Counted in millionths of a token, so that slow rates lose nothing to
-/// rounding. Each part of a reservation has room in the bucket for what comes
-/// back of it, and level and rooms together are at most the capacity. The
-/// capacities of all instances together are at most the burst. So in any span
-/// of time no more is granted than burst + rate x span: what is put back in
-/// it by reservations from before it was room at its start.
+/// Amounts are counted in millionths of a token, so that slow rates lose
+/// nothing to rounding. Every debit keeps capacity in the bucket for its
+/// refund, and level and refundable tokens together are at most the capacity.
+/// The capacities of all instances together are at most the burst. So in any
+/// span of time no more than burst + rate x span is granted: tokens refunded
+/// within the span for earlier debits were already part of the capacity when
+/// the span began.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bucket {
     rate: Rate,
@@ -22,11 +23,11 @@
 }
 
 impl Bucket {
-    /// Returns an empty bucket that mints from the given time on.
+    /// Returns an empty bucket that refills from `now_ms` on.
     ///
-    /// A new holder of a slot starts empty: it can't know what the holder
-    /// before it has spent, and starting full would hand the burst out again
-    /// at each restart.
+    /// A new holder of a slot starts empty: it can't know what the previous
+    /// holder has spent, and starting full would grant the burst again at each
+    /// restart.
     pub fn empty(rate: &Rate, now_ms: u64) -> Bucket {
         Bucket {
             rate: rate.clone(),
@@ -38,10 +39,12 @@
         }
     }
 
-    /// Mints what leases that end at these times allow up to `now_ms`.
+    /// Adds the tokens for the time since the last refill up to `now_ms`, for
+    /// slots whose leases end at `lease_ends_ms`.
     ///
-    /// A lease that has ended mints up to its end and lends no capacity any
-    /// more: its next holder has that share of the burst.
+    /// An expired lease refills up to its end and no longer contributes
+    /// capacity, since the slot's next holder has that share of the burst.
+    /// Refilled tokens repay debt first.
     pub fn refill(&mut self, lease_ends_ms: impl Iterator<Item = u64>, now_ms: u64) {
         let mut held_slots = 0;
         let mut elapsed_ms: u128 = 0;
@@ -58,25 +61,26 @@
         self.limit_to_capacity(held_slots);
     }
 
-    /// Takes a changed rate over.
+    /// Sets the rate for later refills.
     ///
-    /// The time since the last mint is paid at the lower of both rates: when
-    /// the record changed within it is not known here.
+    /// The caller first refills the time since the last refill at the lower of
+    /// the two rates, because it is not known when the record changed.
     pub fn set_rate(&mut self, rate: &Rate) {
         self.rate = rate.clone();
     }
 
-    /// Returns the rate that the bucket mints at.
+    /// Returns the rate at which the bucket refills.
     pub fn rate(&self) -> &Rate {
         &self.rate
     }
 
-    /// Returns the whole tokens held.
+    /// Returns the level in tokens, rounded down.
     pub fn tokens(&self) -> u64 {
         whole_tokens(self.level_micro)
     }
 
-    /// Takes tokens out as a part of a reservation, all or none.
+    /// Takes tokens under `debit_id`, all or none. Returns whether they were
+    /// taken.
     pub fn take(&mut self, tokens: u64, debit_id: u64) -> bool {
         let requested = to_micro(tokens);
         if requested > self.level_micro {
@@ -87,17 +91,18 @@
         true
     }
 
-    /// Takes up to so many tokens out as a part of a reservation, and returns
-    /// how many.
+    /// Takes up to `tokens` under `debit_id` and returns how many were taken.
     pub fn take_up_to(&mut self, tokens: u64, debit_id: u64) -> u64 {
         let taken = tokens.min(self.tokens());
         self.take(taken, debit_id);
         taken
     }
 
-    /// Ends a part and puts its unused tokens back as far as it still has
-    /// room; returns how many did not fit. A reservation that is put back
-    /// after a long answer would otherwise stand on top of a full burst.
+    /// Ends a debit and refunds its unused tokens up to the amount that is still
+    /// refundable. Returns how many were not refunded.
+    ///
+    /// Without that bound, the refund after a long answer would come on top of
+    /// a full burst.
     pub fn refund(&mut self, tokens: u64, debit_id: u64) -> u64 {
         let refundable = self.refundable_micro.remove(&debit_id).unwrap_or_default();
         let refunded = to_micro(tokens).min(refundable);
@@ -106,8 +111,9 @@
         tokens - whole_tokens(refunded)
     }
 
-    /// Charges what a request used beyond its reservation: an engine may count
-    /// more tokens in a prompt than the estimate. What is minted next pays.
+    /// Adds tokens that a request used beyond its reservation as debt, which the
+    /// next refills repay. An engine may count more tokens in a prompt than the
+    /// estimate.
     pub fn charge(&mut self, tokens: u64) {
         self.debt_micro += to_micro(tokens);
     }
@@ -117,9 +123,10 @@
         self.total_refundable_micro += tokens_micro;
     }
 
-    /// Cuts level and rooms to the capacity. Minting takes the room of the
-    /// oldest part first: taking it from a young one would let the old one
-    /// put back, in a later span of time, what that span has minted already.
+    /// Limits level and refundable tokens to the capacity, reducing the refund
+    /// of the oldest debit first. If a newer debit lost its refund instead, the
+    /// older one could refund tokens in a later span of time that were already
+    /// refilled within that span.
     fn limit_to_capacity(&mut self, held_slots: u64) {
         let capacity = self.capacity(held_slots);
         self.level_micro = self.level_micro.min(capacity);
--- a/crates/core/src/limits/grant.rs
+++ b/crates/core/src/limits/grant.rs
@@ -1,10 +1,11 @@
-/// What a peer grants of a team's tokens.
+/// A peer's answer to a request for a team's tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Grant {
-    /// Tokens granted: all that were asked for, or none.
+    /// Tokens granted: all that were requested, or 0.
     pub tokens: u64,
-    /// Tokens that are left.
+    /// Tokens left in the peer's bucket.
     pub left_tokens: u64,
-    /// Number under which unused tokens may come back, once.
+    /// Identifies the grant when its unused tokens are refunded, which counts
+    /// only once.
     pub id: u64,
 }
--- a/crates/core/src/limits/instance_limits.rs
+++ b/crates/core/src/limits/instance_limits.rs
@@ -4,10 +4,11 @@
     std::{net::SocketAddr, ops::ControlFlow},
 };
 
-/// The slots of one instance, and the tokens that it mints from them.
+/// The slots that one instance holds, and the token buckets that they refill.
 ///
-/// The table says what the platform knows, the ledger what may be spent. Both
-/// change together here, the ledger always first where something is given up.
+/// The table holds the slots as the platform knows them, the ledger the tokens
+/// that may be spent. Both change together here; where a slot is given up, the
+/// ledger changes first.
 #[derive(Debug, Clone)]
 pub struct InstanceLimits {
     table: SlotTable,
@@ -15,7 +16,8 @@
 }
 
 impl InstanceLimits {
-    /// Returns the holding of an instance that starts: nothing.
+    /// Returns the limits of an instance without slots. `address` is its address
+    /// towards callers; `incarnation` is drawn at random at each start.
     pub fn new(address: SocketAddr, incarnation: u64) -> InstanceLimits {
         InstanceLimits {
             table: SlotTable::new(address, incarnation),
@@ -23,32 +25,35 @@
         }
     }
 
-    /// Returns the tokens.
+    /// Returns the ledger of tokens, for taking and refunding.
     pub fn ledger(&mut self) -> &mut Ledger {
         &mut self.ledger
     }
 
-    /// Returns how many slots are held at a time.
+    /// Returns how many slots are held under a valid lease at `now_ms`.
     pub fn slots(&self, now_ms: u64) -> u32 {
         self.ledger.slots(now_ms)
     }
 
-    /// Returns who else holds a team's homes, as far as the last list tells.
+    /// Returns the addresses of other instances that hold a team's slots,
+    /// according to the last list.
     pub fn holders(&self, team: &str) -> Vec<SocketAddr> {
         self.table.holders(team)
     }
 
-    /// Returns whether everything was given up.
+    /// Returns whether [`InstanceLimits::close`] was called.
     pub fn is_closed(&self) -> bool {
         self.ledger.is_closed()
     }
 
-    /// Returns what this instance writes into a slot.
+    /// Returns the body that this instance writes into a slot. `nonce` is drawn
+    /// for each write.
     pub fn body(&self, slot: u32, nonce: u64) -> SlotBody {
         self.table.body(slot, nonce)
     }
 
-    /// Returns the next writes, at most `max_writes`, with so many instances live.
+    /// Returns the next writes, at most `max_writes`, that bring this instance to
+    /// its share of the slots among `live_instances`; none once it is closed.
     pub fn plan(&self, live_instances: u32, max_writes: usize, now_ms: u64) -> Vec<SlotWrite> {
         if self.is_closed() {
             return Vec::new();
@@ -56,27 +61,27 @@
         self.table.plan(live_instances, max_writes, now_ms)
     }
 
-    /// Gives everything up for good, and returns the writes that let others
-    /// take the slots at once.
+    /// Stops spending permanently, and returns the writes that release all slots
+    /// so that other instances can take them at once.
     pub fn close(&mut self) -> Vec<SlotWrite> {
         self.ledger.close();
         self.table.release_all()
     }
 
-    /// Takes a list of every slot; what turns out not to be held mints no
-    /// more.
+    /// Applies a list of all slots, answered at `now_ms`. Slots that turn out not
+    /// to be held stop refilling.
     pub fn apply_list(&mut self, list: &SlotList, now_ms: u64) {
         for slot in self.table.apply_list(list, now_ms) {
             self.ledger.release(slot, now_ms);
         }
     }
 
-    /// Takes the result of writing a slot in a call begun at `begun_ms`, and
-    /// returns whether to go on with the next write.
+    /// Applies the result of writing a slot in a call begun at `begun_ms`, and
+    /// returns whether to continue with the next write.
     ///
-    /// A reply that was lost has been read back: [`PlatformError::Lost`] says
-    /// that it is still open whether the write took effect. Then an older
-    /// lease goes on to its own end and no further.
+    /// The caller reads the slot back if the reply was lost, so
+    /// [`PlatformError::Lost`] means that it is still unknown whether the write
+    /// took effect. In that case an older lease stays valid until its own end.
     pub fn apply_write_result(
         &mut self,
         slot: u32,
@@ -96,14 +101,15 @@
         ControlFlow::Break(())
     }
 
-    /// Stops to mint on a slot, before its release is sent: its next holder
-    /// may mint from the moment of that write on.
+    /// Stops refilling from a slot. Must be called before the release is sent,
+    /// because the next holder may refill from the time of that write on.
     pub fn stop_refill(&mut self, slot: u32, now_ms: u64) {
         self.ledger.release(slot, now_ms);
     }
 
-    /// Takes the result of releasing a slot, and returns whether to go on
-    /// with the next write.
+    /// Applies the result of releasing a slot, and returns whether to continue
+    /// with the next write. If the platform was not reached or refused the
+    /// release, the slot refills again until the end of its lease.
     pub fn apply_release_result(
         &mut self,
         slot: u32,
--- a/crates/core/src/limits/ledger.rs
+++ b/crates/core/src/limits/ledger.rs
@@ -4,15 +4,15 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// A team's tokens, and the slots that mint them.
+/// A team's bucket, and the slots that refill it.
 #[derive(Debug, Clone)]
 struct Team {
     slots: [u32; SLOTS_PER_TEAM],
     bucket: Bucket,
 }
 
-/// Everything that one instance may spend: the slots that it holds, and a
-/// bucket for each team.
+/// The tokens that one instance may spend: the leases of the slots that it
+/// holds, and a bucket for each team.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     lease_ends_ms: BTreeMap<u32, u64>,
@@ -22,9 +22,10 @@
 }
 
 impl Ledger {
-    /// Returns an empty ledger that numbers its parts from the given number
-    /// on. It is drawn at random: a part of a predecessor on the same address
-    /// must not be taken for one of this process.
+    /// Returns an empty ledger whose debit IDs count up from `debit_id`.
+    ///
+    /// The caller draws `debit_id` at random, so that a debit of an earlier
+    /// process on the same address is not mistaken for one of this process.
     pub fn with_debit_ids_after(debit_id: u64) -> Ledger {
         Ledger {
             next_debit_id: debit_id,
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Notes that a slot is held until a time. What was minted before is
-    /// settled first, so that the slot mints nothing for the time before.
+    /// Records that a slot is held until `lease_end_ms`. All buckets are refilled
+    /// first, so that the slot refills nothing for the time before `now_ms`.
     pub fn hold(&mut self, slot: u32, lease_end_ms: u64, now_ms: u64) {
         if self.is_closed {
             return;
@@ -43,37 +44,39 @@
         *end_ms = lease_end_ms.max(*end_ms);
     }
 
-    /// Notes that a slot is no longer held. It is called before the release
-    /// is sent: its next holder may mint from the moment of the write on.
+    /// Records that a slot is no longer held. Must be called before the release
+    /// is sent, because the next holder may refill from the time of that write
+    /// on.
     pub fn release(&mut self, slot: u32, now_ms: u64) {
         self.refill_all(now_ms);
         self.lease_ends_ms.remove(&slot);
         self.refill_all(now_ms);
     }
 
-    /// Gives everything up for good. A process that ends closes its ledger
-    /// before it closes its listener, since a successor on its address takes
-    /// its slots over at once.
+    /// Discards all leases and tokens permanently. A process that ends closes its
+    /// ledger before its listener, because a new process on the same address
+    /// takes the slots over at once.
     pub fn close(&mut self) {
         self.is_closed = true;
         self.lease_ends_ms.clear();
         self.teams.clear();
     }
 
-    /// Returns whether everything was given up.
+    /// Returns whether [`Ledger::close`] was called.
     pub fn is_closed(&self) -> bool {
         self.is_closed
     }
 
-    /// Returns how many slots are held at a time.
+    /// Returns how many slots are held under a valid lease at `now_ms`.
     pub fn slots(&self, now_ms: u64) -> u32 {
         let held = self.lease_ends_ms.values().filter(|end| **end > now_ms);
         u32::try_from(held.count()).unwrap_or(SLOTS)
     }
 
-    /// Takes tokens of a team, all or none. The leases are checked against
-    /// `now_ms`, which the caller reads right before: a process that was
-    /// paused past its lease finds its share gone.
+    /// Takes a team's tokens, all or none; returns `None` if there are too few.
+    ///
+    /// The caller reads `now_ms` immediately before the call, so that a process
+    /// that was paused beyond the end of its lease no longer spends that share.
     pub fn take(
         &mut self,
         team: &str,
@@ -91,8 +94,8 @@
         })
     }
 
-    /// Adds up to so many tokens to a reservation, which asks peers for the
-    /// rest.
+    /// Adds up to `tokens` from the local bucket to a reservation. The caller
+    /// requests the rest from peers.
     pub fn take_up_to(
         &mut self,
         reservation: &mut Reservation,
@@ -107,8 +110,8 @@
         reservation.debit_ids.push(debit_id);
     }
 
-    /// Takes tokens of a team out for a peer that asks, all or none. Room is
-    /// kept here for what the peer sends back.
+    /// Takes a team's tokens for a peer, all or none. Capacity is kept here for
+    /// what the peer refunds.
     pub fn grant(&mut self, team: &str, rate: &Rate, tokens: u64, now_ms: u64) -> Grant {
         let debit_id = self.next_id();
         let bucket = self.bucket(team, rate, now_ms);
@@ -124,24 +127,24 @@
         }
     }
 
-    /// Takes unused tokens of a grant back. A part ends with the first time
-    /// that it is put back, so a message that comes twice adds nothing.
+    /// Applies a peer's refund of unused tokens. The first refund ends the debit,
+    /// so a duplicate message adds nothing.
     pub fn take_back(&mut self, team: &str, debit_id: u64, tokens: u64) {
         if let Some(team) = self.teams.get_mut(team) {
             team.bucket.refund(tokens, debit_id);
         }
     }
 
-    /// Returns the tokens of a team that are here.
+    /// Returns the tokens in this instance's bucket of a team.
     pub fn tokens(&mut self, team: &str, rate: &Rate, now_ms: u64) -> u64 {
         self.bucket(team, rate, now_ms).tokens()
     }
 
-    /// Ends a reservation: puts back what it did not use, or charges what it
-    /// used beyond, and returns what is to go back to peers.
+    /// Ends a reservation: refunds what it did not use, or charges what it used
+    /// beyond it. Returns the refunds to send to peers.
     ///
-    /// A lease that ended meanwhile is noticed at the next take, which cuts
-    /// the bucket to its capacity first.
+    /// A lease that expired in the meantime takes effect at the next take, which
+    /// first limits the bucket to its capacity.
     pub fn settle(&mut self, reservation: &Reservation, used_tokens: u64) -> Vec<PeerGrant> {
         let mut unused = reservation.tokens.saturating_sub(used_tokens);
         let mut peer_refunds = Vec::new();
@@ -161,7 +164,8 @@
         peer_refunds
     }
 
-    /// Forgets teams whose rates are withdrawn.
+    /// Removes the teams for which `keep` returns false, as when their rates are
+    /// withdrawn.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.teams.retain(|team, _| keep(team));
     }
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -1,10 +1,12 @@
-//! Rate and burst over all instances together.
+//! Rate and burst of a team, enforced over all instances together.
 //!
-//! There are [`SLOTS`] slots. One instance at a time holds a slot, under a
-//! lease of the platform. A team's rate is cut into [`SLOTS_PER_TEAM`] equal shares,
-//! and each is minted by the holder of one slot, the same for all instances. Tokens are spent locally or moved to a peer that asks, and
-//! moving never makes any. So the tokens granted up to any time are at most
-//! burst + rate x time, whoever is paused, cut off or restarted.
+//! There are [`SLOTS`] slots. Each is held by one instance at a time, under a
+//! lease on the platform. A team's rate is divided into [`SLOTS_PER_TEAM`]
+//! equal shares, and the holder of a slot refills the share that belongs to it.
+//! All instances compute the same slots for a team. Tokens are spent locally or
+//! granted to a peer that requests them, and granting never creates tokens. So
+//! the tokens granted up to any time are at most burst + rate x time, even if
+//! instances are paused, partitioned or restarted.
 
 mod bucket;
 mod grant;
@@ -30,5 +32,5 @@
     team_slots::{SLOTS_PER_TEAM, team_slots},
 };
 
-/// Slots that instances hold, for all teams together.
+/// Number of slots, shared by all teams.
 pub const SLOTS: u32 = 512;
--- a/crates/core/src/limits/reservation.rs
+++ b/crates/core/src/limits/reservation.rs
@@ -1,33 +1,34 @@
 use {super::Grant, std::net::SocketAddr};
 
-/// Tokens of a team that a request has taken and may put back in part.
+/// Tokens of a team taken for one request. Unused tokens are refunded when it
+/// is settled.
 #[derive(Debug, Clone, PartialEq, Eq)]
-#[must_use = "settle it, or its unused tokens are lost to the team"]
+#[must_use = "settle the reservation; otherwise its unused tokens are not refunded to the team"]
 pub struct Reservation {
-    /// Team.
+    /// Name of the team.
     pub team: String,
-    /// Tokens taken, here and from peers.
+    /// Tokens taken from the local bucket and from peers.
     pub tokens: u64,
-    /// Parts drawn here. Each has its own room in the bucket for what comes
-    /// back.
+    /// Debits of the local bucket. The bucket keeps capacity for the refund of
+    /// each.
     pub(super) debit_ids: Vec<u64>,
-    /// Parts that peers granted.
+    /// Tokens granted by peers.
     pub(super) peer_grants: Vec<PeerGrant>,
 }
 
-/// Tokens that a peer granted, or that go back to it.
+/// Tokens that a peer granted, or that are refunded to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerGrant {
-    /// Address of the peer, towards peers.
+    /// Address on which the peer listens for other instances.
     pub peer: SocketAddr,
-    /// Number that the peer gave the grant.
+    /// ID of the grant, assigned by the peer.
     pub grant_id: u64,
-    /// Tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
 impl Reservation {
-    /// Returns a reservation that has taken nothing yet.
+    /// Returns a reservation of 0 tokens.
     pub fn empty(team: &str) -> Reservation {
         Reservation {
             team: team.to_owned(),
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Adds what a peer granted.
+    /// Adds tokens that a peer granted. An empty grant changes nothing.
     pub fn add_grant(&mut self, peer: SocketAddr, grant: &Grant) {
         if grant.tokens == 0 {
             return;
--- a/crates/core/src/limits/retry.rs
+++ b/crates/core/src/limits/retry.rs
@@ -2,24 +2,23 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// Longest time that a refused caller is told to wait.
+/// Maximum time after which a refused caller should retry, before jitter.
 const MAX_RETRY_MS: u64 = 60_000;
 
-/// When refused callers of each team should come back.
+/// Retry times for refused callers of each team.
 ///
-/// Each refused caller is told a time behind the one told before it, as far
-/// behind as its tokens take to be minted. Told the same time, all would come
-/// back together and all but the first would be refused again.
+/// Each refused caller gets a later time than the previous one, by as long as
+/// its tokens take to refill. With equal times all callers would retry together
+/// and all but the first would be refused again.
 #[derive(Debug, Clone, Default)]
 pub struct RetrySchedule {
     next_retry_ms: HashMap<String, u64>,
 }
 
 impl RetrySchedule {
-    /// Returns after how long a refused caller's tokens will be there.
-    ///
-    /// `short_tokens` are missing now out of `tokens`; `instances` share the
-    /// rate; `jitter` is drawn from 0 to 255 and adds up to a quarter.
+    /// Returns after how many milliseconds a refused caller should retry, and
+    /// schedules the team's next refused caller behind it. Jitter adds up to a
+    /// quarter to the wait.
     pub fn retry_ms(
         &mut self,
         team: &str,
@@ -38,20 +37,21 @@
     }
 }
 
-/// What a refused request lacked.
+/// A request that was refused for lack of tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RefusedRequest {
     /// Tokens that the request reserves.
     pub tokens: u64,
-    /// Tokens that were missing over all instances that answered.
+    /// Tokens missing, counting those of all instances that answered.
     pub short_tokens: u64,
-    /// Instances among which the rate's refused callers are spread.
+    /// Number of instances that share the rate and schedule its refused callers
+    /// independently.
     pub instances: u64,
-    /// Random number that spreads callers further.
+    /// Random number from 0 to 255 that spreads callers further.
     pub jitter: u8,
 }
 
-/// Returns how long the whole rate takes to mint tokens.
+/// Returns how many milliseconds the whole rate takes to refill `tokens`.
 pub fn refill_ms(rate: &Rate, tokens: u64) -> u64 {
     tokens
         .saturating_mul(MS_PER_S)
--- a/crates/core/src/limits/shortage_tracker.rs
+++ b/crates/core/src/limits/shortage_tracker.rs
@@ -1,22 +1,22 @@
 use {super::refill_ms, crate::record::Rate, std::collections::HashMap};
 
-/// Time for which a look at every peer's tokens counts.
+/// Time for which the recorded tokens of all instances remain usable.
 const SHORTAGE_VALID_MS: u64 = 100;
 
-/// Longest time that a request waits for tokens that are about to be minted.
-/// Longer, and its caller does better to hear of the refusal at once.
+/// Maximum time in milliseconds that a request waits for tokens to refill.
+/// Beyond that, an immediate refusal serves the caller better.
 pub const MAX_WAIT_MS: u64 = 300;
 
-/// Time after a refusal in which no request of the team waits.
+/// Time after a refusal during which no request of the team waits.
 const NO_WAIT_AFTER_REFUSAL_MS: u64 = 1_000;
 
-/// How few tokens of each team all instances had together a moment ago, and
-/// how many requests wait for more.
+/// Recent shortages of each team: the tokens that all instances had together,
+/// and the tokens that requests are waiting for.
 ///
-/// A team that sends several times its rate would have each of its refused
-/// requests ask every peer. What was there a moment ago plus the whole rate
-/// since is the most that can be there now; a request over it, behind those
-/// that wait, is refused with no one asked.
+/// Without this, every refused request of a team that sends several times its
+/// rate would query all peers. The recorded tokens plus the whole rate since
+/// then bound what can be available now; a request beyond that bound that may
+/// not wait either is refused without querying peers.
 #[derive(Debug, Clone, Default)]
 pub struct ShortageTracker {
     shortages: HashMap<String, Shortage>,
@@ -30,8 +30,7 @@
 }
 
 impl ShortageTracker {
-    /// Notes the tokens that a request found over all instances, too few for
-    /// it.
+    /// Records the tokens that a refused request found over all instances.
     pub fn record_shortage(&mut self, team: &str, tokens: u64, now_ms: u64) {
         let shortage = Shortage {
             tokens,
@@ -40,8 +39,8 @@
         self.shortages.insert(team.to_owned(), shortage);
     }
 
-    /// Returns how many tokens are surely missing for a request that is not
-    /// worth asking for.
+    /// Returns how many tokens a request lacks at least, if it can be refused
+    /// without querying peers; otherwise `None`.
     pub fn missing_tokens(&self, team: &str, rate: &Rate, tokens: u64, now_ms: u64) -> Option<u64> {
         let shortage = self.shortages.get(team)?;
         let since_ms = now_ms.saturating_sub(shortage.at_ms);
@@ -55,12 +54,12 @@
         is_refused.then_some(short_tokens)
     }
 
-    /// Returns how long missing tokens take to be minted, behind those for
-    /// which others wait; none if that is too long to wait.
+    /// Returns how many milliseconds missing tokens take to refill, after those
+    /// that other requests wait for; `None` if the request should not wait.
     ///
-    /// A team of which a request was refused a moment ago is over its rate.
-    /// Whoever waits then competes with all who come meanwhile, and is refused
-    /// later instead of at once.
+    /// A team with a recent refusal is over its rate. A request that waits then
+    /// competes with all requests that arrive meanwhile, and is refused later
+    /// instead of at once.
     pub fn wait_ms(&self, team: &str, rate: &Rate, short_tokens: u64, now_ms: u64) -> Option<u64> {
         let refused = self.shortages.get(team);
         if refused.is_some_and(|shortage| {
@@ -73,12 +72,12 @@
         (wait_ms <= MAX_WAIT_MS).then_some(wait_ms)
     }
 
-    /// Counts a request as waiting for tokens.
+    /// Adds tokens that a request starts to wait for.
     pub fn begin_wait(&mut self, team: &str, tokens: u64) {
         *self.waiting_tokens.entry(team.to_owned()).or_default() += tokens;
     }
 
-    /// Counts a request as waiting no longer.
+    /// Removes tokens that a request no longer waits for.
     pub fn end_wait(&mut self, team: &str, tokens: u64) {
         if let Some(waiting) = self.waiting_tokens.get_mut(team) {
             *waiting = waiting.saturating_sub(tokens);
--- a/crates/core/src/limits/table.rs
+++ b/crates/core/src/limits/table.rs
@@ -7,25 +7,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct HeldSlot {
     version: u64,
-    /// When the write that made or renewed the lease was begun.
+    /// Time before the write that created or renewed the lease was sent.
     begun_ms: u64,
 }
 
-/// A slot that another holds, as last listed.
+/// A slot as last listed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct ObservedSlot {
     version: u64,
     body: Option<SlotBody>,
-    /// When this version was first seen, after the list was answered.
+    /// Time at which this version was first seen in an answered list.
     seen_ms: u64,
 }
 
-/// Every slot as the platform listed it.
+/// All slots as the platform listed them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SlotList {
-    /// Revision of the list.
+    /// Revision of the platform at which the list was read.
     pub revision: u64,
-    /// Slots that some instance holds or held.
+    /// Slots that exist on the platform, with valid or expired leases.
     pub slots: Vec<ListedSlot>,
 }
 
@@ -34,37 +34,38 @@
 pub struct ListedSlot {
     /// Number of the slot.
     pub slot: u32,
-    /// Version on the platform.
+    /// Version of the slot on the platform.
     pub version: u64,
-    /// What its holder wrote; none if this build can't read it.
+    /// Body that the holder wrote; `None` if this build can't decode it.
     pub body: Option<SlotBody>,
 }
 
-/// One write that an instance should send for its slots.
+/// A conditional write to the platform that an instance should send for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotWrite {
-    /// Create a slot that no one holds.
+    /// Creates a slot that does not exist.
     Create {
         /// Number of the slot.
         slot: u32,
     },
-    /// Write a slot over its version: renew, or take over.
+    /// Overwrites a slot, to renew its lease or to take it over.
     Replace {
         /// Number of the slot.
         slot: u32,
-        /// Version that must still be there.
+        /// Version that the slot must still have.
         version: u64,
     },
-    /// Delete a slot at its version, for others to take.
+    /// Deletes a slot, so that other instances can take it.
     Release {
         /// Number of the slot.
         slot: u32,
-        /// Version that must still be there.
+        /// Version that the slot must still have.
         version: u64,
     },
 }
 
-/// What one instance knows of all slots, and what it should write next.
+/// The state of all slots as known to one instance, from which it plans its
+/// next writes.
 #[derive(Debug, Clone)]
 pub struct SlotTable {
     address: SocketAddr,
@@ -75,7 +76,8 @@
 }
 
 impl SlotTable {
-    /// Returns the table of an instance that starts.
+    /// Returns a table without slots. `address` is this instance's address
+    /// towards callers; `incarnation` is drawn at random at each start.
     pub fn new(address: SocketAddr, incarnation: u64) -> SlotTable {
         SlotTable {
             address,
@@ -86,12 +88,14 @@
         }
     }
 
-    /// Returns what this instance writes into a slot.
+    /// Returns the body that this instance writes into a slot. `nonce` is drawn
+    /// for each write.
     pub fn body(&self, slot: u32, nonce: u64) -> SlotBody {
         SlotBody::new(slot, self.address, self.incarnation, nonce)
     }
 
-    /// Returns who else holds a team's homes, as far as the last list tells.
+    /// Returns the addresses of other instances that hold a team's slots,
+    /// according to the last list, sorted and without duplicates.
     pub fn holders(&self, team: &str) -> Vec<SocketAddr> {
         let observed_slots = team_slots(team)
             .into_iter()
@@ -106,16 +110,17 @@
         holders
     }
 
-    /// Returns how many slots are held.
+    /// Returns how many slots this instance holds.
     pub fn held(&self) -> u32 {
         u32::try_from(self.held.len()).unwrap_or(SLOTS)
     }
 
-    /// Takes a list of every slot, whose answer came at `now_ms`, and returns
-    /// the slots that are not held here after all.
+    /// Applies a list of all slots that was answered at `now_ms`. Removes and
+    /// returns the slots that this instance no longer holds.
     ///
-    /// A version that is still the same keeps the time when it was first
-    /// seen: only what this process watched itself counts towards a lapse.
+    /// An unchanged version keeps the time at which it was first seen: a lease
+    /// counts as expired only after this process itself has observed it for long
+    /// enough.
     pub fn apply_list(&mut self, list: &SlotList, now_ms: u64) -> Vec<u32> {
         let mut observed_slots = BTreeMap::new();
         for listed in &list.slots {
@@ -139,8 +144,8 @@
         overwritten_slots
     }
 
-    /// Returns held slots that someone wrote over or deleted since. A list
-    /// that lags behind the own write says nothing about it.
+    /// Returns held slots that another instance has overwritten or deleted. A
+    /// list older than the own write proves nothing about that slot.
     fn overwritten_slots(&self, revision: u64) -> Vec<u32> {
         self.held
             .iter()
@@ -152,15 +157,15 @@
             .collect()
     }
 
-    /// Notes a slot written by this instance, in a write begun at `begun_ms`,
-    /// and returns when the lease ends.
+    /// Records that this instance wrote a slot in a call begun at `begun_ms`, and
+    /// returns the end of the lease.
     pub fn record_write(&mut self, slot: u32, version: u64, begun_ms: u64) -> u64 {
         self.held.insert(slot, HeldSlot { version, begun_ms });
         begun_ms + lease_ms(slot)
     }
 
-    /// Notes that a slot is not or no longer held here. It is not tried again
-    /// before the next list.
+    /// Records that this instance does not hold a slot. It does not try to take
+    /// the slot again before the next list.
     pub fn record_loss(&mut self, slot: u32) {
         self.held.remove(&slot);
         let unknown = ObservedSlot {
@@ -171,22 +176,23 @@
         self.observed_slots.insert(slot, unknown);
     }
 
-    /// Notes that a slot was released and is free.
+    /// Records that this instance released a slot, which is now free.
     pub fn record_release(&mut self, slot: u32) {
         self.held.remove(&slot);
         self.observed_slots.remove(&slot);
     }
 
-    /// Returns the lease's end of a held slot.
+    /// Returns the end of a held slot's lease, or `None` if the slot is not held.
     pub fn lease_end_ms(&self, slot: u32) -> Option<u64> {
         let held = self.held.get(&slot)?;
         Some(held.begun_ms + lease_ms(slot))
     }
 
-    /// Returns the next writes, at most `max_writes`, with so many instances live.
+    /// Returns the next writes, at most `max_writes`, for an equal share of the
+    /// slots among `live_instances`.
     ///
-    /// Leases are renewed at half of their time. An instance over its share
-    /// gives slots back, one under it takes free and lapsed ones.
+    /// Leases are renewed after half of their time. An instance above its share
+    /// releases slots; one below it takes free and expired ones.
     pub fn plan(&self, live_instances: u32, max_writes: usize, now_ms: u64) -> Vec<SlotWrite> {
         let target_slots = SLOTS.div_ceil(live_instances.max(1));
         let mut writes = self.renewals(now_ms);
@@ -204,7 +210,7 @@
         writes
     }
 
-    /// Returns a release of everything, for a shutdown.
+    /// Returns the releases of all held slots, for a shutdown.
     pub fn release_all(&self) -> Vec<SlotWrite> {
         self.releases(0).collect()
     }
@@ -230,9 +236,9 @@
             })
     }
 
-    /// Returns the slots to take: first those of this address, then others,
-    /// each instance beginning elsewhere, so that a herd of starts does not
-    /// write the same slots.
+    /// Returns writes that take slots: first those last held under this address,
+    /// then others. Each instance begins at a different slot, so that instances
+    /// that start together do not write the same ones.
     fn acquisitions(&self, now_ms: u64) -> impl Iterator<Item = SlotWrite> {
         let first = (self.incarnation % u64::from(SLOTS)) as u32;
         let own = self
@@ -254,13 +260,13 @@
             })
     }
 
-    /// Returns whether a slot's holder is surely gone.
+    /// Returns whether a slot's holder can no longer use its lease.
     ///
-    /// Either this process has watched the version unchanged for longer than
-    /// the holder may mint on it, or the holder listened on this process's
-    /// own address: a listening address is exclusive, so that holder ended
-    /// before this process began. The write is conditional on the version, so
-    /// that a renewal seen by no list yet makes the taking fail.
+    /// Either this process has seen the version unchanged for longer than the
+    /// holder may refill from it, or the holder listened on this process's own
+    /// address. A listening address is exclusive, so that holder ended before
+    /// this process started. The write is conditional on the version, so it
+    /// fails if the lease was renewed after the last list.
     fn may_take_over(&self, observed: &ObservedSlot, now_ms: u64) -> bool {
         let Some(body) = &observed.body else {
             return false;
@@ -275,8 +281,9 @@
     }
 }
 
-/// Returns how far over its share an instance may be before it gives slots
-/// back, so that a peer heard late does not set slots moving to and fro.
+/// Returns how many slots above its share an instance may hold before it
+/// releases any, so that a late heartbeat of a peer does not move slots back
+/// and forth.
 fn max_surplus(target_slots: u32) -> u32 {
     const SURPLUS_ONE_IN: u32 = 8;
     target_slots / SURPLUS_ONE_IN
--- a/crates/core/src/limits/team_slots.rs
+++ b/crates/core/src/limits/team_slots.rs
@@ -1,20 +1,20 @@
 use super::SLOTS;
 
-/// Slots among which one team's rate is cut.
+/// Number of slots among which one team's rate is divided.
 ///
-/// Cut among all slots, a large fleet holds a team's burst in crumbs: a
-/// request of 4,000 tokens finds 570 in each of 350 buckets and is refused
-/// while the fleet holds 200,000. Sixteen buckets hold whole requests each, and
-/// whoever is short knows whom to ask.
+/// Divided among all slots, a team's burst is too fragmented in a large fleet:
+/// a request of 4,000 tokens finds 570 in each of 350 buckets and is refused
+/// although the fleet holds 200,000. Each of 16 buckets holds whole requests,
+/// and an instance that lacks tokens knows which peers to ask.
 pub const SLOTS_PER_TEAM: usize = 16;
 
-/// Distance between two homes. It is odd, so that a team has homes among the
-/// short leases and the long ones alike, and large, so that they lie with
-/// different holders.
+/// Distance between two slots of a team. It is odd, so that a team has slots
+/// with short and with long leases, and large, so that they belong to different
+/// holders.
 const STRIDE: u32 = SLOTS / SLOTS_PER_TEAM as u32 + 1;
 
-/// Returns the slots that mint a team's tokens. Every instance computes the
-/// same ones.
+/// Returns the slots that refill a team's buckets. Every instance computes the
+/// same ones, from a BLAKE3 hash of the team's name.
 pub fn team_slots(team: &str) -> [u32; SLOTS_PER_TEAM] {
     let digest = blake3::hash(team.as_bytes());
     let [low, high, ..] = *digest.as_bytes();
--- a/crates/core/tests/limits/leases.rs
+++ b/crates/core/tests/limits/leases.rs
@@ -1,5 +1,5 @@
-//! Orders of events around the end of a lease that a generated case seldom
-//! meets, and the room that a reservation keeps in its bucket.
+//! Orders of events around the end of a lease that generated cases rarely
+//! reach, and the capacity that a reservation keeps in its bucket.
 
 use {
     super::model::{Model, Op},
@@ -15,7 +15,8 @@
     burst_tokens: 900,
 };
 
-/// Rate at which a burst takes longer to mint than an old lease is left alone.
+/// Rate at which refilling the burst takes longer than the wait before an
+/// expired lease is taken over.
 const SLOW: Rate = Rate {
     schema: 1,
     tokens_per_s: 20,
@@ -37,10 +38,10 @@
     },
 ];
 
-/// The holder's clock runs half a percent slow and the watcher's half a
-/// percent fast, so the watcher sees the lease's time pass earlier than the
-/// holder does. It waits beyond the lease as long as clocks may differ: taken
-/// at once, both would spend on one share of the burst.
+/// The holder's clock runs 0.5 % slow and the observer's 0.5 % fast, so the
+/// lease ends earlier for the observer than for the holder. The observer must
+/// wait beyond the lease by the allowance for clock drift; otherwise both would
+/// spend the same share of the burst.
 #[test]
 fn takeover_waits_for_the_lease_and_clock_drift() {
     let mut model = Model::new(3, &RATE);
@@ -51,10 +52,10 @@
     assert_eq!(model.check(), Ok(()));
 }
 
-/// A renewal arrives at the platform, but its answer reaches the holder only
-/// 110 s later. Others have seen the renewal when it arrived, so the lease
-/// runs from before it was sent: run from the answer on, holder and successor
-/// would both mint for 110 s.
+/// A renewal takes effect on the platform, but its answer reaches the holder
+/// 110 s later. Other instances see the renewal when it takes effect, so the
+/// lease must start before the write was sent. If it started at the answer,
+/// holder and successor would both refill for 110 s.
 #[test]
 fn a_lease_starts_before_its_write_is_sent() {
     let mut model = Model::new(3, &SLOW);
@@ -74,9 +75,9 @@
     assert_eq!(model.check(), Ok(()));
 }
 
-/// All buckets are emptied just before leases lapse. The old holder mints
-/// nothing for the time after the lapse, though its other slots leave it room
-/// for more: its successor mints for that time.
+/// All buckets are emptied just before leases expire. The old holder must not
+/// refill for the time after the expiry, although its other slots leave
+/// capacity in its bucket, because its successor refills for that time.
 #[test]
 fn no_tokens_are_refilled_after_a_lease_ends() {
     let mut model = Model::new(3, &SLOW);
@@ -93,8 +94,8 @@
     assert_eq!(model.check(), Ok(()));
 }
 
-/// Two answers run while the bucket refills. What it mints takes the room of
-/// the one that began first; the later one still puts all of its tokens back.
+/// A bucket refills while two reservations are open. The refill must reduce the
+/// refund of the older debit; the newer one is still refunded in full.
 #[test]
 fn refill_reduces_the_refund_of_the_oldest_debit_first() {
     let forever = || std::iter::repeat_n(u64::MAX, SLOTS_PER_TEAM);
@@ -107,9 +108,10 @@
     assert_eq!(bucket.tokens(), 900);
 }
 
-/// A giver restarts while tokens that it granted are out. What comes back
-/// reaches its successor on the same address, which granted nothing of it:
-/// taken for a part of its own, they would come on top of its bucket.
+/// An instance restarts on the same address while tokens that it granted are in
+/// use. The refund reaches the new process, which did not grant them. If it
+/// matched the refund to a debit of its own, the tokens would come on top of
+/// its bucket.
 #[test]
 fn a_restarted_instance_ignores_refunds_of_earlier_grants() {
     let address = ([127, 0, 0, 1], 7_000).into();
@@ -128,9 +130,9 @@
     assert_eq!(after.ledger().tokens("gallery", &RATE, 5_000), 800);
 }
 
-/// An instance is killed just after its callers used all of its tokens, and
-/// its successor on the same address takes its slots over at once. It starts
-/// with nothing: started full, each restart would hand the burst out again.
+/// An instance is killed just after all of its tokens were used, and restarts on
+/// the same address, where it takes its slots over at once. Its buckets must be
+/// empty; with full buckets, each restart would grant the burst again.
 #[test]
 fn a_restarted_instance_starts_with_empty_buckets() {
     let mut model = Model::new(3, &RATE);
--- a/crates/core/tests/limits/main.rs
+++ b/crates/core/tests/limits/main.rs
@@ -1,4 +1,5 @@
-//! Rate and burst over several instances, as state machines under faults.
+//! Rate and burst over several instances, modelled as state machines under
+//! faults.
 
 mod leases;
 mod model;
--- a/crates/core/tests/limits/model.rs
+++ b/crates/core/tests/limits/model.rs
@@ -1,4 +1,4 @@
-//! Several instances and the platform, as far as limits need them.
+//! A model of several instances and the platform, reduced to what limits use.
 
 mod platform;
 
@@ -16,42 +16,44 @@
 const MAX_WRITES: usize = 300;
 const START_MS: u64 = 1_000_000;
 
-/// One thing that happens.
+/// One event of a generated or hand-written case.
 #[derive(Debug, Clone)]
 pub(crate) enum Op {
-    /// Time goes on. An instance that gets no other event stands still.
+    /// Time advances by so many milliseconds. Instances without other events do
+    /// nothing.
     Advance(u64),
     /// An instance lists the slots.
     List(usize),
-    /// An instance lists, and all its writes go well at once.
+    /// An instance lists the slots, plans writes for `live` instances, and all of
+    /// them succeed at once.
     Sync { at: usize, live: u32 },
-    /// An instance plans a batch of writes and sends the first.
+    /// An instance plans a batch of writes for `live` instances and sends it.
     Begin { at: usize, live: u32 },
-    /// The batch arrives at the platform, or some part of it fails.
+    /// The batch reaches the platform, with an outcome as in [`Model::arrive`].
     Arrive { at: usize, outcome: u8 },
-    /// The answers reach the instance.
+    /// The answers to the batch reach the instance.
     Answer(usize),
-    /// A request takes this share of the tokens that are there.
+    /// A request takes this percentage of the tokens of its instance.
     Take { at: usize, percent: u64 },
-    /// A request draws all tokens and asks a peer for this share of its own,
-    /// or for more than it has.
+    /// A request takes all tokens of its instance and requests this percentage of
+    /// a peer's tokens, which may be more than the peer has.
     Move {
         to: usize,
         from: usize,
         percent: u64,
     },
-    /// The peer's answer comes, or is lost.
+    /// A peer's answer arrives or is lost.
     Receive { index: usize, lost: bool },
-    /// A request ends and puts back what it did not use.
+    /// A request ends and refunds the tokens that it did not use.
     Settle {
         index: usize,
         used_percent: u64,
-        /// How often what goes back to a peer arrives.
+        /// How often each refund reaches its peer.
         messages: u8,
     },
-    /// An instance is killed and starts again, at another address or its own.
+    /// An instance is killed and restarts, on a new address or its own.
     Crash { at: usize, new_address: bool },
-    /// An instance shuts down in good order; another starts in its place.
+    /// An instance shuts down cleanly, and another one starts on a new address.
     Close(usize),
 }
 
@@ -84,7 +86,7 @@
     grant: Grant,
 }
 
-/// The whole model, and every grant with its time.
+/// The state of the model, and every grant with its time and tokens.
 pub(crate) struct Model {
     now_ms: u64,
     rate: Rate,
@@ -113,7 +115,7 @@
             let instance = model.start(address, i);
             model.instances.push(instance);
         }
-        // Every instance holds its share, and every bucket fills.
+        // Gives every instance its share of the slots and fills every bucket.
         for at in (0..instances).chain(0..instances) {
             model.sync(at, instances as u32);
             model.tokens(at);
@@ -143,7 +145,8 @@
         (self.now_ms as i64 + self.now_ms as i64 * drift / 1_000) as u64
     }
 
-    /// Moves on to a time since the first leases.
+    /// Advances to a time counted from before the first leases, if it is later
+    /// than now.
     pub(crate) fn advance_to(&mut self, since_start_ms: u64) {
         self.now_ms = self.now_ms.max(START_MS + since_start_ms);
     }
@@ -208,8 +211,9 @@
         self.instances[at].sent.push_back(sent);
     }
 
-    /// Fates: 0 never arrives; 1 takes effect and the reply is lost for good;
-    /// 2 takes effect, the reply is lost and read back; the rest go well.
+    /// Applies the sent writes to the platform. Outcome 0: they never arrive;
+    /// 1: they take effect and the reply is lost; 2: they take effect, the reply
+    /// is lost and the slot is read back; any other: they succeed.
     fn arrive(&mut self, at: usize, outcome: u8) {
         for sent in &mut self.instances[at].sent {
             if sent.result.is_some() {
@@ -259,7 +263,7 @@
         self.open.push_back(open);
     }
 
-    /// Notes a grant at the time when its tokens left the bucket.
+    /// Records a grant at the time at which its tokens left the bucket.
     fn open(&mut self, at: usize, reservation: Reservation) -> OpenReservation {
         self.grants.push((self.now_ms, reservation.tokens));
         OpenReservation {
@@ -320,8 +324,8 @@
         }
     }
 
-    /// Ends a reservation; what goes back to peers gets lost, or comes once or
-    /// more often.
+    /// Settles a reservation. Its refunds reach peers `messages` times, which may
+    /// be 0.
     fn finish(&mut self, open: &OpenReservation, used: u64, messages: u8) {
         let instance = &mut self.instances[open.at];
         if instance.generation != open.generation {
@@ -362,13 +366,14 @@
         self.crash(at, true);
     }
 
-    /// Checks every span of time between two grants.
+    /// Checks that no span of time between two grants exceeds burst + rate x
+    /// span.
     pub(crate) fn check(&self) -> Result<(), String> {
         for (first, (from_ms, _)) in self.grants.iter().enumerate() {
             let mut sum = 0;
             for (at_ms, tokens) in &self.grants[first..] {
                 sum += tokens;
-                // A clock that runs half a percent fast mints as much more.
+                // A clock that runs 0.5 % fast refills 0.5 % more.
                 let minted = (at_ms - from_ms) * self.rate.tokens_per_s * 1_005 / 1_000_000;
                 let max_tokens = self.rate.burst_tokens + minted + 1;
                 if sum > max_tokens {
--- a/crates/core/tests/limits/model/platform.rs
+++ b/crates/core/tests/limits/model/platform.rs
@@ -6,7 +6,7 @@
     std::collections::BTreeMap,
 };
 
-/// Slots with versions and conditional writes.
+/// In-memory platform: slots with versions and conditional writes.
 #[derive(Default)]
 pub(super) struct ModelPlatform {
     revision: u64,
--- a/crates/core/tests/limits/property.rs
+++ b/crates/core/tests/limits/property.rs
@@ -1,4 +1,4 @@
-//! The bound of a team's rate and burst, for generated orders of events.
+//! The bound on a team's tokens, for generated orders of events.
 
 use {
     super::model::{Model, Op},
@@ -10,7 +10,7 @@
 const MAX_OPS: usize = 60;
 const INSTANCES: usize = 3;
 
-/// Runs more cases than the default, and as many as PROPTEST_CASES asks for.
+/// Returns a configuration with 2,000 cases, or more if `PROPTEST_CASES` says so.
 fn config() -> ProptestConfig {
     let default = ProptestConfig::default();
     ProptestConfig {
@@ -53,12 +53,11 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// What the team's callers receive in any span of time is at most
-    /// burst + rate x span, whatever order these come in: writes of slots
-    /// that arrive late, get no answer or fail; leases that lapse while
-    /// their holder stands still; crashes, with the address kept or not;
-    /// tokens moved and lost on the way; reservations put back late. Clocks
-    /// run apart by up to half a percent.
+    /// In any span of time a team receives at most burst + rate x span, for any
+    /// order of these events: slot writes that arrive late, fail or get no
+    /// answer; leases that expire while their holder is paused; crashes, on the
+    /// same or a new address; grants between instances, lost or not;
+    /// reservations settled late. Clocks deviate by up to 0.5 %.
     #[test]
     fn no_team_receives_more_than_rate_and_burst(
         tokens_per_s in prop::sample::select(vec![20, 700]),
--- a/crates/core/tests/limits/refusals.rs
+++ b/crates/core/tests/limits/refusals.rs
@@ -1,4 +1,4 @@
-//! What callers are told that a team's rate refuses.
+//! Refusals by a team's rate, and the retry times that callers receive.
 
 use mangowalk_core::{
     limits::{Ledger, RefusedRequest, RetrySchedule, ShortageTracker, team_slots},
@@ -11,9 +11,9 @@
     burst_tokens: 2_000,
 };
 
-/// Twenty callers are refused at once, and each comes back when it was told.
-/// Tokens are there for every one: told the same time, all but the first
-/// would be refused a second time.
+/// Twenty callers are refused at once, and each retries at its returned time.
+/// Every one must find its tokens; with equal retry times, all but the first
+/// would be refused again.
 #[test]
 fn refused_callers_find_tokens_when_they_retry() {
     let mut ledger = Ledger::default();
@@ -41,9 +41,9 @@
     }
 }
 
-/// A team is far over its rate. A request that can't be served soon is refused
-/// with no peer asked and nothing waited for; once the tokens may be there
-/// again, it is worth asking.
+/// A team is far over its rate. A request that can't be served soon must be
+/// refused without querying peers and without waiting. Once its tokens may be
+/// available again, peers are queried.
 #[test]
 fn a_request_that_lacks_tokens_is_refused_without_asking_peers() {
     let mut shortage_tracker = ShortageTracker::default();
@@ -71,8 +71,9 @@
     );
 }
 
-/// Requests wait for tokens that are about to be minted. One behind too many
-/// of them is refused, instead of waiting for tokens that others will take.
+/// Requests wait for tokens that will be refilled soon. One behind too many of
+/// them must be refused instead of waiting for tokens that the others will
+/// take.
 #[test]
 fn a_request_behind_too_many_waiting_ones_is_refused() {
     let mut shortage_tracker = ShortageTracker::default();
