--- a/crates/core/src/admission/dispatcher.rs
+++ b/crates/core/src/admission/dispatcher.rs
@@ -3,36 +3,37 @@
     crate::placement::{Ask, Choice, Placement},
 };
 
-/// Teams asked for a request that has room, each time room appears.
+/// Maximum number of teams examined for a request that can be sent, each time
+/// capacity becomes available.
 const MAX_TEAMS_TRIED: usize = 8;
 
-/// Time between two looks at who waits in vain.
+/// Time between two checks for overdue requests.
 const REVIEW_INTERVAL_MS: u64 = 100;
 
-/// Tells whether an engine may get one more request, by its breaker and its
-/// limit.
+/// Returns whether an engine, given by name, may receive another request
+/// according to its circuit breaker and its limit.
 pub type EngineFilter<'a> = dyn Fn(&str) -> bool + 'a;
 
-/// What becomes of a request.
+/// The outcome of admission for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// It is sent now.
+    /// The request is sent now.
     Send {
         /// Number of the request.
         id: u64,
-        /// Where it goes.
+        /// Engine that receives it.
         choice: Choice,
     },
-    /// It is refused now; nothing ran.
+    /// The request is refused now and has not run.
     Refuse {
         /// Number of the request.
         id: u64,
-        /// When to come back.
+        /// Predicted wait and retry time.
         refusal: QueueRefusal,
     },
 }
 
-/// Admission, queue and placement of one instance.
+/// Combines the queue and the placement of one instance.
 #[derive(Debug)]
 pub struct Dispatcher {
     placement: Placement,
@@ -41,7 +42,8 @@
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher with an empty queue.
+    /// Returns a dispatcher with an empty queue. `seed` determines how retry
+    /// times are spread.
     pub fn new(placement: Placement, settings: AdmissionSettings, seed: u64) -> Dispatcher {
         Dispatcher {
             placement,
@@ -55,18 +57,19 @@
         &self.placement
     }
 
-    /// Returns the placement, to be told of engines and answers.
+    /// Returns the placement, for reporting engines and answers to it.
     pub fn placement_mut(&mut self) -> &mut Placement {
         &mut self.placement
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of queued requests.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes a new request. It is sent, waits, or is refused at once; verdicts
-    /// for it and for others that can go now are returned.
+    /// Submits a new request, which is sent, queued or refused at once. Returns
+    /// the decisions made now, on this request and on queued ones; none on a
+    /// request that stays queued.
     pub fn submit(&mut self, job: Job, fit: &EngineFilter<'_>, now_ms: u64) -> Vec<Decision> {
         let id = job.id;
         if self.queue.is_empty()
@@ -81,7 +84,8 @@
         }
     }
 
-    /// Sends what has room now, and refuses what has waited too long.
+    /// Refuses overdue requests, sends queued ones for which an engine has
+    /// capacity, and returns these decisions.
     pub fn dispatch_queued(&mut self, fit: &EngineFilter<'_>, now_ms: u64) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for (job, wait_ms) in self.take_overdue(now_ms) {
@@ -104,7 +108,8 @@
         }
     }
 
-    /// Looks now and then whether those who wait do so in vain.
+    /// Takes overdue requests out of the queue, at most once per
+    /// `REVIEW_INTERVAL_MS`.
     fn take_overdue(&mut self, now_ms: u64) -> Vec<(Job, u64)> {
         if now_ms < self.next_review_ms {
             return Vec::new();
@@ -113,7 +118,8 @@
         self.queue.take_overdue(now_ms)
     }
 
-    /// Takes out a request whose caller has gone.
+    /// Removes a queued request, as when its caller has disconnected. Does
+    /// nothing if it is not queued.
     pub fn remove(&mut self, id: u64) {
         self.queue.remove(id);
     }
--- a/crates/core/src/admission/drain_rate.rs
+++ b/crates/core/src/admission/drain_rate.rs
@@ -1,10 +1,10 @@
-/// Weight that the past keeps at each request sent.
+/// Factor by which earlier measurements decay with each request sent.
 const DECAY: f64 = 0.95;
 
-/// Measures how fast the queue drains while anything waits.
+/// Measures how fast the queue drains while it is not empty.
 ///
-/// The prediction of a wait rests on what was measured and not on what the
-/// engines should do: a slow engine or a colder cache shows here by itself.
+/// Waits are predicted from this measurement and not from the engines' nominal
+/// capacity, so that a slow engine or a colder cache is accounted for.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct DrainRate {
     tokens: f64,
@@ -13,7 +13,8 @@
 }
 
 impl DrainRate {
-    /// Notes that a request of so many tokens was sent.
+    /// Records that a request of `tokens` was sent. `backlogged` says whether
+    /// others are still queued.
     pub(super) fn record_sent(&mut self, tokens: u64, backlogged: bool, now_ms: u64) {
         if let Some(last_ms) = self.last_ms {
             self.tokens = self.tokens * DECAY + tokens as f64;
@@ -22,13 +23,14 @@
         self.last_ms = backlogged.then_some(now_ms);
     }
 
-    /// Notes that the queue is no longer empty.
+    /// Records that the queue is no longer empty.
     pub(super) fn record_backlog(&mut self, now_ms: u64) {
         self.last_ms.get_or_insert(now_ms);
     }
 
-    /// Returns tokens a millisecond; none before enough was seen. Time since
-    /// the last request counts, so that a standstill shows while it lasts.
+    /// Returns the rate in tokens per millisecond, or `None` before enough was
+    /// measured. The time since the last sent request counts, so that a stall
+    /// lowers the rate while it lasts.
     pub(super) fn tokens_per_ms(&self, now_ms: u64) -> Option<f64> {
         let since_last_ms = self.last_ms.map_or(0, |ms| now_ms.saturating_sub(ms));
         let elapsed_ms = self.elapsed_ms + since_last_ms as f64;
--- a/crates/core/src/admission/fair_queue.rs
+++ b/crates/core/src/admission/fair_queue.rs
@@ -5,33 +5,35 @@
     std::collections::BTreeMap,
 };
 
-/// Requests of a team that are asked for one that has room. The first may
-/// wait for the engine that holds its prompt while others could go.
+/// Maximum number of a team's requests examined for one that can be sent. The
+/// first may be waiting for the engine that has cached its prompt while others
+/// could be sent.
 const MAX_JOBS_TRIED: usize = 8;
 
-/// Factor by which a request must be expected to miss its time before it is
-/// given up while it waits.
+/// A queued request is overdue when its predicted total wait exceeds its
+/// maximum wait by this factor.
 const OVERDUE_FACTOR: f64 = 1.5;
 
-/// Why a request may not wait.
+/// Refusal of a request that would wait too long or finds the queue full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("The request would wait {wait_ms} ms; send it again in {retry_ms} ms.")]
+#[display("The request would wait {wait_ms} ms; retry it in {retry_ms} ms.")]
 pub struct QueueRefusal {
-    /// Predicted wait.
+    /// Predicted wait in milliseconds.
     pub wait_ms: u64,
-    /// When to come back. Spread, so that refused callers do not return
-    /// together and find the queue full once more.
+    /// Time in milliseconds after which the caller should retry. Randomly spread,
+    /// so that refused callers do not retry together and find the queue full
+    /// again.
     pub retry_ms: u64,
 }
 
 /// Start-time fair queueing over teams, weighted by their rates.
 ///
-/// Answers a team that sends several times its share, and long requests among
-/// short ones. Without it the team that sends most is served most, and every
-/// other team waits behind it. Each team owns a place in virtual time that
-/// moves on by tokens over weight with each request served, and the team that
-/// lies furthest back is served next. A team that was idle starts at the
-/// present virtual time, so it saves nothing up.
+/// Protects teams from one that sends several times its share, and short
+/// requests from long ones. Without it, the team that sends most is served
+/// most and every other team waits behind it. Each team has a position in
+/// virtual time that advances by tokens / weight with each request served, and
+/// the team with the lowest position is served next. A team that was idle
+/// starts at the current virtual time, so it accumulates no credit.
 #[derive(Debug)]
 pub struct FairQueue {
     settings: AdmissionSettings,
@@ -43,7 +45,7 @@
 }
 
 impl FairQueue {
-    /// Returns an empty queue.
+    /// Returns an empty queue. `seed` determines how retry times are spread.
     pub fn new(settings: AdmissionSettings, seed: u64) -> FairQueue {
         FairQueue {
             settings,
@@ -55,21 +57,22 @@
         }
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.queued
     }
 
-    /// Returns whether no request waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.queued == 0
     }
 
-    /// Lets a request wait.
+    /// Appends a request to its team's queue.
     ///
     /// # Errors
     ///
-    /// Refuses at once what would not be served in time, or is one too many.
+    /// Refuses the request if its predicted wait exceeds its maximum wait, or if
+    /// [`AdmissionSettings::max_queued`] requests are queued already.
     pub fn push(&mut self, job: Job, now_ms: u64) -> Result<(), QueueRefusal> {
         let wait_ms = self.predicted_wait_ms(&job, now_ms);
         if wait_ms > self.max_wait_ms(&job) || self.queued >= self.settings.max_queued {
@@ -87,19 +90,20 @@
             .map_or(max_wait_ms, |deadline_ms| deadline_ms.min(max_wait_ms))
     }
 
-    /// Returns the refusal of a request with a predicted wait.
+    /// Returns the refusal for a request with this predicted wait.
     pub fn refusal(&mut self, wait_ms: u64) -> QueueRefusal {
         let excess_ms = wait_ms.saturating_sub(self.settings.max_wait_ms);
         let base_ms = excess_ms.max(self.settings.min_retry_ms);
-        // Spread over as long again: the queue drains base_ms worth of work
-        // in that time, so it takes those who return one after another.
+        // Spreads retries over another base_ms. The queue drains that much work
+        // in this time, so it can accept the retries one after another.
         let retry_ms = base_ms + self.rng.random_range(0..=base_ms);
         QueueRefusal { wait_ms, retry_ms }
     }
 
-    /// Returns how long a request would wait: its team's work ahead of it at
-    /// the team's share of the measured drain, or all work at the whole drain
-    /// where that is less.
+    /// Returns the predicted wait of a request in milliseconds: the smaller of
+    /// its team's work ahead of it at the team's share of the measured drain
+    /// rate, and all queued work at the full drain rate. Returns 0 before the
+    /// drain rate is known.
     pub fn predicted_wait_ms(&self, job: &Job, now_ms: u64) -> u64 {
         let Some(tokens_per_ms) = self.drain_rate.tokens_per_ms(now_ms) else {
             return 0;
@@ -115,14 +119,15 @@
         fair_ms.min(whole_ms) as u64
     }
 
-    /// Returns the tokens that a team was served ahead of its turn. The next
-    /// request of a team that used less than its share starts at once, however
-    /// small the share is.
+    /// Returns the tokens that a team was served beyond its fair share so far.
+    /// They are 0 for a team that used less than its share, so its next request
+    /// is served first, however small the share is.
     fn overserved_tokens(&self, team: &TeamQueue, weight: f64) -> f64 {
         (team.finish_tag - self.virtual_time).max(0.0) * weight
     }
 
-    /// Returns the part of the drain that a team gets beside those that wait.
+    /// Returns the fraction of the drain rate that a team gets beside the other
+    /// teams with queued requests.
     fn share(&self, team: &str, weight: f64) -> f64 {
         let others: f64 = self
             .teams
@@ -134,9 +139,11 @@
         weight / (weight + others).max(f64::MIN_POSITIVE)
     }
 
-    /// Takes the next request for which `send` returns something. At most
-    /// `max_teams` teams are asked, so that one request without room does not
-    /// hold up the others.
+    /// Removes and returns the next request for which `send` returns a value,
+    /// with that value, and charges its team.
+    ///
+    /// Several teams, at most `max_teams`, are examined, so that a request for
+    /// which no engine has capacity does not block the others.
     pub fn take_next<T>(
         &mut self,
         now_ms: u64,
@@ -168,7 +175,7 @@
         Some((job, sent))
     }
 
-    /// Charges a team for a request that is served.
+    /// Advances a team's position in virtual time for a request that is served.
     pub fn charge(&mut self, job: &Job) {
         let team = self.teams.entry(job.team.clone()).or_default();
         let start = team.finish_tag.max(self.virtual_time);
@@ -182,7 +189,8 @@
         Some(team.remove(index))
     }
 
-    /// Takes out a request that no longer waits, as when its caller has gone.
+    /// Removes and returns a queued request, as when its caller has disconnected.
+    /// Returns `None` if it is not queued.
     pub fn remove(&mut self, id: u64) -> Option<Job> {
         let (name, index) = self.teams.iter().find_map(|(name, team)| {
             let index = team.jobs.iter().position(|j| j.id == id)?;
@@ -191,13 +199,14 @@
         self.take(&name, index)
     }
 
-    /// Takes out every request that won't be served in time any more, with its
-    /// predicted wait, and every one whose time is over.
+    /// Removes and returns all overdue requests, each with its predicted total
+    /// wait in milliseconds: those whose maximum wait has passed, and those
+    /// predicted to exceed it by the factor `OVERDUE_FACTOR`.
     ///
-    /// The prediction at arrival may turn out too good: an engine dies, or a
-    /// more urgent team comes. Who waits in vain is told so as soon as that is
-    /// known, while there is time to go elsewhere. It takes a clear miss, as a
-    /// prediction wavers.
+    /// The prediction at arrival may prove too optimistic, for example when an
+    /// engine fails or a more urgent team arrives. Overdue requests are refused
+    /// as soon as this is known, while the caller still has time to go
+    /// elsewhere. The factor is needed because predictions fluctuate.
     pub fn take_overdue(&mut self, now_ms: u64) -> Vec<(Job, u64)> {
         let tokens_per_ms = self.drain_rate.tokens_per_ms(now_ms);
         let teams: Vec<String> = self.teams.keys().cloned().collect();
@@ -209,6 +218,8 @@
         overdue
     }
 
+    /// Removes and returns a team's overdue requests. `tokens_per_ms` is the drain rate of
+    /// the whole queue; without it, only requests whose time has passed count.
     fn take_overdue_of_team(
         &mut self,
         name: &str,
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,10 +1,10 @@
-//! Whom an instance serves, who waits, and who is refused when it is full.
+//! Admission control: which requests an instance sends, queues or refuses.
 //!
-//! A request is sent when a candidate engine has room for it, and waits in a
-//! fair queue otherwise. It waits here and not in an engine, because an
-//! engine's own queue knows no teams, and what stands in it can't be moved to
-//! an engine that becomes free first. A request that can't be served in time
-//! is refused at once, as not run. See docs/admission.md.
+//! A request is sent when a candidate engine has capacity for it, and waits in
+//! a fair queue otherwise. It waits in the router and not in an engine, because
+//! an engine's queue doesn't distinguish teams, and a request in it can't be
+//! moved to an engine that becomes free earlier. A request that can't be served
+//! in time is refused at once and has not run. See docs/admission.md.
 
 mod dispatcher;
 mod drain_rate;
--- a/crates/core/src/admission/settings.rs
+++ b/crates/core/src/admission/settings.rs
@@ -1,22 +1,22 @@
 use derive_more::{Display, Error};
 
-/// What the deployment weighs most when it is full.
+/// What a deployment gives priority when all engines are full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display)]
 pub enum AdmissionProfile {
-    /// The tail of the time to first token: a customer stands at the counter,
-    /// and an answer that comes late is worth no more than a refusal.
+    /// The tail latency of the first token. For callers with a customer waiting
+    /// at the counter, a late answer is worth no more than a refusal.
     #[default]
     #[display("first-token")]
     FirstToken,
-    /// The worst-served team and wrongful refusals: a refused applicant
-    /// abandons the form, so waiting is better than refusing.
+    /// The worst-served team and few wrongful refusals. For callers with an
+    /// applicant who abandons the form after a refusal, waiting is better.
     #[display("worst-team")]
     WorstTeam,
 }
 
-/// A profile that is not known.
+/// Error for a profile name that does not exist.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("No such profile; give first-token or worst-team.")]
+#[display("Unknown admission profile; use first-token or worst-team.")]
 pub struct UnknownProfile;
 
 impl std::str::FromStr for AdmissionProfile {
@@ -31,18 +31,19 @@
     }
 }
 
-/// How an instance behaves when it is full.
+/// How an instance queues and refuses requests when all engines are full.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionSettings {
-    /// Longest time to first token that a caller is held for.
+    /// Maximum time in milliseconds that a request waits for an engine.
     pub max_wait_ms: u64,
-    /// Most requests that wait at once.
+    /// Maximum number of queued requests.
     pub max_queued: usize,
-    /// Time waited that makes up for this many tokens of a longer request.
+    /// Tokens by which a request counts as shorter for each millisecond that it
+    /// has waited, in the order within its team.
     pub aging_tokens_per_ms: f64,
-    /// Time waited that lifts a request by one priority.
+    /// Waiting time in milliseconds that raises a request by one priority.
     pub priority_step_ms: u64,
-    /// Shortest time after which a refused caller is told to come back.
+    /// Minimum retry time for refused callers, in milliseconds.
     pub min_retry_ms: u64,
 }
 
--- a/crates/core/src/admission/team_queue.rs
+++ b/crates/core/src/admission/team_queue.rs
@@ -1,10 +1,10 @@
 use super::{AdmissionSettings, Job};
 
-/// Requests of one team that wait, and the team's place in virtual time.
+/// Queued requests of one team, and the team's position in virtual time.
 #[derive(Debug, Default)]
 pub(super) struct TeamQueue {
     pub(super) jobs: Vec<Job>,
-    /// Virtual time at which the team's last request ends.
+    /// Virtual finish time of the team's last served request.
     pub(super) finish_tag: f64,
     pub(super) queued_tokens: u64,
 }
@@ -21,10 +21,10 @@
         job
     }
 
-    /// Returns the requests in the order in which they shall be served: short
-    /// before long, and each millisecond waited takes some of the length off,
-    /// so that a long one is passed only by what came within a bounded time
-    /// after it.
+    /// Returns the indexes of the requests in the order in which they should be
+    /// served: short before long, where each millisecond waited reduces the
+    /// length. So a long request is overtaken only by requests that arrive
+    /// within a bounded time after it.
     pub(super) fn serving_order(&self, settings: &AdmissionSettings, now_ms: u64) -> Vec<usize> {
         let key = |job: &Job| {
             let waited_ms = now_ms.saturating_sub(job.arrived_ms) as f64;
@@ -38,7 +38,8 @@
         serving_order
     }
 
-    /// Returns tokens that would be served before a request of a length.
+    /// Returns the queued tokens that would be served before a new request with
+    /// this many tokens.
     pub(super) fn tokens_ahead(&self, tokens: u64) -> u64 {
         self.jobs
             .iter()
@@ -47,7 +48,8 @@
             .sum()
     }
 
-    /// Returns the most urgent priority, time waited counted in.
+    /// Returns the most urgent priority of the team's requests, each raised by
+    /// its waiting time; `u64::MAX` if none is queued.
     pub(super) fn effective_priority(&self, settings: &AdmissionSettings, now_ms: u64) -> u64 {
         let effective_priority = |job: &Job| {
             let waited_ms = now_ms.saturating_sub(job.arrived_ms);
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who is served, who waits and who is refused, decided without a network.
+//! Order of service, fairness and refusals of the queue, without a network.
 
 use {
     mangowalk_core::admission::{AdmissionSettings, FairQueue, Job},
@@ -37,7 +37,8 @@
     taken.expect("a request that waits").0
 }
 
-/// Lets a queue see that it drains a thousand tokens in 100 ms.
+/// Drains a queue at 1,000 tokens per 100 ms for 4 s, so that it knows its drain
+/// rate. Returns the time in milliseconds, 4,000.
 fn drain_for_four_seconds(queue: &mut FairQueue) -> u64 {
     enter(queue, job(0, "gallery", 1_000, 0));
     for i in 1..40 {
@@ -48,8 +49,8 @@
     4_000
 }
 
-/// One team sends ten times what the other does. Both wait, and each must be
-/// served the same number of tokens, whatever the lengths of its requests.
+/// One team queues far more requests than the other. Both must be served the
+/// same number of tokens, although their requests differ in length.
 #[test]
 fn an_overloading_team_gets_only_its_fair_share() {
     let mut queue = queue();
@@ -70,8 +71,8 @@
     assert_eq!((tokens("hot"), tokens("calm")), (5_000, 5_000));
 }
 
-/// A team was idle while another was served a long time. Its callers must not
-/// push the other one out now: the time that was not used is gone.
+/// A team was idle while another was served for a long time. It must not
+/// displace the other team afterwards: unused time gives no credit.
 #[test]
 fn an_idle_team_accumulates_no_credit() {
     let mut queue = queue();
@@ -89,8 +90,9 @@
     assert!((4..=6).contains(&idle), "{idle} of 10");
 }
 
-/// Short requests keep coming in front of a long one of the same team. They
-/// are served first, but the long one's turn must come while they still come.
+/// Short requests keep arriving while a long one of the same team is queued.
+/// They are served first, but the long one must be served within 1.5 s while
+/// they still arrive.
 #[test]
 fn short_requests_overtake_long_ones_without_starving_them() {
     let mut queue = queue();
@@ -104,9 +106,9 @@
     assert!(served_ms.is_some_and(|ms| ms <= 1_500), "{served_ms:?}");
 }
 
-/// Requests wait that would all be served in time. Then the engines stand
-/// still. Who waits in vain must be told so as soon as that shows, with most
-/// of the time that its caller gave still left, and not at the end of it.
+/// Queued requests would all be served in time until the engines stall. Those
+/// that will miss their maximum wait must be refused as soon as the prediction
+/// shows it, and not only when that wait has passed.
 #[test]
 fn requests_that_will_miss_their_deadline_are_refused_early() {
     let mut queue = queue();
@@ -124,9 +126,9 @@
     );
 }
 
-/// A caller comes whose wait would be longer than it is held for. It must be
-/// told so at once, and callers refused together must be told to come back at
-/// different times, or they would find the queue full together again.
+/// Requests arrive whose predicted wait exceeds the maximum. They must be
+/// refused at once, with different retry times; otherwise all would retry
+/// together and find the queue full again.
 #[test]
 fn a_request_that_cannot_be_served_in_time_is_refused_on_arrival() {
     let mut queue = queue();
@@ -149,9 +151,9 @@
 }
 
 proptest! {
-    /// Callers of two teams send requests of any lengths, and both always
-    /// wait. Whatever the lengths, neither team's callers may get more than
-    /// one longest request ahead of the other's, and nobody is lost.
+    /// Two teams with requests of any length are backlogged throughout. The
+    /// tokens served to them may differ by at most twice the longest request,
+    /// and every request must be served.
     #[test]
     fn two_backlogged_teams_receive_equal_service(
         lengths in prop::collection::vec((1_u64..5_000, 1_u64..5_000), 40),
