--- a/crates/core/src/admission/fair_queue.rs
+++ b/crates/core/src/admission/fair_queue.rs
@@ -248,8 +248,8 @@
                 .unwrap_or(u64::MAX)
                 .min(settings.max_wait_ms);
             let waited_ms = now_ms.saturating_sub(job.arrived_ms);
-            let left_ms = team_tokens_per_ms.map_or(0.0, |d| ahead_tokens / d);
-            let total_ms = waited_ms as f64 + left_ms;
+            let remaining_ms = team_tokens_per_ms.map_or(0.0, |d| ahead_tokens / d);
+            let total_ms = waited_ms as f64 + remaining_ms;
             if waited_ms > max_wait_ms || total_ms > max_wait_ms as f64 * OVERDUE_FACTOR {
                 overdue.push((job.id, total_ms as u64));
             } else {
--- a/crates/core/src/limits/shortage_tracker.rs
+++ b/crates/core/src/limits/shortage_tracker.rs
@@ -47,8 +47,8 @@
         if since_ms > SHORTAGE_VALID_MS {
             return None;
         }
-        let minted = rate.tokens_per_s.saturating_mul(since_ms).div_ceil(1_000);
-        let short_tokens = tokens.saturating_sub(shortage.tokens.saturating_add(minted));
+        let refilled = rate.tokens_per_s.saturating_mul(since_ms).div_ceil(1_000);
+        let short_tokens = tokens.saturating_sub(shortage.tokens.saturating_add(refilled));
         let is_refused =
             short_tokens > 0 && self.wait_ms(team, rate, short_tokens, now_ms).is_none();
         is_refused.then_some(short_tokens)
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -27,12 +27,12 @@
     FairQueue::new(AdmissionSettings::default(), 3)
 }
 
-fn enter(queue: &mut FairQueue, job: Job) {
+fn push(queue: &mut FairQueue, job: Job) {
     let now_ms = job.arrived_ms;
     queue.push(job, now_ms).expect("room");
 }
 
-fn next(queue: &mut FairQueue, now_ms: u64) -> Job {
+fn take_next(queue: &mut FairQueue, now_ms: u64) -> Job {
     let taken = queue.take_next(now_ms, 4, |_| Some(()));
     taken.expect("a request that waits").0
 }
@@ -40,12 +40,12 @@
 /// Drains a queue at 1,000 tokens per 100 ms for 4 s, so that it knows its drain
 /// rate. Returns the time in milliseconds, 4,000.
 fn drain_for_four_seconds(queue: &mut FairQueue) -> u64 {
-    enter(queue, job(0, "gallery", 1_000, 0));
+    push(queue, job(0, "gallery", 1_000, 0));
     for i in 1..40 {
-        enter(queue, job(i, "gallery", 1_000, i * 100));
-        next(queue, i * 100);
+        push(queue, job(i, "gallery", 1_000, i * 100));
+        take_next(queue, i * 100);
     }
-    next(queue, 4_000);
+    take_next(queue, 4_000);
     4_000
 }
 
@@ -55,12 +55,12 @@
 fn an_overloading_team_gets_only_its_fair_share() {
     let mut queue = queue();
     for i in 0..100 {
-        enter(&mut queue, job(i, "hot", 500, 0));
+        push(&mut queue, job(i, "hot", 500, 0));
     }
     for i in 100..110 {
-        enter(&mut queue, job(i, "calm", 1_000, 0));
+        push(&mut queue, job(i, "calm", 1_000, 0));
     }
-    let served: Vec<Job> = (0..15).map(|_| next(&mut queue, 0)).collect();
+    let served: Vec<Job> = (0..15).map(|_| take_next(&mut queue, 0)).collect();
     let tokens = |team: &str| -> u64 {
         served
             .iter()
@@ -77,15 +77,15 @@
 fn an_idle_team_accumulates_no_credit() {
     let mut queue = queue();
     for i in 0..40 {
-        enter(&mut queue, job(i, "steady", 1_000, 0));
+        push(&mut queue, job(i, "steady", 1_000, 0));
     }
     for _ in 0..20 {
-        next(&mut queue, 0);
+        take_next(&mut queue, 0);
     }
     for i in 100..120 {
-        enter(&mut queue, job(i, "idle", 1_000, 0));
+        push(&mut queue, job(i, "idle", 1_000, 0));
     }
-    let served: Vec<Job> = (0..10).map(|_| next(&mut queue, 0)).collect();
+    let served: Vec<Job> = (0..10).map(|_| take_next(&mut queue, 0)).collect();
     let idle = served.iter().filter(|j| j.team == "idle").count();
     assert!((4..=6).contains(&idle), "{idle} of 10");
 }
@@ -96,12 +96,12 @@
 #[test]
 fn short_requests_overtake_long_ones_without_starving_them() {
     let mut queue = queue();
-    enter(&mut queue, job(0, "gallery", 6_000, 0));
-    enter(&mut queue, job(1, "gallery", 200, 0));
-    assert_eq!(next(&mut queue, 0).id, 1);
+    push(&mut queue, job(0, "gallery", 6_000, 0));
+    push(&mut queue, job(1, "gallery", 200, 0));
+    assert_eq!(take_next(&mut queue, 0).id, 1);
     let served_ms = (1..=40).map(|i| i * 50).find(|now_ms| {
-        enter(&mut queue, job(*now_ms, "gallery", 200, *now_ms));
-        next(&mut queue, *now_ms).id == 0
+        push(&mut queue, job(*now_ms, "gallery", 200, *now_ms));
+        take_next(&mut queue, *now_ms).id == 0
     });
     assert!(served_ms.is_some_and(|ms| ms <= 1_500), "{served_ms:?}");
 }
@@ -114,7 +114,7 @@
     let mut queue = queue();
     let start_ms = drain_for_four_seconds(&mut queue);
     for i in 0..10 {
-        enter(&mut queue, job(i, "gallery", 1_000, start_ms));
+        push(&mut queue, job(i, "gallery", 1_000, start_ms));
     }
     assert!(queue.take_overdue(start_ms + 100).is_empty());
     let refused_at_ms = (1..=20)
@@ -134,7 +134,7 @@
     let mut queue = queue();
     let now_ms = drain_for_four_seconds(&mut queue);
     for i in 0..21 {
-        enter(&mut queue, job(i, "gallery", 1_000, now_ms));
+        push(&mut queue, job(i, "gallery", 1_000, now_ms));
     }
     let refused: Vec<_> = (0..30)
         .map(|i| queue.push(job(50 + i, "gallery", 3_000, now_ms), now_ms))
@@ -160,13 +160,13 @@
     ) {
         let mut queue = queue();
         for (i, (a, b)) in lengths.iter().enumerate() {
-            enter(&mut queue, job(i as u64, "a", *a, 0));
-            enter(&mut queue, job(1_000 + i as u64, "b", *b, 0));
+            push(&mut queue, job(i as u64, "a", *a, 0));
+            push(&mut queue, job(1_000 + i as u64, "b", *b, 0));
         }
         let mut served = [0_u64; 2];
         let mut left = [lengths.len(); 2];
         while !queue.is_empty() {
-            let taken = next(&mut queue, 0);
+            let taken = take_next(&mut queue, 0);
             let team = usize::from(taken.team == "b");
             served[team] += taken.tokens;
             left[team] -= 1;
--- a/crates/core/tests/limits/leases.rs
+++ b/crates/core/tests/limits/leases.rs
@@ -25,15 +25,15 @@
 
 const TAKE_ALL: [Op; 3] = [
     Op::Take {
-        at: 0,
+        instance: 0,
         percent: 100,
     },
     Op::Take {
-        at: 1,
+        instance: 1,
         percent: 100,
     },
     Op::Take {
-        at: 2,
+        instance: 2,
         percent: 100,
     },
 ];
@@ -46,7 +46,10 @@
 fn takeover_waits_for_the_lease_and_clock_drift() {
     let mut model = Model::new(3, &RATE);
     model.advance_to(SHORT_LEASE_MS - 500);
-    model.apply(&Op::Sync { at: 0, live: 1 });
+    model.apply(&Op::Sync {
+        instance: 0,
+        live: 1,
+    });
     model.apply(&Op::Advance(700));
     TAKE_ALL.iter().for_each(|op| model.apply(op));
     assert_eq!(model.check(), Ok(()));
@@ -61,13 +64,22 @@
     let mut model = Model::new(3, &SLOW);
     let mut ops = vec![
         Op::Advance(SHORT_LEASE_MS / 2),
-        Op::Begin { at: 1, live: 3 },
-        Op::Arrive { at: 1, outcome: 9 },
+        Op::Begin {
+            instance: 1,
+            live: 3,
+        },
+        Op::Arrive {
+            instance: 1,
+            outcome: 9,
+        },
         Op::List(0),
         Op::Advance(110_000),
         Op::Answer(1),
         Op::Advance(13_000),
-        Op::Sync { at: 0, live: 1 },
+        Op::Sync {
+            instance: 0,
+            live: 1,
+        },
         Op::Advance(60_000),
     ];
     ops.extend(TAKE_ALL);
@@ -82,12 +94,21 @@
 fn no_tokens_are_refilled_after_a_lease_ends() {
     let mut model = Model::new(3, &SLOW);
     model.advance_to(SHORT_LEASE_MS / 2 + 1_000);
-    model.apply(&Op::Sync { at: 0, live: 3 });
-    model.apply(&Op::Sync { at: 2, live: 3 });
+    model.apply(&Op::Sync {
+        instance: 0,
+        live: 3,
+    });
+    model.apply(&Op::Sync {
+        instance: 2,
+        live: 3,
+    });
     model.advance_to(SHORT_LEASE_MS - 500);
     TAKE_ALL.iter().for_each(|op| model.apply(op));
     model.advance_to(SHORT_LEASE_MS + 3_000);
-    model.apply(&Op::Sync { at: 0, live: 1 });
+    model.apply(&Op::Sync {
+        instance: 0,
+        live: 1,
+    });
     model.apply(&TAKE_ALL[0]);
     model.apply(&Op::Advance(20_000));
     TAKE_ALL.iter().for_each(|op| model.apply(op));
@@ -138,10 +159,13 @@
     let mut model = Model::new(3, &RATE);
     TAKE_ALL.iter().for_each(|op| model.apply(op));
     model.apply(&Op::Crash {
-        at: 0,
+        instance: 0,
         new_address: false,
     });
-    model.apply(&Op::Sync { at: 0, live: 3 });
+    model.apply(&Op::Sync {
+        instance: 0,
+        live: 3,
+    });
     TAKE_ALL.iter().for_each(|op| model.apply(op));
     assert_eq!(model.check(), Ok(()));
 }
--- a/crates/core/tests/limits/model.rs
+++ b/crates/core/tests/limits/model.rs
@@ -26,15 +26,15 @@
     List(usize),
     /// An instance lists the slots, plans writes for `live` instances, and all of
     /// them succeed at once.
-    Sync { at: usize, live: u32 },
+    Sync { instance: usize, live: u32 },
     /// An instance plans a batch of writes for `live` instances and sends it.
-    Begin { at: usize, live: u32 },
+    Begin { instance: usize, live: u32 },
     /// The batch reaches the platform, with an outcome as in [`Model::arrive`].
-    Arrive { at: usize, outcome: u8 },
+    Arrive { instance: usize, outcome: u8 },
     /// The answers to the batch reach the instance.
     Answer(usize),
     /// A request takes this percentage of the tokens of its instance.
-    Take { at: usize, percent: u64 },
+    Take { instance: usize, percent: u64 },
     /// A request takes all tokens of its instance and requests this percentage of
     /// a peer's tokens, which may be more than the peer has.
     Move {
@@ -52,7 +52,7 @@
         messages: u8,
     },
     /// An instance is killed and restarts, on a new address or its own.
-    Crash { at: usize, new_address: bool },
+    Crash { instance: usize, new_address: bool },
     /// An instance shuts down cleanly, and another one starts on a new address.
     Close(usize),
 }
@@ -73,7 +73,7 @@
 }
 
 struct OpenReservation {
-    at: usize,
+    instance: usize,
     generation: u64,
     reservation: Reservation,
     grant: usize,
@@ -116,9 +116,9 @@
             model.instances.push(instance);
         }
         // Gives every instance its share of the slots and fills every bucket.
-        for at in (0..instances).chain(0..instances) {
-            model.sync(at, instances as u32);
-            model.tokens(at);
+        for instance in (0..instances).chain(0..instances) {
+            model.sync(instance, instances as u32);
+            model.tokens(instance);
         }
         model.now_ms += 2_000 * rate.burst_tokens / rate.tokens_per_s;
         model
@@ -140,8 +140,8 @@
         }
     }
 
-    fn local_ms(&self, at: usize) -> u64 {
-        let drift = self.instances[at].drift_per_mille;
+    fn local_ms(&self, instance: usize) -> u64 {
+        let drift = self.instances[instance].drift_per_mille;
         (self.now_ms as i64 + self.now_ms as i64 * drift / 1_000) as u64
     }
 
@@ -154,16 +154,16 @@
     pub(crate) fn apply(&mut self, op: &Op) {
         match *op {
             Op::Advance(ms) => self.now_ms += ms,
-            Op::List(at) => {
+            Op::List(instance) => {
                 let list = self.platform.list();
-                let now_ms = self.local_ms(at);
-                self.instances[at].limits.apply_list(&list, now_ms);
+                let now_ms = self.local_ms(instance);
+                self.instances[instance].limits.apply_list(&list, now_ms);
             }
-            Op::Begin { at, live } => self.begin(at, live),
-            Op::Arrive { at, outcome } => self.arrive(at, outcome),
-            Op::Answer(at) => self.answer(at),
-            Op::Sync { at, live } => self.sync(at, live),
-            Op::Take { at, percent } => self.take(at, percent),
+            Op::Begin { instance, live } => self.begin(instance, live),
+            Op::Arrive { instance, outcome } => self.arrive(instance, outcome),
+            Op::Answer(instance) => self.answer(instance),
+            Op::Sync { instance, live } => self.sync(instance, live),
+            Op::Take { instance, percent } => self.take(instance, percent),
             Op::Move { to, from, percent } => self.start_move(to, from, percent),
             Op::Receive { index, lost } => self.receive(index, lost),
             Op::Settle {
@@ -171,31 +171,37 @@
                 used_percent,
                 messages,
             } => self.settle(index, used_percent, messages),
-            Op::Crash { at, new_address } => self.crash(at, new_address),
-            Op::Close(at) => self.close(at),
+            Op::Crash {
+                instance,
+                new_address,
+            } => self.crash(instance, new_address),
+            Op::Close(instance) => self.close(instance),
         }
     }
 
-    fn sync(&mut self, at: usize, live: u32) {
-        self.apply(&Op::List(at));
-        self.begin(at, live);
-        self.arrive(at, 9);
-        self.answer(at);
+    fn sync(&mut self, instance: usize, live: u32) {
+        self.apply(&Op::List(instance));
+        self.begin(instance, live);
+        self.arrive(instance, 9);
+        self.answer(instance);
     }
 
-    fn begin(&mut self, at: usize, live: u32) {
-        let now_ms = self.local_ms(at);
-        if !self.instances[at].sent.is_empty() {
+    fn begin(&mut self, instance: usize, live: u32) {
+        let now_ms = self.local_ms(instance);
+        if !self.instances[instance].sent.is_empty() {
             return;
         }
-        for write in self.instances[at].limits.plan(live, MAX_WRITES, now_ms) {
-            self.send(at, write, now_ms);
+        for write in self.instances[instance]
+            .limits
+            .plan(live, MAX_WRITES, now_ms)
+        {
+            self.send(instance, write, now_ms);
         }
     }
 
-    fn send(&mut self, at: usize, write: SlotWrite, begun_ms: u64) {
+    fn send(&mut self, instance: usize, write: SlotWrite, begun_ms: u64) {
         self.next += 1;
-        let limits = &mut self.instances[at].limits;
+        let limits = &mut self.instances[instance].limits;
         let (SlotWrite::Create { slot }
         | SlotWrite::Replace { slot, .. }
         | SlotWrite::Release { slot, .. }) = write;
@@ -208,14 +214,14 @@
             begun_ms,
             result: None,
         };
-        self.instances[at].sent.push_back(sent);
+        self.instances[instance].sent.push_back(sent);
     }
 
     /// Applies the sent writes to the platform. Outcome 0: they never arrive;
     /// 1: they take effect and the reply is lost; 2: they take effect, the reply
     /// is lost and the slot is read back; any other: they succeed.
-    fn arrive(&mut self, at: usize, outcome: u8) {
-        for sent in &mut self.instances[at].sent {
+    fn arrive(&mut self, instance: usize, outcome: u8) {
+        for sent in &mut self.instances[instance].sent {
             if sent.result.is_some() {
                 continue;
             }
@@ -234,9 +240,9 @@
         }
     }
 
-    fn answer(&mut self, at: usize) {
-        let now_ms = self.local_ms(at);
-        let instance = &mut self.instances[at];
+    fn answer(&mut self, instance: usize) {
+        let now_ms = self.local_ms(instance);
+        let instance = &mut self.instances[instance];
         while let Some(sent) = instance.sent.front() {
             let Some(result) = &sent.result else { return };
             let _ = match sent.write {
@@ -252,31 +258,31 @@
         }
     }
 
-    fn take(&mut self, at: usize, percent: u64) {
-        let tokens = self.tokens(at) * percent / 100;
-        let now_ms = self.local_ms(at);
-        let ledger = self.instances[at].limits.ledger();
+    fn take(&mut self, instance: usize, percent: u64) {
+        let tokens = self.tokens(instance) * percent / 100;
+        let now_ms = self.local_ms(instance);
+        let ledger = self.instances[instance].limits.ledger();
         let Some(reservation) = ledger.take(TEAM, &self.rate, tokens, now_ms) else {
             return;
         };
-        let open = self.open(at, reservation);
+        let open = self.open(instance, reservation);
         self.open.push_back(open);
     }
 
     /// Records a grant at the time at which its tokens left the bucket.
-    fn open(&mut self, at: usize, reservation: Reservation) -> OpenReservation {
+    fn open(&mut self, instance: usize, reservation: Reservation) -> OpenReservation {
         self.grants.push((self.now_ms, reservation.tokens));
         OpenReservation {
-            at,
-            generation: self.instances[at].generation,
+            instance,
+            generation: self.instances[instance].generation,
             reservation,
             grant: self.grants.len() - 1,
         }
     }
 
-    fn tokens(&mut self, at: usize) -> u64 {
-        let now_ms = self.local_ms(at);
-        let ledger = self.instances[at].limits.ledger();
+    fn tokens(&mut self, instance: usize) -> u64 {
+        let now_ms = self.local_ms(instance);
+        let ledger = self.instances[instance].limits.ledger();
         ledger.tokens(TEAM, &self.rate, now_ms)
     }
 
@@ -327,7 +333,7 @@
     /// Settles a reservation. Its refunds reach peers `messages` times, which may
     /// be 0.
     fn finish(&mut self, open: &OpenReservation, used: u64, messages: u8) {
-        let instance = &mut self.instances[open.at];
+        let instance = &mut self.instances[open.instance];
         if instance.generation != open.generation {
             return;
         }
@@ -346,24 +352,24 @@
         }
     }
 
-    fn crash(&mut self, at: usize, new_address: bool) {
-        let held = self.instances[at].address;
+    fn crash(&mut self, instance: usize, new_address: bool) {
+        let held = self.instances[instance].address;
         let address = if new_address {
             self.fresh_address()
         } else {
             held
         };
-        self.instances[at] = self.start(address, at);
+        self.instances[instance] = self.start(address, instance);
     }
 
-    fn close(&mut self, at: usize) {
-        let now_ms = self.local_ms(at);
-        self.instances[at].sent.clear();
-        for write in self.instances[at].limits.close() {
-            self.send(at, write, now_ms);
+    fn close(&mut self, instance: usize) {
+        let now_ms = self.local_ms(instance);
+        self.instances[instance].sent.clear();
+        for write in self.instances[instance].limits.close() {
+            self.send(instance, write, now_ms);
         }
-        self.arrive(at, 9);
-        self.crash(at, true);
+        self.arrive(instance, 9);
+        self.crash(instance, true);
     }
 
     /// Checks that no span of time between two grants exceeds burst + rate x
@@ -374,8 +380,8 @@
             for (at_ms, tokens) in &self.grants[first..] {
                 sum += tokens;
                 // A clock that runs 0.5 % fast refills 0.5 % more.
-                let minted = (at_ms - from_ms) * self.rate.tokens_per_s * 1_005 / 1_000_000;
-                let max_tokens = self.rate.burst_tokens + minted + 1;
+                let refilled = (at_ms - from_ms) * self.rate.tokens_per_s * 1_005 / 1_000_000;
+                let max_tokens = self.rate.burst_tokens + refilled + 1;
                 if sum > max_tokens {
                     return Err(format!(
                         "{sum} tokens in {from_ms}..={at_ms} ms, over {max_tokens}"
--- a/crates/core/tests/limits/property.rs
+++ b/crates/core/tests/limits/property.rs
@@ -33,11 +33,11 @@
         1 => (1_700_000u64..1_900_000).prop_map(Op::Advance),
         1 => (3_590_000u64..3_640_000).prop_map(Op::Advance),
         2 => instance().prop_map(Op::List),
-        4 => (instance(), 1u32..5).prop_map(|(at, live)| Op::Sync { at, live }),
-        3 => (instance(), 1u32..5).prop_map(|(at, live)| Op::Begin { at, live }),
-        3 => (instance(), 0u8..6).prop_map(|(at, outcome)| Op::Arrive { at, outcome }),
+        4 => (instance(), 1u32..5).prop_map(|(instance, live)| Op::Sync { instance, live }),
+        3 => (instance(), 1u32..5).prop_map(|(instance, live)| Op::Begin { instance, live }),
+        3 => (instance(), 0u8..6).prop_map(|(instance, outcome)| Op::Arrive { instance, outcome }),
         3 => instance().prop_map(Op::Answer),
-        12 => (instance(), 1u64..=100).prop_map(|(at, percent)| Op::Take { at, percent }),
+        12 => (instance(), 1u64..=100).prop_map(|(instance, percent)| Op::Take { instance, percent }),
         4 => (instance(), instance(), 1u64..=110)
             .prop_map(|(to, from, percent)| Op::Move { to, from, percent }),
         4 => (index.clone(), any::<bool>())
@@ -45,7 +45,7 @@
         4 => (index, 0u64..=100, 0u8..3).prop_map(|(index, used_percent, messages)| {
             Op::Settle { index, used_percent, messages }
         }),
-        1 => (instance(), any::<bool>()).prop_map(|(at, new_address)| Op::Crash { at, new_address }),
+        1 => (instance(), any::<bool>()).prop_map(|(instance, new_address)| Op::Crash { instance, new_address }),
         1 => instance().prop_map(Op::Close),
     ]
 }
@@ -68,8 +68,8 @@
         for op in &ops {
             model.apply(op);
         }
-        for at in 0..INSTANCES {
-            model.apply(&Op::Take { at, percent: 100 });
+        for instance in 0..INSTANCES {
+            model.apply(&Op::Take { instance, percent: 100 });
         }
         if let Err(over) = model.check() {
             return Err(TestCaseError::fail(over));
--- a/crates/core/tests/share.rs
+++ b/crates/core/tests/share.rs
@@ -120,9 +120,9 @@
     proptest!(ProptestConfig::with_cases(64), |(
         instances in 2_usize..8,
         demand_factor in 1.5_f64..8.0,
-        skew in 0_usize..8,
-        cut_at_ms in 0_u64..14_000,
-        cut_size in 0_usize..3,
+        preferred_instance in 0_usize..8,
+        partition_at_ms in 0_u64..14_000,
+        partition_size in 0_usize..3,
     )| {
         let tenant = tenant(160_000.0, 160_000.0);
         let mut fleet = Fleet::new(instances, tenant.clone());
@@ -132,15 +132,15 @@
         let mut next = 0;
         for now_ms in (0..20_000_u64).step_by(20) {
             if now_ms % 200 == 0 {
-                let is_cut = (cut_at_ms..cut_at_ms + 5_500).contains(&now_ms);
-                let side = |instance: usize| instance < cut_size.min(instances);
-                fleet.exchange(now_ms, |a, b| !is_cut || side(a) == side(b));
+                let is_partitioned = (partition_at_ms..partition_at_ms + 5_500).contains(&now_ms);
+                let side = |instance: usize| instance < partition_size.min(instances);
+                fleet.exchange(now_ms, |a, b| !is_partitioned || side(a) == side(b));
             }
             due += per_step;
             while due >= 1.0 {
                 due -= 1.0;
                 next += 1;
-                let instance = if skew < instances && next % 3 > 0 { skew } else { next % instances };
+                let instance = if preferred_instance < instances && next % 3 > 0 { preferred_instance } else { next % instances };
                 if fleet.tables[instance].take(&tenant, REQUEST_TOKENS, now_ms).is_ok() {
                     spent.push((now_ms, REQUEST_TOKENS as f64));
                 }
@@ -265,8 +265,8 @@
     proptest!(ProptestConfig::default(), |(
         demand_factor in 1.0_f64..8.0,
         restarts in proptest::collection::vec((0_usize..7, 0_u64..1_000), 0..12),
-        cut_at_ms in 0_u64..20_000,
-        cut_size in 0_usize..4,
+        partition_at_ms in 0_u64..20_000,
+        partition_size in 0_usize..4,
     )| {
         let tenant = tenant(160_000.0, 160_000.0);
         let mut fleet = Fleet::new(7, tenant.clone());
@@ -278,8 +278,8 @@
                 }
             }
             if now_ms % 200 == 0 {
-                let is_cut = (cut_at_ms..cut_at_ms + 5_500).contains(&now_ms);
-                fleet.exchange(now_ms, |a, b| !is_cut || (a < cut_size) == (b < cut_size));
+                let is_partitioned = (partition_at_ms..partition_at_ms + 5_500).contains(&now_ms);
+                fleet.exchange(now_ms, |a, b| !is_partitioned || (a < partition_size) == (b < partition_size));
             }
             due += demand_factor * 160.0 * 20.0 / REQUEST_TOKENS as f64;
             while due >= 1.0 {
