--- a/crates/core/src/admission/fair_queue.rs
+++ b/crates/core/src/admission/fair_queue.rs
@@ -218,8 +218,9 @@
         overdue
     }
 
-    /// Removes and returns a team's overdue requests. `tokens_per_ms` is the drain rate of
-    /// the whole queue; without it, only requests whose time has passed count.
+    /// Removes and returns a team's overdue requests. `tokens_per_ms` is the
+    /// drain rate of the whole queue; without it, only requests whose maximum
+    /// wait has passed are overdue.
     fn take_overdue_of_team(
         &mut self,
         name: &str,
--- a/crates/core/src/share/table.rs
+++ b/crates/core/src/share/table.rs
@@ -13,8 +13,8 @@
     /// before, and any initial level would be granted again at each restart.
     pub initial_burst_fraction: f64,
     /// Time after the start, in milliseconds, during which listed instances
-    /// count even though no heartbeat of them has been received. Live instances
-    /// are received within two heartbeats; with a longer time, the last
+    /// count although no heartbeat from them has been received. Live instances
+    /// are discovered within two heartbeat periods; with a longer time, the last
     /// remaining instance would keep refusing callers on behalf of instances
     /// that have left.
     pub expected_instances_ms: u64,
@@ -25,12 +25,12 @@
     /// them to count as started together. Machines that restart at once differ
     /// by some hundred milliseconds.
     pub simultaneous_start_ms: u64,
-    /// Maximum uptime of a newly received peer, in milliseconds, for which all of
-    /// its spending counts as recent. Longer than heartbeats take to discover a
-    /// new peer, shorter than a bucket takes to fill.
+    /// Maximum uptime of a newly discovered peer, in milliseconds, for which all
+    /// of its spending counts as recent. Longer than heartbeats take to discover
+    /// a new peer, shorter than a bucket takes to fill.
     pub recent_start_ms: u64,
     /// Maximum fraction of the rates that an instance uses after its start while
-    /// it receives less than half of the expected instances.
+    /// less than half of the expected instances are reachable.
     pub isolated_fraction: f64,
     /// Rate window in milliseconds: the time after the start for which
     /// `isolated_fraction` applies, and for which a reported instance count is
@@ -224,11 +224,11 @@
         };
     }
 
-    /// Returns whether the spending of a newly received peer is already reflected
-    /// in the levels: the peer started before this instance, or so long ago that
-    /// the bucket has filled since. Otherwise a peer that is received again after
-    /// half a minute would have everything it ever spent subtracted from its
-    /// teams' buckets.
+    /// Returns whether the spending of a newly discovered peer is already
+    /// reflected in the levels: the peer started before this instance, or so long
+    /// ago that the bucket has filled since. Otherwise, if the heartbeats of a
+    /// peer resumed after half a minute, everything that it ever spent would be
+    /// subtracted from its teams' buckets.
     fn is_already_counted(&self, report: &PeerReport, now_ms: u64) -> bool {
         let started_ms = self.started_ms.unwrap_or(now_ms);
         let up_ms = now_ms.saturating_sub(started_ms);
@@ -362,12 +362,12 @@
 
     /// Returns the fraction of the instances whose heartbeats are received.
     ///
-    /// A newly started instance that receives less than half of the listed
-    /// instances may be the last one left, or isolated by a partition while the
-    /// others keep serving. For one rate window it uses at most a third of the
-    /// rates, which is enough for teams with little demand and keeps the total
-    /// within the tolerance. With the full rates, a restart inside a partition
-    /// granted 5 % more than a rate window may hold.
+    /// If a newly started instance reaches less than half of the listed
+    /// instances, it may be the last one left, or isolated by a partition while
+    /// the others keep serving. For one rate window it uses at most a third of
+    /// the rates, which is enough for teams with little demand and keeps the
+    /// total within the tolerance. With the full rates, a restart inside a
+    /// partition granted 5 % more than a rate window may hold.
     fn reachable_fraction(&self, instances: usize, now_ms: u64) -> f64 {
         let reachable = self.peers.values().filter(|peer| peer.is_reachable).count() + 1;
         let fraction = reachable as f64 / instances as f64;
--- a/crates/core/tests/limits/refusals.rs
+++ b/crates/core/tests/limits/refusals.rs
@@ -22,7 +22,7 @@
     }
     ledger.tokens("gallery", &RATE, 0);
     let mut retry_schedule = RetrySchedule::default();
-    let ask = RefusedRequest {
+    let request = RefusedRequest {
         tokens: 500,
         short_tokens: 500,
         instances: 1,
@@ -30,8 +30,8 @@
     };
     let mut retry_at_ms: Vec<u64> = (0..20u8)
         .map(|jitter| {
-            let ask = RefusedRequest { jitter, ..ask };
-            retry_schedule.retry_ms("gallery", &RATE, &ask, 0)
+            let request = RefusedRequest { jitter, ..request };
+            retry_schedule.retry_ms("gallery", &RATE, &request, 0)
         })
         .collect();
     retry_at_ms.sort_unstable();
--- a/crates/core/tests/share.rs
+++ b/crates/core/tests/share.rs
@@ -350,9 +350,9 @@
     assert_eq!(fleet.tables[1].instances(20_000).0, 2);
 }
 
-/// A peer that was removed after half a minute without reports is received
-/// again. Its spending since its start must not be subtracted a second time;
-/// otherwise its team would be refused until the bucket has refilled.
+/// The reports of a peer that was removed after half a minute of silence resume.
+/// Its spending since its start must not be subtracted a second time; otherwise
+/// its team would be refused until the bucket has refilled.
 #[test]
 fn earlier_spending_of_a_returning_peer_is_not_subtracted_again() {
     let tenant = tenant(10_000.0, 10_000.0);
