--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who is served, who waits and who is refused, decided without a network.
+//! Order of service, fairness and refusals of the queue, without a network.
 
 use {
     mangowalk_core::admission::{AdmissionSettings, FairQueue, Job},
@@ -27,39 +27,40 @@
     FairQueue::new(AdmissionSettings::default(), 3)
 }
 
-fn enter(queue: &mut FairQueue, job: Job) {
+fn push(queue: &mut FairQueue, job: Job) {
     let now_ms = job.arrived_ms;
     queue.push(job, now_ms).expect("room");
 }
 
-fn next(queue: &mut FairQueue, now_ms: u64) -> Job {
+fn take_next(queue: &mut FairQueue, now_ms: u64) -> Job {
     let taken = queue.take_next(now_ms, 4, |_| Some(()));
     taken.expect("a request that waits").0
 }
 
-/// Lets a queue see that it drains a thousand tokens in 100 ms.
+/// Drains a queue at 1,000 tokens per 100 ms for 4 s, so that it knows its drain
+/// rate. Returns the time in milliseconds, 4,000.
 fn drain_for_four_seconds(queue: &mut FairQueue) -> u64 {
-    enter(queue, job(0, "gallery", 1_000, 0));
+    push(queue, job(0, "gallery", 1_000, 0));
     for i in 1..40 {
-        enter(queue, job(i, "gallery", 1_000, i * 100));
-        next(queue, i * 100);
+        push(queue, job(i, "gallery", 1_000, i * 100));
+        take_next(queue, i * 100);
     }
-    next(queue, 4_000);
+    take_next(queue, 4_000);
     4_000
 }
 
-/// One team sends ten times what the other does. Both wait, and each must be
-/// served the same number of tokens, whatever the lengths of its requests.
+/// One team queues far more requests than the other. Both must be served the
+/// same number of tokens, although their requests differ in length.
 #[test]
 fn an_overloading_team_gets_only_its_fair_share() {
     let mut queue = queue();
     for i in 0..100 {
-        enter(&mut queue, job(i, "hot", 500, 0));
+        push(&mut queue, job(i, "hot", 500, 0));
     }
     for i in 100..110 {
-        enter(&mut queue, job(i, "calm", 1_000, 0));
+        push(&mut queue, job(i, "calm", 1_000, 0));
     }
-    let served: Vec<Job> = (0..15).map(|_| next(&mut queue, 0)).collect();
+    let served: Vec<Job> = (0..15).map(|_| take_next(&mut queue, 0)).collect();
     let tokens = |team: &str| -> u64 {
         served
             .iter()
@@ -70,49 +71,50 @@
     assert_eq!((tokens("hot"), tokens("calm")), (5_000, 5_000));
 }
 
-/// A team was idle while another was served a long time. Its callers must not
-/// push the other one out now: the time that was not used is gone.
+/// A team was idle while another was served for a long time. It must not
+/// displace the other team afterwards: unused time gives no credit.
 #[test]
 fn an_idle_team_accumulates_no_credit() {
     let mut queue = queue();
     for i in 0..40 {
-        enter(&mut queue, job(i, "steady", 1_000, 0));
+        push(&mut queue, job(i, "steady", 1_000, 0));
     }
     for _ in 0..20 {
-        next(&mut queue, 0);
+        take_next(&mut queue, 0);
     }
     for i in 100..120 {
-        enter(&mut queue, job(i, "idle", 1_000, 0));
+        push(&mut queue, job(i, "idle", 1_000, 0));
     }
-    let served: Vec<Job> = (0..10).map(|_| next(&mut queue, 0)).collect();
+    let served: Vec<Job> = (0..10).map(|_| take_next(&mut queue, 0)).collect();
     let idle = served.iter().filter(|j| j.team == "idle").count();
     assert!((4..=6).contains(&idle), "{idle} of 10");
 }
 
-/// Short requests keep coming in front of a long one of the same team. They
-/// are served first, but the long one's turn must come while they still come.
+/// Short requests keep arriving while a long one of the same team is queued.
+/// They are served first, but the long one must be served within 1.5 s while
+/// they still arrive.
 #[test]
 fn short_requests_overtake_long_ones_without_starving_them() {
     let mut queue = queue();
-    enter(&mut queue, job(0, "gallery", 6_000, 0));
-    enter(&mut queue, job(1, "gallery", 200, 0));
-    assert_eq!(next(&mut queue, 0).id, 1);
+    push(&mut queue, job(0, "gallery", 6_000, 0));
+    push(&mut queue, job(1, "gallery", 200, 0));
+    assert_eq!(take_next(&mut queue, 0).id, 1);
     let served_ms = (1..=40).map(|i| i * 50).find(|now_ms| {
-        enter(&mut queue, job(*now_ms, "gallery", 200, *now_ms));
-        next(&mut queue, *now_ms).id == 0
+        push(&mut queue, job(*now_ms, "gallery", 200, *now_ms));
+        take_next(&mut queue, *now_ms).id == 0
     });
     assert!(served_ms.is_some_and(|ms| ms <= 1_500), "{served_ms:?}");
 }
 
-/// Requests wait that would all be served in time. Then the engines stand
-/// still. Who waits in vain must be told so as soon as that shows, with most
-/// of the time that its caller gave still left, and not at the end of it.
+/// Queued requests would all be served in time until the engines stall. Those
+/// that will miss their maximum wait must be refused as soon as the prediction
+/// shows it, and not only when that wait has passed.
 #[test]
 fn requests_that_will_miss_their_deadline_are_refused_early() {
     let mut queue = queue();
     let start_ms = drain_for_four_seconds(&mut queue);
     for i in 0..10 {
-        enter(&mut queue, job(i, "gallery", 1_000, start_ms));
+        push(&mut queue, job(i, "gallery", 1_000, start_ms));
     }
     assert!(queue.take_overdue(start_ms + 100).is_empty());
     let refused_at_ms = (1..=20)
@@ -124,15 +126,15 @@
     );
 }
 
-/// A caller comes whose wait would be longer than it is held for. It must be
-/// told so at once, and callers refused together must be told to come back at
-/// different times, or they would find the queue full together again.
+/// Requests arrive whose predicted wait exceeds the maximum. They must be
+/// refused at once, with different retry times; otherwise all would retry
+/// together and find the queue full again.
 #[test]
 fn a_request_that_cannot_be_served_in_time_is_refused_on_arrival() {
     let mut queue = queue();
     let now_ms = drain_for_four_seconds(&mut queue);
     for i in 0..21 {
-        enter(&mut queue, job(i, "gallery", 1_000, now_ms));
+        push(&mut queue, job(i, "gallery", 1_000, now_ms));
     }
     let refused: Vec<_> = (0..30)
         .map(|i| queue.push(job(50 + i, "gallery", 3_000, now_ms), now_ms))
@@ -149,22 +151,22 @@
 }
 
 proptest! {
-    /// Callers of two teams send requests of any lengths, and both always
-    /// wait. Whatever the lengths, neither team's callers may get more than
-    /// one longest request ahead of the other's, and nobody is lost.
+    /// Two teams with requests of any length are backlogged throughout. The
+    /// tokens served to them may differ by at most twice the longest request,
+    /// and every request must be served.
     #[test]
     fn two_backlogged_teams_receive_equal_service(
         lengths in prop::collection::vec((1_u64..5_000, 1_u64..5_000), 40),
     ) {
         let mut queue = queue();
         for (i, (a, b)) in lengths.iter().enumerate() {
-            enter(&mut queue, job(i as u64, "a", *a, 0));
-            enter(&mut queue, job(1_000 + i as u64, "b", *b, 0));
+            push(&mut queue, job(i as u64, "a", *a, 0));
+            push(&mut queue, job(1_000 + i as u64, "b", *b, 0));
         }
         let mut served = [0_u64; 2];
         let mut left = [lengths.len(); 2];
         while !queue.is_empty() {
-            let taken = next(&mut queue, 0);
+            let taken = take_next(&mut queue, 0);
             let team = usize::from(taken.team == "b");
             served[team] += taken.tokens;
             left[team] -= 1;
