--- a/crates/core/src/mesh/heartbeat.rs
+++ b/crates/core/src/mesh/heartbeat.rs
@@ -7,106 +7,115 @@
     std::net::SocketAddr,
 };
 
-/// How far the change of one engine's weights is.
+/// Progress of a change of one engine's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderPhase {
-    /// New work is kept away; the order goes out soon.
+    /// The order will be sent soon. New requests are steered to other engines.
     Planned,
-    /// The order was sent.
+    /// The order was sent to the engine.
     Sent,
-    /// The engine has the weights.
+    /// The engine has loaded the weights.
     Done,
 }
 
-/// What the instance that orders weights tells of one engine.
+/// What the lease holder reports of its order to one engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderReport {
-    /// The engine.
+    /// Name of the engine.
     pub engine: String,
-    /// Model whose weights change.
+    /// Model whose weights the order changes.
     pub model: String,
-    /// Weights that it will have.
+    /// Version of the weights that the order loads.
     pub version: u64,
-    /// How far it is.
+    /// Progress of the order.
     pub phase: OrderPhase,
-    /// Age of the phase when this was told.
+    /// Age of the phase when the heartbeat was sent.
     pub age_ms: u32,
 }
 
-/// What an instance tells of one team's rate.
+/// What an instance reports of one team's token rate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamReport {
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// Tokens spent since the instance's start.
+    /// Tokens that the team has spent at this instance since the instance
+    /// started.
     pub spent: f64,
-    /// Tokens that are left, as the instance estimates.
+    /// Tokens left of the team's rate, as the instance estimates.
     pub level: f32,
-    /// Tokens a second that were asked for.
+    /// Tokens a second that the team's requests asked for.
     pub demand_per_s: f32,
 }
 
-/// What an instance tells its peers, several times a second.
+/// State that an instance sends to its peers several times a second.
 ///
-/// One datagram: a lost one is made up for by the next, and no connection
-/// between instances can fall silent.
+/// Each heartbeat is one datagram with the full state, so the next one makes up
+/// for a lost one, and there is no connection between instances that could
+/// stall without notice.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Name of the instance.
     pub name: String,
-    /// Grows with each start of the instance.
+    /// Identifies one start of the instance; it grows with each start.
     pub incarnation: u64,
-    /// Time since the start of the instance.
+    /// Time since the instance started.
     pub up_ms: u32,
-    /// Grows with each heartbeat; an older one that comes late is dropped.
+    /// Grows with each heartbeat, so that receivers drop one that arrives after
+    /// a newer one.
     pub sequence: u64,
-    /// Where callers connect.
+    /// Address at which the instance accepts callers.
     pub caller_address: SocketAddr,
-    /// Where peers send.
+    /// Address at which the instance receives heartbeats.
     pub peer_address: SocketAddr,
-    /// Failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// Whether callers may be sent here.
+    /// Whether callers may be sent to the instance.
     pub ready: bool,
-    /// Whether this is its last heartbeat: it has stopped and serves nobody.
+    /// Whether this is the last heartbeat: the instance has stopped and serves
+    /// no requests.
     pub stopped: bool,
-    /// Whether it follows the store just now.
+    /// Whether the instance follows changes of all kinds of objects in the
+    /// store.
     pub has_store: bool,
-    /// Version of the configuration in force there.
+    /// Version of the configuration that the instance has in force.
     pub configuration_version: u64,
-    /// Weights named by model, and how many milliseconds ago, if known; the
-    /// newest and those that bound the use of older ones.
+    /// Published weights as model, version and, if known, milliseconds since
+    /// they were published: the newest ones and those that bound the use of
+    /// older ones.
     pub versions: Vec<(String, u64, Option<u32>)>,
-    /// Work sent to each engine and not done.
+    /// Unfinished work that the instance has sent to each engine.
     pub loads: Vec<(String, Load)>,
-    /// Shared parts that engines have read for it just now, and a short hash
-    /// of each engine's name.
+    /// Recent placements: shared prompt parts that engines have read for the
+    /// instance, each with a short hash of the engine's name.
     #[serde(rename = "placed")]
     pub placements: Vec<(u64, u32)>,
-    /// Engines that don't answer it.
+    /// Engines that do not answer the instance.
     #[serde(rename = "silent")]
     pub silent_engines: Vec<String>,
-    /// Revision of the store up to which it knows the list of engines; 0 before
-    /// it has read it.
+    /// Store revision up to which the instance knows the engine list; 0 before
+    /// its first read.
     pub engines_revision: u64,
-    /// Engines that leave or have left, as far as peers may not know it.
+    /// Departures of engines that peers may not know yet.
     pub departures: Vec<Departure>,
-    /// Crashes of engines, and the requests that answer for them.
+    /// Crashes of engines, and the requests that they are charged to.
     pub crashes: Vec<CrashSight>,
-    /// Whether it knows what was spent of the teams' rates before its start.
+    /// Whether the instance knows what was spent of the teams' rates before it
+    /// started.
     pub knows_rates: bool,
-    /// Instances that it counts, heard or not, itself included.
+    /// Number of instances that it counts, live or silent, itself included.
     pub instances: u32,
-    /// Time for which that count still holds.
+    /// Time for which `instances` remains valid.
     pub counted_for_ms: u32,
-    /// What was asked for and spent, by team.
+    /// Demand and spending of each team at the instance.
     pub teams: Vec<TeamReport>,
-    /// Whether it holds the lease under which orders are given.
+    /// Whether the instance holds the lease under which orders are sent to
+    /// engines.
     pub holds_lease: bool,
-    /// Time since its last order, where it gave one since its start.
+    /// Time since its last order; `None` if it has sent none since it started.
     pub ordered_ago_ms: Option<u32>,
-    /// Orders of the instance that holds the lease.
+    /// Orders that the instance sends under the lease.
     pub orders: Vec<OrderReport>,
-    /// Other instances that it hears, so that a new one is found by all.
+    /// Some of the peers that are live for the instance, so that all instances
+    /// discover a new one.
     pub peers: Vec<SocketAddr>,
 }
--- a/crates/core/src/mesh/members.rs
+++ b/crates/core/src/mesh/members.rs
@@ -6,25 +6,29 @@
     },
 };
 
-/// When a peer counts as silent, and when as gone.
+/// Timeouts and bounds of the heartbeats between instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MeshSettings {
-    /// Pause between two heartbeats.
+    /// Interval between two heartbeats.
     pub heartbeat_interval_ms: u64,
-    /// Silence after which callers are no longer sent to a peer. Four
-    /// heartbeats: two may be lost on a bad link.
+    /// Silence after which callers are no longer sent to a peer. It covers four
+    /// heartbeats, since two may be lost on a bad link.
     pub silent_after_ms: u64,
-    /// Silence after which a peer's share of rates is given to others. It may
-    /// be serving behind a partition; longer than a window of rates.
+    /// Silence after which a peer's share of rates goes to others. It is longer
+    /// than a rate window, because the peer may still be serving behind a
+    /// network partition.
     pub gone_after_ms: u64,
-    /// Time for which an address is tried that never answered.
+    /// Time for which heartbeats are sent to a candidate address that never
+    /// answers.
     pub candidate_ms: u64,
-    /// Peers up to which each gets every heartbeat from its sender. With more
-    /// of them, one in each other failure domain gets it and passes it on: what
-    /// crosses between domains is paid for, and everybody still hears of
-    /// everything within a heartbeat. In turns, those of
-    /// a large fleet would hear of each other so seldom that they took each other
-    /// for silent.
+    /// Maximum number of peers and candidate addresses for which each heartbeat
+    /// is sent directly to all of them.
+    ///
+    /// Above it, one peer in each other failure domain gets the heartbeat and
+    /// relays it, because traffic between domains costs money. All peers still
+    /// receive every heartbeat. If the peers of a large fleet took turns
+    /// instead, each would receive so few heartbeats that it took others for
+    /// silent.
     pub max_direct_peers: usize,
 }
 
@@ -40,25 +44,25 @@
     }
 }
 
-/// One peer, as it told last.
+/// A peer and its last heartbeat.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// Its last heartbeat.
+    /// The newest heartbeat that was received from the peer.
     pub last_heartbeat: Heartbeat,
-    /// When that came.
+    /// When that heartbeat was received.
     pub received_ms: u64,
 }
 
-/// Where one heartbeat goes.
+/// Addresses to which one heartbeat is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Targets {
-    /// Those that keep it to themselves.
+    /// Peers that do not relay the heartbeat.
     pub direct: Vec<SocketAddr>,
-    /// Those that pass it on within their failure domain.
+    /// Peers that relay the heartbeat within their failure domain.
     pub relays: Vec<SocketAddr>,
 }
 
-/// The last start of a peer that said that it stops.
+/// The start of a peer that announced its stop.
 #[derive(Debug, Clone, Copy)]
 struct Stopped {
     incarnation: u64,
@@ -66,14 +70,15 @@
     received_ms: u64,
 }
 
-/// Peers of this instance.
+/// Peers of this instance, by name, and addresses at which a peer may listen.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     members: BTreeMap<String, Member>,
     candidates_since_ms: HashMap<SocketAddr, u64>,
-    /// Older heartbeats of theirs may still be under way, and other peers name
-    /// them until they have heard it too. Taken for alive again, such a peer has a
-    /// part of the rates set aside until it counts as gone.
+    /// Peers that have stopped. Heartbeats that they sent before may still be
+    /// in transit, and other peers name their addresses until they know of the
+    /// stop. A stopped peer that was added again would have a part of the rates
+    /// reserved until it expires.
     stopped: HashMap<String, Stopped>,
 }
 
@@ -83,7 +88,10 @@
         self.candidates_since_ms.entry(address).or_insert(now_ms);
     }
 
-    /// Takes over a heartbeat. Returns false for one that is out of date.
+    /// Stores a heartbeat and the peer addresses in it.
+    ///
+    /// Returns `false` for a heartbeat that is older than the last one of its
+    /// sender or belongs to a start that has stopped.
     pub fn receive(&mut self, heartbeat: Heartbeat, now_ms: u64) -> bool {
         let is_out_of_date = |stopped: &Stopped| heartbeat.incarnation <= stopped.incarnation;
         if self
@@ -110,7 +118,8 @@
         }
         let name = heartbeat.name.clone();
         if heartbeat.stopped {
-            // What it might still spend or run need not be set aside.
+            // A stopped peer spends and runs nothing more, so nothing has to be
+            // reserved for it.
             self.members.remove(&name);
             self.candidates_since_ms.remove(&heartbeat.peer_address);
             let stopped = Stopped {
@@ -131,7 +140,9 @@
         true
     }
 
-    /// Removes peers that are gone, and returns their names.
+    /// Removes peers that were silent for longer than `gone_after_ms` and
+    /// returns their names. Also drops old candidate addresses and records of
+    /// stopped peers.
     pub fn expire(&mut self, settings: &MeshSettings, now_ms: u64) -> Vec<String> {
         let gone = |member: &Member| now_ms > member.received_ms + settings.gone_after_ms;
         let names: Vec<String> = self
@@ -150,8 +161,9 @@
         names
     }
 
-    /// Returns where a heartbeat goes: to peers that are known, and addresses
-    /// that may have one. `turn` grows with each heartbeat.
+    /// Returns where to send a heartbeat: to known peers and to candidate
+    /// addresses. `turn` grows with each heartbeat and selects the relays and,
+    /// in a large fleet, the candidate addresses.
     pub fn targets(
         &self,
         own_domain: &str,
@@ -183,15 +195,16 @@
         }
     }
 
-    /// Returns the peers of a failure domain, to which a heartbeat from another
-    /// one is passed on.
+    /// Returns the addresses of the peers in a failure domain, to which
+    /// heartbeats from other domains are relayed.
     pub fn in_domain<'a>(&'a self, domain: &'a str) -> impl Iterator<Item = SocketAddr> + 'a {
         let near = self.members.values();
         near.filter(move |member| member.last_heartbeat.domain == domain)
             .map(|member| member.last_heartbeat.peer_address)
     }
 
-    /// Returns the addresses that may have a peer nobody has heard.
+    /// Returns the candidate addresses that are not those of a known peer and
+    /// have not timed out.
     fn candidates(&self, settings: &MeshSettings, now_ms: u64) -> Vec<SocketAddr> {
         let known: HashSet<SocketAddr> = self
             .members
@@ -210,8 +223,9 @@
         candidates
     }
 
-    /// Returns the revision up to which all peers know the list of engines; those
-    /// that have yet to read it aren't counted.
+    /// Returns the store revision up to which all peers know the engine list,
+    /// or `u64::MAX` if none has read it. Peers that have not read it yet are
+    /// not counted.
     pub fn engines_revision(&self) -> u64 {
         let members = self.members.values();
         let revisions = members.map(|member| member.last_heartbeat.engines_revision);
@@ -219,17 +233,19 @@
         known.min().unwrap_or(u64::MAX)
     }
 
-    /// Returns how many peers there may be, heard or not.
+    /// Returns the number of peers to expect: the number of known peers or of
+    /// candidate addresses, whichever is larger.
     pub fn expected(&self) -> usize {
         self.members.len().max(self.candidates_since_ms.len())
     }
 
-    /// Returns all peers that aren't gone.
+    /// Returns all peers that have not expired, live or silent.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Returns the peers that were heard just now.
+    /// Returns the live peers: those with a heartbeat within the last
+    /// `silent_after_ms`.
     pub fn live(&self, settings: &MeshSettings, now_ms: u64) -> impl Iterator<Item = &Member> {
         let silent_after_ms = settings.silent_after_ms;
         self.members
@@ -237,13 +253,14 @@
             .filter(move |member| now_ms <= member.received_ms + silent_after_ms)
     }
 
-    /// Returns which start of a peer was heard last, if it is known.
+    /// Returns the incarnation in the last heartbeat of a peer; `None` for an
+    /// unknown peer.
     pub fn incarnation(&self, name: &str) -> Option<u64> {
         Some(self.members.get(name)?.last_heartbeat.incarnation)
     }
 
-    /// Returns how many of the peers that were heard just now, and of which
-    /// something holds, go before an instance by their names.
+    /// Returns the number of live peers whose name sorts before `own_name` and
+    /// whose last heartbeat satisfies `holds`.
     pub fn count_live_before(
         &self,
         own_name: &str,
@@ -258,23 +275,26 @@
             .count()
     }
 
-    /// Returns whether a peer was heard just now; `None` for one that is gone.
+    /// Returns whether a peer is live; `None` for a peer that is unknown or has
+    /// expired.
     pub fn is_live(&self, name: &str, settings: &MeshSettings, now_ms: u64) -> Option<bool> {
         let member = self.members.get(name)?;
         Some(now_ms <= member.received_ms + settings.silent_after_ms)
     }
 }
 
-/// Returns some of the addresses, others with each turn.
+/// Returns up to `max` of the addresses, a different selection for each turn.
 fn rotate(addresses: &[SocketAddr], max: usize, turn: u64) -> impl Iterator<Item = SocketAddr> {
     let first = (turn as usize).wrapping_mul(max) % addresses.len().max(1);
     let some = addresses.iter().cycle().skip(first);
     some.take(addresses.len().min(max)).copied()
 }
 
-/// Returns one peer of each other failure domain, another one with each turn.
-/// One that was not heard just now may not pass anything on; a domain in which
-/// nobody was heard gets it all the same.
+/// Returns one peer of each other failure domain, a different one for each
+/// turn.
+///
+/// Only live peers are selected, since a silent one may not relay. If a domain
+/// has no live peer, a silent one is used.
 fn relays(far: &[&Member], turn: u64, settings: &MeshSettings, now_ms: u64) -> Vec<SocketAddr> {
     let mut domains: BTreeMap<&str, Vec<&Member>> = BTreeMap::new();
     for &member in far {
--- a/crates/core/src/mesh/message.rs
+++ b/crates/core/src/mesh/message.rs
@@ -3,25 +3,26 @@
     serde::{Deserialize, Serialize},
 };
 
-/// How a heartbeat came.
+/// How a heartbeat reaches its receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Delivery {
-    /// From its sender, for this instance alone.
+    /// Sent by its author to this receiver only.
     Direct,
-    /// From its sender, to be passed on within the failure domain.
+    /// Sent by its author to a receiver that relays it within its failure
+    /// domain.
     #[serde(rename = "ToPassOn")]
     ToRelay,
-    /// By way of another instance of the failure domain.
+    /// Relayed by another instance of the receiver's failure domain.
     #[serde(rename = "PassedOn")]
     Relayed,
 }
 
-/// What travels in one datagram between instances.
+/// Content of one datagram between instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MeshMessage {
-    /// How it comes.
+    /// How the heartbeat reaches its receiver.
     #[serde(rename = "way")]
     pub delivery: Delivery,
-    /// What its sender tells.
+    /// State of the instance that wrote the message.
     pub heartbeat: Heartbeat,
 }
--- a/crates/core/src/mesh/mod.rs
+++ b/crates/core/src/mesh/mod.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other, and which of them are there.
+//! Heartbeats between instances, and the table of live peers.
 
 mod heartbeat;
 mod members;
