--- a/crates/core/src/membership/addresses.rs
+++ b/crates/core/src/membership/addresses.rs
@@ -4,16 +4,17 @@
     std::net::SocketAddr,
 };
 
-/// Most addresses in one answer. A caller needs a few to fail over; the whole
-/// fleet in each answer would cost more than the requests.
+/// Maximum number of addresses in one answer. A caller needs a few for
+/// failover; sending the whole fleet in each answer would cost more than the
+/// requests.
 pub const MAX_ADDRESSES: usize = 8;
 
-/// How long callers keep an answer.
+/// Time to live of the address lists that callers receive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerTtlSettings {
-    /// Time for which an answer is kept in a fleet that is whole.
+    /// Time to live while more than half of the instances that stay are ready.
     pub ttl_ms: u64,
-    /// Time for which it is kept while instances start.
+    /// Time to live otherwise, as while many instances start.
     pub starting_ttl_ms: u64,
 }
 
@@ -26,11 +27,13 @@
     }
 }
 
-/// Returns instances in the order in which one caller should try them: those
-/// of the failure domain first, each group shuffled by the caller's seed.
+/// Returns the caller addresses of instances in the order in which one caller
+/// should try them: those of its failure domain first, each group shuffled by
+/// the caller's seed. At most [`MAX_ADDRESSES`] are returned, and only
+/// instances that are ready, not departing and not suspected.
 ///
-/// Without the shuffle every caller would use the first one, and a fleet of
-/// seven would serve like one.
+/// Without the shuffle every caller would use the first address, and a fleet of
+/// seven would have the capacity of one instance.
 pub fn addresses_for_caller(
     instances: &[InstanceView],
     failure_domain: &str,
@@ -44,8 +47,8 @@
         .partition(|i| i.failure_domain == failure_domain);
     near.shuffle(&mut random);
     far.shuffle(&mut random);
-    // The last place is kept for another failure domain, so that a caller
-    // outlives its own.
+    // The last entry is reserved for another failure domain, so that callers
+    // can fail over when their own domain is down.
     if !far.is_empty() {
         near.truncate(MAX_ADDRESSES - 1);
     }
@@ -56,11 +59,12 @@
         .collect()
 }
 
-/// Returns for how long a caller may keep an answer.
+/// Returns the time for which a caller may cache an answer.
 ///
-/// After a restart of many, the first ones ready are all that the answer can
-/// name. Kept for the usual time, it would send every caller to them; kept
-/// for a moment, the callers spread as others become ready.
+/// After many instances restart at the same time, an answer can name only the
+/// first ones that are ready. With the usual time to live, all callers would
+/// keep using these. With a short one, callers spread over the others as they
+/// become ready.
 pub fn answer_ttl_ms(settings: &AnswerTtlSettings, instances: &[InstanceView]) -> u64 {
     let usable = |i: &&InstanceView| i.ready && !i.departing && !i.suspected;
     let ready = instances.iter().filter(usable).count();
--- a/crates/core/src/membership/instance.rs
+++ b/crates/core/src/membership/instance.rs
@@ -1,59 +1,63 @@
 use std::marker::PhantomData;
 
-/// The instance has no records yet, or did not compare them with a peer.
+/// Phase of an instance that has no records yet or has not compared them with a
+/// peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Starting;
 
-/// The instance takes callers.
+/// Phase of an instance that accepts callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ready;
 
-/// The instance serves who comes, and names others.
+/// Phase of an instance that is leaving: it still serves requests, and directs
+/// callers to other instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Draining;
 
-/// No request is open and none is taken.
+/// Phase of an instance that has no open request and accepts none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stopped;
 
-/// Life cycle of an instance. Only the steps below exist, so that no code
-/// path can make a draining instance ready again or stop one that still
-/// serves.
+/// Life cycle of an instance, with the phase as a type parameter. Only the
+/// transitions below exist, so no code path can make a draining instance ready
+/// again or stop one that still serves requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Instance<P> {
     since_ms: u64,
     phase: PhantomData<P>,
 }
 
-/// What a starting instance knows.
+/// Conditions for a starting instance to become ready.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StartingFacts {
-    /// Whether every record up to some revision is held.
+    /// Whether every record up to some revision is stored.
     pub has_records: bool,
-    /// Whether a peer answered.
+    /// Whether a peer has answered.
     pub compared: bool,
     /// Whether any peer is known that could answer.
     pub knows_peers: bool,
 }
 
-/// Longest time for which a starting instance waits for a peer's records.
+/// Maximum time for which a starting instance waits for a peer's records.
 ///
-/// A list may lag behind what peers have in force; a restarted instance that
-/// served from it would accept a key that the others refuse already. Peers
-/// that are all down must not keep it from serving, hence the bound.
+/// A list may lag behind the records that peers have in force. A restarted
+/// instance that served from such a list would accept a key that the others
+/// already refuse. The wait is bounded so that peers that are all down do not
+/// keep the instance from serving.
 const MAX_COMPARE_WAIT_MS: u64 = 1_500;
 
 impl Instance<Starting> {
-    /// Returns an instance that starts.
+    /// Returns an instance in its starting phase since `now_ms`.
     pub fn starting(now_ms: u64) -> Instance<Starting> {
         Instance::entered_at(now_ms)
     }
 
-    /// Becomes ready if the facts allow it.
+    /// Becomes ready if the records are there and were compared with a peer, no
+    /// peer is known, or the wait for one has timed out.
     ///
     /// # Errors
     ///
-    /// Returns the instance unchanged if it must still wait.
+    /// Returns the instance unchanged if it has to wait longer.
     pub fn ready(
         self,
         facts: StartingFacts,
@@ -67,25 +71,26 @@
         Err(self)
     }
 
-    /// Leaves before it was ready.
+    /// Starts to drain without having been ready.
     pub fn drain(self, now_ms: u64) -> Instance<Draining> {
         Instance::entered_at(now_ms)
     }
 }
 
 impl Instance<Ready> {
-    /// Leaves.
+    /// Starts to drain.
     pub fn drain(self, now_ms: u64) -> Instance<Draining> {
         Instance::entered_at(now_ms)
     }
 }
 
 impl Instance<Draining> {
-    /// Stops if callers had time to learn of it and no request is open.
+    /// Stops if no request is open and the instance has drained for `grace_ms`,
+    /// in which callers learn of it.
     ///
     /// # Errors
     ///
-    /// Returns the instance unchanged if it must still serve.
+    /// Returns the instance unchanged if it has to serve longer.
     pub fn stop(
         self,
         open_requests: usize,
@@ -108,7 +113,7 @@
         }
     }
 
-    /// Returns since when the instance is in this phase.
+    /// Returns when the instance entered this phase.
     pub fn since_ms(&self) -> u64 {
         self.since_ms
     }
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -1,12 +1,13 @@
-/// Times of a lease.
+/// Durations of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseSettings {
-    /// Time for which a lease holds without renewal.
+    /// Time for which a lease is valid without renewal.
     pub lease_ms: u64,
-    /// Time before its end at which it is renewed.
+    /// Time before the end of the lease at which the holder renews it.
     pub renew_before_ms: u64,
-    /// Time that others wait beyond `lease_ms`, for clocks that run at
-    /// different rates and for an order that was sent just before the end.
+    /// Time beyond `lease_ms` that other instances wait before they take the
+    /// lease. It covers clocks that run at different rates and an order that
+    /// was sent just before the end.
     pub allowance_ms: u64,
 }
 
@@ -20,27 +21,27 @@
     }
 }
 
-/// Another instance may hold the lease.
+/// State in which another instance may hold the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Watching {
     version: u64,
     version_since_ms: u64,
 }
 
-/// This instance holds the lease.
+/// State in which this instance holds the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Held {
     fencing: u64,
     until_ms: u64,
 }
 
-/// A lease that one instance at a time holds, kept by conditional writes of
-/// one object.
+/// A lease that at most one instance holds at a time, based on conditional
+/// writes of one object.
 ///
-/// For the holder it runs from before the write was sent; for everyone else
-/// from after the write was seen. So it has ended for the holder before
-/// anyone else may take it, without comparing clocks. The object's version is
-/// the fencing number: it grows with every write.
+/// For the holder, the lease starts before its write is sent. For all others,
+/// it starts after they have read the write. It therefore ends for the holder
+/// before anyone else may take it, and no clocks have to be compared. The
+/// object's version is the fencing number: it grows with every write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease<S> {
     settings: LeaseSettings,
@@ -48,7 +49,7 @@
 }
 
 impl Lease<Watching> {
-    /// Returns a lease of which nothing is known yet.
+    /// Returns a lease of which no version has been read yet.
     pub fn watching(settings: LeaseSettings, now_ms: u64) -> Lease<Watching> {
         let state = Watching {
             version: u64::MAX,
@@ -57,7 +58,7 @@
         Lease { settings, state }
     }
 
-    /// Notes the version that was read, 0 if there is no object.
+    /// Records the version that was read; 0 if the object does not exist.
     pub fn observe(&mut self, version: u64, now_ms: u64) {
         if version != self.state.version {
             self.state = Watching {
@@ -67,10 +68,12 @@
         }
     }
 
-    /// Returns the version that a write must replace, if the lease is free.
+    /// Returns the version that a write must replace if the lease is free; 0 if
+    /// the object does not exist. Returns `None` if the lease is not free.
     ///
-    /// A lease that was read once may just have been renewed: it is free only
-    /// after its version stood still for its whole time.
+    /// A lease that was read for the first time may just have been renewed. It
+    /// is free only once its version has not changed for `lease_ms` and
+    /// `allowance_ms` together.
     pub fn free_version(&self, now_ms: u64) -> Option<u64> {
         let wait_ms = self.settings.lease_ms + self.settings.allowance_ms;
         let expired = now_ms.saturating_sub(self.state.version_since_ms) >= wait_ms;
@@ -78,7 +81,8 @@
             .then_some(self.state.version)
     }
 
-    /// Takes the lease by a write that was sent at `sent_ms`.
+    /// Returns the lease as held after a write that created `version`. The
+    /// lease runs from `sent_ms`, when the write was sent.
     pub fn acquired(self, version: u64, sent_ms: u64) -> Lease<Held> {
         Lease {
             settings: self.settings,
@@ -91,24 +95,26 @@
 }
 
 impl Lease<Held> {
-    /// Returns the fencing number.
+    /// Returns the fencing number of the lease.
     pub fn fencing(&self) -> u64 {
         self.state.fencing
     }
 
-    /// Returns whether the lease still holds. A holder that was paused learns
-    /// from this that it no longer is one, so it is asked right before each
-    /// act that needs the lease.
+    /// Returns whether the lease is still valid.
+    ///
+    /// A holder that was paused finds out here that its lease has ended, so
+    /// this has to be called right before each action that needs the lease.
     pub fn is_valid(&self, now_ms: u64) -> bool {
         now_ms < self.state.until_ms
     }
 
-    /// Returns whether to renew.
+    /// Returns whether the lease is due for renewal.
     pub fn needs_renewal(&self, now_ms: u64) -> bool {
         now_ms + self.settings.renew_before_ms >= self.state.until_ms
     }
 
-    /// Renews by a write that was sent at `sent_ms`.
+    /// Returns the lease as renewed by a write that created `version`. The
+    /// lease runs from `sent_ms`, when the write was sent.
     pub fn renewed(self, version: u64, sent_ms: u64) -> Lease<Held> {
         Lease {
             settings: self.settings,
@@ -119,7 +125,7 @@
         }
     }
 
-    /// Gives the lease up.
+    /// Returns the lease as no longer held, with no version read.
     pub fn lost(self, now_ms: u64) -> Lease<Watching> {
         Lease::watching(self.settings, now_ms)
     }
--- a/crates/core/src/membership/members.rs
+++ b/crates/core/src/membership/members.rs
@@ -4,22 +4,24 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Bounds of what is kept and told of other instances.
+/// Bounds on the state of other instances that is kept and sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberSettings {
-    /// Instances named in one message.
+    /// Maximum number of instances in one message.
     pub max_updates: usize,
-    /// Messages that carry a change before it counts as known. Each message
-    /// of a random pair doubles who knows, so three times the logarithm of
-    /// the fleet's size reaches everyone but for a rest that later exchanges
-    /// bring; 30 serves 1,000 instances.
+    /// Number of messages that carry a change. Each exchange with a random peer
+    /// doubles the number of instances that know of it, so three times the
+    /// binary logarithm of the fleet's size reaches all but a few, which later
+    /// exchanges reach. 30 is enough for 1,000 instances.
     pub change_transmissions: u32,
-    /// Messages that carry an instance heard of for the first time. After a
-    /// restart all are new; they must not hold up the news of a death.
+    /// Number of messages that carry an instance on its first report. After a
+    /// restart all instances are new, and they must not delay the report of a
+    /// failure.
     pub join_transmissions: u32,
-    /// Time for which an instance's own answer outweighs a suspicion.
+    /// Time for which a suspicion is rejected after the instance was last known
+    /// to be alive.
     pub fresh_ms: u64,
-    /// Time after which a suspected instance is forgotten.
+    /// Time after which a suspected instance is removed.
     pub forget_ms: u64,
 }
 
@@ -35,25 +37,28 @@
     }
 }
 
-/// Other instances, by their address towards callers.
+/// Other instances, keyed by their caller address.
 #[derive(Debug, Clone, Default)]
 pub struct Members {
     settings: MemberSettings,
     members: BTreeMap<SocketAddr, Member>,
-    /// Those that left and all were told of. One that has not heard it still
-    /// tells that they are there.
+    /// Departed instances whose departure was sent often enough. They are kept
+    /// because an instance that has not received the departure still reports
+    /// them as present.
     departed: BTreeMap<SocketAddr, Member>,
     next_index: usize,
 }
 
 impl Members {
-    /// Takes what a third instance says of one. What ranks lower than what is
-    /// known is older news and dropped. Returns whether it was news.
+    /// Merges a report of an instance by a third one. A report with a lower or
+    /// equal precedence than the stored state is dropped. Returns whether the
+    /// report was applied.
     pub fn merge_indirect(&mut self, view: &InstanceView, now_ms: u64) -> bool {
         let known = self.members.get(&view.caller_address);
         match known.or_else(|| self.departed.get(&view.caller_address)) {
-            // Told on by those who still remember it, an instance that died
-            // would never be forgotten.
+            // If suspicions of unknown instances were accepted, those that
+            // still know a dead instance would bring it back, and it would
+            // never be removed.
             None if view.suspected => return false,
             Some(known) if precedence(view) <= precedence(&known.view) => return false,
             Some(known) if view.suspected && self.is_fresh(known, now_ms) => return false,
@@ -63,16 +68,17 @@
         true
     }
 
-    /// Returns whether an instance was heard of so lately that a suspicion of
-    /// it is the suspecting one's own trouble: one that was cut off suspects
-    /// everyone, and tells so when it is back.
+    /// Returns whether an instance was alive so recently that a suspicion of it
+    /// is caused by the network of the suspecting instance. An instance that
+    /// was cut off suspects all others, and reports so once it is connected
+    /// again.
     fn is_fresh(&self, known: &Member, now_ms: u64) -> bool {
         !known.view.suspected && now_ms.saturating_sub(known.last_alive_ms) < self.settings.fresh_ms
     }
 
-    /// Takes what an instance says of itself. It counts whatever was known:
-    /// an instance whose wall clock went back would otherwise be taken for
-    /// the one before it, which is dead.
+    /// Merges the state that an instance reports of itself. It is accepted
+    /// whatever is stored: otherwise an instance whose wall clock went back
+    /// would be taken for its previous start, which is dead.
     pub fn merge_direct(&mut self, view: &InstanceView, now_ms: u64) {
         match self.members.get_mut(&view.caller_address) {
             Some(known) if known.view == *view => known.last_alive_ms = now_ms,
@@ -102,7 +108,7 @@
         self.members.insert(view.caller_address, member);
     }
 
-    /// Notes that an instance gave no answer.
+    /// Marks an instance as suspected because it did not answer.
     pub fn suspect(&mut self, address: SocketAddr, now_ms: u64) {
         let Some(member) = self.members.get(&address) else {
             return;
@@ -116,8 +122,9 @@
         }
     }
 
-    /// Returns the news for one message: changes first, the least told among
-    /// them before others, and then the others in turn.
+    /// Returns the updates for one message and counts them as sent: first the
+    /// changed instances, with those sent least often at the front, then the
+    /// others in rotation.
     pub fn next_updates(&mut self) -> Vec<InstanceView> {
         let mut changed: Vec<(u32, SocketAddr)> = self
             .members
@@ -145,13 +152,14 @@
         Some(member.view.clone())
     }
 
-    /// Returns every member.
+    /// Returns all instances, suspected and departing ones included.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Returns the number of members that answered in this time, and the
-    /// number of those known that did not say that they leave.
+    /// Returns the number of instances that were alive within the window, and
+    /// the number of known instances. Departing instances are not counted in
+    /// either.
     pub fn count_alive_within(&self, window_ms: u64, now_ms: u64) -> (usize, usize) {
         let known = self.members.values().filter(|m| !m.view.departing);
         let alive = known
@@ -160,8 +168,8 @@
         (alive.count(), known.count())
     }
 
-    /// Forgets instances that left, once all were told, and those suspected for
-    /// long.
+    /// Removes departed instances whose departure was sent often enough, and
+    /// instances that were suspected for `forget_ms`.
     pub fn forget(&mut self, now_ms: u64) {
         let forget_ms = self.settings.forget_ms;
         let is_recent = |member: &Member| {
@@ -182,7 +190,7 @@
             .extend::<BTreeMap<SocketAddr, Member>>(departed);
     }
 
-    /// Keeps only the members that the filter accepts.
+    /// Keeps only the members for which `keep` returns `true`.
     pub fn retain(&mut self, keep: impl Fn(&Member) -> bool) {
         self.members.retain(|_, member| keep(member));
     }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,11 +1,13 @@
-//! Instances: who is there, who leaves, and which of them callers use.
+//! Membership of the fleet, the life cycle of an instance, leases, and the
+//! instances that callers are directed to.
 //!
-//! Load pattern: hundreds of instances, some of which die, freeze, restart in
-//! herds or are cut off, within 4 KB a second of control traffic each. Each
-//! instance asks one other at random in each period. What is exchanged
-//! besides is a bounded number of news, changes first, so that the cost of a
-//! node does not grow with the fleet, and a death is known after a number of
-//! periods that grows with the logarithm of its size.
+//! The expected load is hundreds of instances. Some of them die, freeze,
+//! restart at the same time or are cut off, and each may use 4 KB a second for
+//! control traffic. Each instance starts one exchange with a random peer in
+//! each period. An exchange carries a bounded number of membership updates,
+//! changes first, so the cost of a node does not grow with the fleet, and a
+//! failure reaches all instances after a number of periods that grows with the
+//! logarithm of the fleet's size.
 
 mod addresses;
 mod instance;
