--- a/crates/core/src/config/delta.rs
+++ b/crates/core/src/config/delta.rs
@@ -3,19 +3,20 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What one instance sends to another that holds less or something else.
+/// Records that one instance sends to another whose digest differs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Revision from which on the entries are complete.
+    /// Revision after which the entries are complete.
     pub after: u64,
-    /// Revision up to which the entries are complete. Entries with a higher
-    /// version may be among them, and others missing.
+    /// Revision up to which the entries are complete. Some entries may have a
+    /// higher version, but the delta need not contain all of those.
     pub revision: u64,
-    /// Whether every record is among the entries, so that a record that is
-    /// missing was withdrawn. The sender knows no tombstones from before its
-    /// own first list; an asker from before it needs the whole.
+    /// Whether the delta contains every record, so that a missing record was
+    /// withdrawn. The sender has no tombstones from before its own first list,
+    /// so an instance whose revision is older than that list needs the full
+    /// set.
     #[serde(rename = "whole")]
     pub is_full: bool,
-    /// Records, withdrawn ones included.
+    /// Records, including tombstones of withdrawn ones.
     pub entries: Vec<ConfigEntry>,
 }
--- a/crates/core/src/config/entry.rs
+++ b/crates/core/src/config/entry.rs
@@ -3,37 +3,39 @@
     crate::record::{Kind, Record, RecordError, parse},
 };
 
-/// What an instance knows of one record.
+/// State of one record at an instance.
 ///
-/// An entry is the join of every write seen: the newest write, and below a
-/// refused one the newest that could be read. A join gives the same result in
-/// whatever order writes come and however often, so all instances that saw
-/// the same writes have the same record in force.
+/// An entry is the join of all writes that the instance has received: the
+/// newest write and, if that one was refused, the newest readable one. The
+/// result does not depend on the order of the writes or on duplicates, so all
+/// instances that received the same writes have the same record in force.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// Version of the newest write seen, readable or not.
+    /// Version of the newest write received, readable or not.
     pub version: u64,
-    /// JSON text of that write, kept for peers; none if withdrawn.
+    /// JSON text of the newest write, kept for peers; `None` if the record is
+    /// withdrawn.
     pub body: Option<String>,
-    /// What is in force.
+    /// What of the record is in force.
     pub state: EntryState,
-    /// The newest readable write or withdrawal below a refused one.
+    /// The newest readable write or withdrawal, if the newest write was
+    /// refused.
     pub last_readable: Option<Write>,
 }
 
 /// What of a record is in force.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EntryState {
-    /// The newest write.
+    /// The newest write is in force.
     InForce(Record),
-    /// The record was withdrawn; the tombstone stays, so that an older write
-    /// that comes late is known to be older.
+    /// The record was withdrawn. The tombstone stays, so that an older write
+    /// that arrives late is recognized as older.
     Withdrawn,
-    /// The newest write was refused. What was readable last stays in force.
+    /// The newest write was refused. The last readable write stays in force.
     Refused {
-        /// Why, and what would mend it.
+        /// Why the write was refused, and what would correct it.
         error: RecordError,
-        /// The last readable write, unless there was none.
+        /// The record in force; `None` if no earlier write was readable.
         last_readable: Option<Record>,
     },
 }
@@ -50,7 +52,7 @@
 }
 
 impl Entry {
-    /// Returns the entry of a record's first write.
+    /// Returns the entry for the first write of a record.
     pub(super) fn first(kind: Kind, version: u64, body: Option<&str>) -> Entry {
         Entry {
             version,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Returns the version of what is in force, 0 if nothing ever was.
+    /// Returns the version of the write in force; 0 if there never was one.
     pub fn version_in_force(&self) -> u64 {
         match &self.state {
             EntryState::Refused { .. } => self.last_readable.as_ref().map_or(0, |w| w.version),
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Joins one more write.
+    /// Merges one more write or withdrawal.
     pub(super) fn join(&mut self, kind: Kind, version: u64, body: Option<&str>) -> MergeOutcome {
         if version > self.version {
             return self.supersede(Entry::first(kind, version, body));
@@ -79,7 +81,8 @@
         self.merge_older_readable(Entry::first(kind, version, body))
     }
 
-    /// Takes a newer write. Below a refused one, what was in force stays.
+    /// Replaces the entry by a newer write. If that one is refused, the record
+    /// in force stays in force.
     fn supersede(&mut self, newer: Entry) -> MergeOutcome {
         let older = std::mem::replace(self, newer);
         let EntryState::Refused { last_readable, .. } = &mut self.state else {
@@ -96,7 +99,8 @@
         MergeOutcome::Refused
     }
 
-    /// Takes a readable write that is older than the refused one.
+    /// Merges a readable write that is older than the refused one and newer
+    /// than the record in force.
     fn merge_older_readable(&mut self, older: Entry) -> MergeOutcome {
         let EntryState::Refused { last_readable, .. } = &mut self.state else {
             return MergeOutcome::Stale;
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,9 +1,9 @@
 //! The configuration that one instance has in force.
 //!
-//! Load pattern: 670 changes a day over a few thousand records, read by
-//! every request. Entries are merged by version alone, whatever brought
-//! them, so a lagging list, an old peer or a replayed watch can't bring an
-//! older record back.
+//! The expected load is 670 changes a day over a few thousand records, which
+//! every request reads. Entries are merged by version alone, whatever their
+//! source, so a lagging list, an outdated peer or a replayed watch cannot
+//! restore an older record.
 
 mod delta;
 mod digest;
--- a/crates/core/src/config/store.rs
+++ b/crates/core/src/config/store.rs
@@ -8,16 +8,16 @@
     std::collections::{BTreeMap, HashSet},
 };
 
-/// What a merge did.
+/// Result of a merge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The write was newer and is in force.
+    /// The write was merged and is in force.
     Applied,
-    /// The write was newer and was refused; the record before it stays.
+    /// The write was newer and was refused; the earlier record stays in force.
     Refused,
-    /// The write was not newer than what is held.
+    /// The write was not newer than the stored one.
     Stale,
-    /// The object is no record.
+    /// The kind of the object is not that of a record.
     Ignored,
 }
 
@@ -31,32 +31,32 @@
 }
 
 impl Store {
-    /// Returns the revision up to which every record is held.
+    /// Returns the revision up to which every record is stored.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns every entry, in the order of kind and name.
+    /// Returns every entry, ordered by kind and name.
     pub fn entries(&self) -> impl Iterator<Item = (Kind, &str, &Entry)> {
         self.entries.iter().map(|((k, n), e)| (*k, n.as_str(), e))
     }
 
-    /// Returns one entry.
+    /// Returns the entry of a record; `None` if no write of it was merged.
     pub fn entry(&self, kind: Kind, name: &str) -> Option<&Entry> {
         self.entries.get(&(kind, name.to_owned()))
     }
 
-    /// Merges one write, given as JSON text, or a withdrawal.
+    /// Merges one write, given as JSON text, or a withdrawal (`None`).
     ///
-    /// Only a higher version than the one held is taken. A replayed watch, a
-    /// lagging list or an old peer would otherwise bring a withdrawn key
-    /// back; versions are given by the platform alone, so comparing them is
-    /// enough.
+    /// Only a higher version than the stored one is merged, since a replayed
+    /// watch, a lagging list or an outdated peer could otherwise restore a
+    /// withdrawn key. Versions are assigned by the platform alone, so comparing
+    /// them is enough.
     ///
-    /// Of a record that is not held, or held as withdrawn, only a write after
-    /// the own revision is taken: the store is complete up to that revision,
-    /// so an older write was withdrawn since. Its version alone would not
-    /// show it, because a list brings no tombstones.
+    /// For a record that is not stored, or stored as withdrawn, only a write
+    /// after the store's own revision is merged. The store is complete up to
+    /// that revision, so the record of an older write was withdrawn since. The
+    /// version alone would not show this, because a list has no tombstones.
     pub fn merge(
         &mut self,
         kind: &str,
@@ -95,8 +95,9 @@
             _ => MergeOutcome::Applied,
         };
         if outcome == MergeOutcome::Refused && floor > 0 {
-            // The record did not exist at the floor. Without this note a peer's
-            // last readable write from before would count as in force.
+            // The record did not exist at the floor. Without this entry, a
+            // peer's last readable write from before it would count as in
+            // force.
             entry.last_readable = Some(Write {
                 version: floor,
                 body: None,
@@ -107,7 +108,7 @@
         outcome
     }
 
-    /// Merges one change that a watch reported.
+    /// Merges one change from a watch.
     pub fn merge_change(&mut self, change: &Change) -> MergeOutcome {
         match change {
             Change::Put(object) => self.merge(
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Merges a watch's answer, which was asked for after a revision that
-    /// this store had. Returns how many records were refused.
+    /// Merges the answer to a watch that started at a revision this store had.
+    /// Returns the number of refused records.
     pub fn merge_watch(&mut self, reply: &WatchReply) -> usize {
         let refused = reply
             .changes
@@ -132,11 +133,11 @@
         refused
     }
 
-    /// Merges a complete list, and returns how many records it changed.
+    /// Merges a complete list and returns the number of records that changed.
     ///
-    /// A list older than the own revision brings nothing: it is a lagging
-    /// one, and what it shows beyond the store was withdrawn since. In any
-    /// other, a record that is missing was withdrawn.
+    /// A list that is older than the store's own revision is ignored: it lags,
+    /// and records that only the list has were withdrawn since. For any other
+    /// list, a record that is missing was withdrawn.
     pub fn merge_list(&mut self, list: &ListReply) -> usize {
         if list.revision < self.revision {
             return 0;
@@ -153,11 +154,12 @@
         changed + self.adopt_full(list.revision, &seen)
     }
 
-    /// Takes the revision of a whole, and withdraws what the whole lacks.
+    /// Adopts the revision of a full set of records and withdraws the stored
+    /// records that are missing in it. Returns the number of withdrawn records.
     ///
-    /// The tombstone gets the whole's revision as its version. The withdrawal
-    /// came at or before it, so every write up to it is older than the
-    /// withdrawal, and every later write is newer.
+    /// The tombstone gets the revision of the full set as its version. The
+    /// withdrawal happened at or before that revision, so every write up to it
+    /// is older than the withdrawal, and every later write is newer.
     fn adopt_full(&mut self, revision: u64, seen: &HashSet<(&str, &str)>) -> usize {
         let mut changed = 0;
         for ((kind, name), entry) in &mut self.entries {
@@ -175,12 +177,12 @@
         changed
     }
 
-    /// Notes that every write up to the revision has been merged.
+    /// Raises the revision after all writes up to it have been merged.
     pub fn advance(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Merges a record that a peer holds.
+    /// Merges a record of a peer.
     pub fn merge_peer(&mut self, entry: &ConfigEntry) -> MergeOutcome {
         self.merge_peer_above(self.revision, entry)
     }
@@ -198,19 +200,21 @@
         }
     }
 
-    /// Merges what a peer sent, and returns how many records it changed.
+    /// Merges the delta of a peer and returns the number of records that
+    /// changed.
     ///
-    /// The peer's revision is taken only where its entries join without a gap
-    /// onto what is held. Taking it in any other case would skip the writes
-    /// in the gap for good, because the next watch starts behind it.
+    /// The peer's revision is adopted only if the entries leave no gap after
+    /// the store's own revision. Otherwise the writes in the gap would be lost
+    /// for good, because the next watch starts after the adopted revision.
     pub fn merge_delta(&mut self, delta: &Delta) -> usize {
         let is_full = delta.is_full && delta.revision >= self.revision;
         let floor = if is_full { 0 } else { self.revision };
         let mut changed = 0;
         let mut seen = HashSet::new();
         for entry in &delta.entries {
-            // A tombstone in a whole may be older than the write held here: the
-            // sender did not see a rewrite and its withdrawal between two lists.
+            // A tombstone in a full delta may be older than the write stored
+            // here, if the sender did not see a rewrite and its withdrawal
+            // between two lists.
             if entry.body.is_some() {
                 seen.insert((entry.kind.as_str(), entry.name.as_str()));
             }
@@ -226,7 +230,7 @@
         changed
     }
 
-    /// Returns the digest of what is held.
+    /// Returns the digest of the stored records.
     pub fn digest(&self) -> Digest {
         Digest {
             revision: self.revision,
@@ -234,8 +238,8 @@
         }
     }
 
-    /// Returns what the holder of a digest may lack; nothing if it holds the
-    /// same.
+    /// Returns the records that the instance with this digest may lack; no
+    /// entries if the digests are equal.
     pub fn delta_for(&self, digest: &Digest) -> Delta {
         let is_full = digest.revision < self.tombstones_since;
         let mut delta = Delta {
@@ -258,8 +262,9 @@
     }
 }
 
-/// Hash of one entry; 0 for a withdrawn one. The digest joins them by
-/// exclusive or, so that a change costs one hash and not one a record.
+/// Returns the hash of one entry; 0 for a withdrawn one. The digest combines
+/// the hashes by XOR, so a change costs one hash instead of one for each
+/// record.
 fn entry_hash(kind: Kind, name: &str, entry: &Entry) -> u64 {
     if entry.state == EntryState::Withdrawn {
         return 0;
--- a/crates/core/src/config/view.rs
+++ b/crates/core/src/config/view.rs
@@ -7,63 +7,64 @@
     },
 };
 
-/// A serving engine as requests see it.
+/// An engine, with the fields that requests need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineRecord {
     /// Name of the record.
     pub name: String,
-    /// Address.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// Failure domain.
+    /// Failure domain of the engine.
     pub failure_domain: String,
-    /// Model.
+    /// Name of the model that the engine serves.
     pub model: String,
-    /// Whether the engine refuses old fencing numbers.
+    /// Whether the engine rejects orders with an outdated fencing number.
     pub checks_fencing: bool,
-    /// Whether it gets no new work.
+    /// Whether the engine is leaving and gets no new requests.
     pub departing: bool,
 }
 
-/// A plain service as requests see it.
+/// A plain service, with the fields that requests need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceRecord {
     /// Name of the record.
     pub name: String,
-    /// Address.
+    /// Address of the service.
     pub address: SocketAddr,
-    /// Failure domain.
+    /// Failure domain of the service.
     pub failure_domain: String,
-    /// Name under which callers reach it.
+    /// Name under which callers reach the service.
     pub service: String,
     /// Whether calls may be repeated.
     pub repeatable: bool,
-    /// Whether it gets no new work.
+    /// Whether the service is leaving and gets no new requests.
     pub departing: bool,
 }
 
-/// The records in force, arranged for requests. It is built at each change
-/// and shared unchanged between them.
+/// The records in force, indexed for requests. A view is built after each
+/// change and not modified afterwards.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     /// Revision up to which the view is complete.
     pub revision: u64,
     /// Teams by name.
     pub teams: BTreeMap<String, Team>,
-    /// Rates by team.
+    /// Rates by name of the team.
     pub rates: BTreeMap<String, Rate>,
     /// Models by name.
     pub models: BTreeMap<String, Model>,
     /// Engines by name.
     pub engines: BTreeMap<String, EngineRecord>,
-    /// Services by name of record.
+    /// Services by name of the record.
     pub services: BTreeMap<String, ServiceRecord>,
-    /// Engines that get no new work while their weights change.
+    /// Names of the engines that get no new requests while their weights
+    /// change.
     pub draining: BTreeSet<String>,
     keys: BTreeMap<String, String>,
 }
 
 impl View {
-    /// Builds the view of a store.
+    /// Builds the view of the records that a store has in force.
     pub fn of(store: &Store) -> View {
         let mut view = View {
             revision: store.revision(),
@@ -131,23 +132,25 @@
         }
     }
 
-    /// Returns the engines that get no new work.
+    /// Returns the names of the engines that get no new requests: departing and
+    /// draining ones.
     pub fn closed_engines(&self) -> impl Iterator<Item = String> {
         let departing = self.engines.values().filter(|e| e.departing);
         let departing = departing.map(|e| e.name.clone());
         departing.chain(self.draining.iter().cloned())
     }
 
-    /// Returns the team that a key authenticates, if the team exists.
+    /// Returns the team that a key authenticates; `None` if the key or the team
+    /// does not exist.
     pub fn team_of_key(&self, key: &str) -> Option<&str> {
         self.team_of_digest(&digest_of(key))
     }
 
-    /// Returns the team that the key with this digest authenticates, if the
-    /// team exists.
+    /// Returns the team that the key with this digest authenticates; `None` if
+    /// the key or the team does not exist.
     pub fn team_of_digest(&self, digest: &str) -> Option<&str> {
-        // Looking up a digest leaks nothing of use through its timing: a caller
-        // can't choose the digits of a hash.
+        // The lookup need not run in constant time: a caller cannot choose the
+        // digits of a hash, so the timing reveals nothing useful.
         let team = self.keys.get(digest)?;
         self.teams.contains_key(team).then_some(team.as_str())
     }
