--- a/crates/core/src/peer/message.rs
+++ b/crates/core/src/peer/message.rs
@@ -10,37 +10,38 @@
 /// A request to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Exchange of state. The answer is [`PeerReply::Exchange`].
+    /// Exchanges state. The answer is [`PeerReply::Exchange`].
     Exchange {
-        /// The sender, as it sees itself.
+        /// State of the sender, as it reports itself.
         from: InstanceView,
-        /// Records that the sender holds, in a constant size.
+        /// Digest of the sender's records; its size is constant.
         digest: Digest,
-        /// News of other instances, a bounded number.
+        /// Membership updates of other instances, bounded in number.
         #[serde(rename = "news")]
         updates: Vec<InstanceView>,
         /// Crashes charged to requests.
         crashes: Vec<CrashSight>,
     },
-    /// Asks for tokens of a team's rate. The answer is
-    /// [`PeerReply::Granted`]; the giver has already deducted them.
+    /// Asks for tokens of a team's rate. The answer is [`PeerReply::Granted`],
+    /// and the granting peer has already deducted the tokens.
     Grant {
-        /// Team.
+        /// Name of the team.
         team: String,
-        /// Tokens needed.
+        /// Number of tokens needed.
         tokens: u64,
     },
-    /// Gives unused tokens of a grant back. The answer is
-    /// [`PeerReply::Granted`] with no tokens.
+    /// Refunds unused tokens of a grant. The answer is [`PeerReply::Granted`]
+    /// with no tokens.
     GiveBack {
-        /// Team.
+        /// Name of the team.
         team: String,
-        /// Number that the grant came with.
+        /// Grant ID, as in [`PeerReply::Granted`].
         part: u64,
-        /// Tokens that were not used.
+        /// Number of unused tokens.
         tokens: u64,
     },
-    /// Tells of crashes at once. The answer is [`PeerReply::Crashes`].
+    /// Reports crashes without waiting for the next exchange. The answer is
+    /// [`PeerReply::Crashes`].
     Crashes {
         /// Crashes charged to requests.
         crashes: Vec<CrashSight>,
@@ -50,67 +51,69 @@
 /// An answer of a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// The peer's side of an exchange.
+    /// Answer to [`PeerRequest::Exchange`].
     Exchange {
-        /// The answering instance, as it sees itself.
+        /// State of the answering instance, as it reports itself.
         from: InstanceView,
-        /// News of other instances, a bounded number.
+        /// Membership updates of other instances, bounded in number.
         #[serde(rename = "news")]
         updates: Vec<InstanceView>,
-        /// Records that the asker may lack.
+        /// Records that the requesting instance may lack.
         delta: Delta,
         /// Crashes charged to requests.
         crashes: Vec<CrashSight>,
     },
-    /// Tokens granted.
+    /// Answer to [`PeerRequest::Grant`] and [`PeerRequest::GiveBack`].
     Granted {
-        /// Tokens, to be spent at once: all that were asked for, or none.
+        /// Granted tokens, which may be spent at once: all that were asked for,
+        /// or none.
         tokens: u64,
-        /// Tokens that are left.
+        /// Tokens that the granting peer has left.
         left_tokens: u64,
-        /// Number under which unused tokens may come back.
+        /// Grant ID under which unused tokens can be refunded.
         part: u64,
     },
-    /// The request can't be read by this version.
+    /// This version cannot decode the request.
     Unsupported,
-    /// What the peer knows of crashes.
+    /// Answer to [`PeerRequest::Crashes`], with the crashes that the peer
+    /// knows.
     Crashes {
         /// Crashes charged to requests.
         crashes: Vec<CrashSight>,
     },
 }
 
-/// A record's state as peers exchange it.
+/// State of a record as peers exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigEntry {
-    /// Kind of record, or of the system's own object.
+    /// Kind of the record, or of the system's own object.
     pub kind: String,
-    /// Name of record.
+    /// Name of the record.
     pub name: String,
-    /// Version on the platform.
+    /// Version that the platform assigned.
     pub version: u64,
-    /// JSON text of the body; none if the record is withdrawn.
+    /// JSON text of the body; `None` if the record is withdrawn.
     pub body: Option<String>,
-    /// The newest readable write below an unreadable one.
+    /// The newest readable write, if the newest write is not readable.
     #[serde(rename = "last")]
     pub last_readable: Option<Write>,
 }
 
-/// An instance as peers see it.
+/// State of an instance as exchanged between peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceView {
-    /// Address towards callers; it names the instance.
+    /// Address for callers; it identifies the instance.
     pub caller_address: SocketAddr,
-    /// Address towards peers.
+    /// Address for peers.
     pub peer_address: SocketAddr,
     /// Number drawn at start; a later start has a higher one.
     pub incarnation: u64,
-    /// Counter that only the instance itself raises, to state that what
-    /// others said of it is out of date.
+    /// Counter that only the instance itself raises, to override outdated
+    /// reports of it by others.
     pub heartbeat: u64,
-    /// Failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: String,
-    /// Whether the instance takes new callers.
+    /// Whether the instance accepts new callers.
     pub ready: bool,
     /// Whether the instance is leaving.
     pub departing: bool,
--- a/crates/core/src/peer/mod.rs
+++ b/crates/core/src/peer/mod.rs
@@ -4,6 +4,6 @@
 
 pub use message::{ConfigEntry, InstanceView, PeerReply, PeerRequest};
 
-/// Version of the protocol. A peer answers an unknown version with
+/// Version of the protocol. A peer answers a message of an unknown version with
 /// [`PeerReply::Unsupported`].
 pub const PROTOCOL: u8 = 1;
