--- a/crates/core/tests/config_never_reverts.rs
+++ b/crates/core/tests/config_never_reverts.rs
@@ -1,5 +1,6 @@
-//! Writes, withdrawals, lagging lists, cut and replayed watches, old peers,
-//! restarts: whatever the order, no instance goes back.
+//! No instance reverts to an older record, in whatever order it receives
+//! writes, withdrawals, lagging lists, truncated and replayed watches, deltas
+//! of outdated peers and restarts.
 
 use {
     mangowalk_core::{
@@ -86,8 +87,8 @@
         });
     }
 
-    /// The last write of a record at a revision: its version, and whether it
-    /// is live.
+    /// Returns the version of the last write of a record up to a revision, and
+    /// whether the record existed after it.
     fn last_write(&self, name: usize, revision: u64) -> Option<(u64, bool)> {
         let prefix = &self.log[..revision as usize];
         prefix.iter().rev().find_map(|change| match change {
@@ -164,19 +165,25 @@
             .map_or(0, |e| e.version_in_force())
     }
 
-    /// What a store states to be complete up to must be so: no write up to
-    /// its revision is missing, and nothing withdrawn by then is still held.
+    /// Checks that a store is complete up to its revision: no write is missing,
+    /// and no record that was withdrawn by then is still stored.
     fn check_complete(&self, instance: usize) -> Result<(), TestCaseError> {
         let store = &self.stores[instance];
         for name in 0..NAMES {
             let held = store.entry(Kind::Team, &name_of(name));
             match self.last_write(name, store.revision()) {
                 Some((version, true)) => {
-                    prop_assert!(held.is_some_and(|e| e.version >= version), "missing");
+                    prop_assert!(
+                        held.is_some_and(|e| e.version >= version),
+                        "a write up to the revision is missing"
+                    );
                 }
                 Some((version, false)) => {
                     let live = held.filter(|e| e.body.is_some());
-                    prop_assert!(live.is_none_or(|e| e.version > version), "still held");
+                    prop_assert!(
+                        live.is_none_or(|e| e.version > version),
+                        "a withdrawn record is still stored"
+                    );
                 }
                 None => {}
             }
@@ -203,9 +210,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: ProptestConfig::default().cases.max(4_000), ..ProptestConfig::default() })]
 
-    /// A caller with a withdrawn key is refused by every instance that once
-    /// refused it, and every instance ends with the same records. What
-    /// decides is the platform's version alone, whatever brought the write.
+    /// A withdrawn key must not work again at an instance that has refused it,
+    /// and all instances must end with the same records. Only the platform's
+    /// version decides, whatever the source of the write.
     #[test]
     fn no_instance_reverts_and_all_converge(ops in prop::collection::vec(op(), 1..40)) {
         let mut simulation = simulation();
@@ -218,13 +225,14 @@
                 simulation.check_complete(instance)?;
                 let restarted = matches!(op, Op::Restart { instance: restarted } if *restarted == instance);
                 for (name, before) in before.iter().enumerate() {
-                    prop_assert!(restarted || simulation.in_force(instance, name) >= *before, "went back");
+                    prop_assert!(restarted || simulation.in_force(instance, name) >= *before, "reverted to an older write");
                 }
             }
         }
         let list = simulation.list(simulation.revision());
         simulation.stores[0].merge_list(&list);
-        // Twice, so that what the first learns last goes round.
+        // Two rounds, so that what the first instance receives last reaches the
+        // others.
         for (instance, peer) in [(1, 0), (2, 1), (0, 2), (1, 0), (2, 1), (0, 2)] {
             let delta = simulation.delta_from(instance, peer);
             simulation.stores[instance].merge_delta(&delta);
@@ -233,9 +241,9 @@
     }
 }
 
-/// An instance that listed after a withdrawal knows no tombstone. A peer
-/// whose watch is stuck still holds the key and asks for what is newer. Sent
-/// only newer entries, it would take over the revision and keep the key.
+/// An instance that listed after a withdrawal has no tombstone for it. A peer
+/// whose watch is stuck still has the key and asks for newer records. If it
+/// received only newer entries, it would adopt the revision and keep the key.
 #[test]
 fn a_peer_older_than_a_withdrawal_receives_a_full_delta() {
     let mut simulation = simulation();
@@ -259,8 +267,9 @@
     assert!(!View::of(&simulation.stores[0]).teams.contains_key("team-0"));
 }
 
-/// A key was withdrawn before this instance's first list, and a replayed
-/// watch brings its old write. Taken as new, the key would work again.
+/// A key was withdrawn before an instance's first list, and a replayed watch
+/// delivers the old write. If the write was taken for a new one, the key would
+/// work again.
 #[test]
 fn a_replayed_write_before_the_own_revision_is_rejected() {
     let mut simulation = simulation();
@@ -277,9 +286,9 @@
     assert!(!View::of(&simulation.stores[1]).teams.contains_key("team-0"));
 }
 
-/// A key was withdrawn before this instance's first list. It is written again
-/// in a form that this build can't read, and a peer that missed the
-/// withdrawal sends the last form it could read. Taken as in force, the
+/// A key was withdrawn before an instance's first list. It was written again in
+/// a form that this build cannot read, and a peer that missed the withdrawal
+/// sends the last write that it could read. If that write came into force, the
 /// withdrawn key would work again.
 #[test]
 fn a_last_readable_write_from_before_a_withdrawal_is_not_in_force() {
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -1,4 +1,4 @@
-//! One holder at a time, whatever is paused or lost.
+//! The lease has at most one holder, whatever is paused or lost.
 
 use {
     mangowalk_core::membership::{Held, Lease, LeaseSettings, Watching},
@@ -7,7 +7,7 @@
 
 const INSTANCES: usize = 3;
 
-/// What happens to a write of the lease.
+/// What happens to the reply to a write of the lease.
 #[derive(Debug, Clone, Copy)]
 enum Reply {
     Received,
@@ -16,9 +16,10 @@
 
 #[derive(Debug, Clone)]
 enum Op {
-    /// Time passes, up to more than a lease.
+    /// Time passes, up to more than the duration of a lease.
     Wait { ms: u64 },
-    /// A keeper acts: it was paused between its look and its write.
+    /// An instance acts, and is paused after its write, before it reads the
+    /// reply.
     Act {
         index: usize,
         pause_ms: u64,
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Writes if the version is the expected one, and pauses before the reply
-    /// is read.
+    /// Writes if the stored version is the expected one. The pause comes before
+    /// the reply is read.
     fn write(&mut self, expected: u64, pause_ms: u64, reply: Reply) -> Option<u64> {
         let matches_version = expected == self.version;
         self.version += u64::from(matches_version);
@@ -97,9 +98,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: ProptestConfig::default().cases.max(4_000), ..ProptestConfig::default() })]
 
-    /// An engine that ignores fencing numbers follows whoever orders. Two
-    /// holders at once would order it two versions; and a later holder must
-    /// have the higher number, for the engines that check.
+    /// Two holders at the same time could order two versions at an engine that
+    /// ignores fencing numbers. For engines that check them, a later holder
+    /// must have a higher number.
     #[test]
     fn at_most_one_holder_and_growing_fencing_numbers(ops in prop::collection::vec(op(), 1..60)) {
         let watching = Lease::watching(LeaseSettings::default(), 0);
@@ -115,9 +116,9 @@
                 Op::Act { index, pause_ms, reply } => simulation.act(index, pause_ms, reply),
             }
             let valid_fencing = simulation.valid_fencing();
-            prop_assert!(valid_fencing.len() <= 1, "{} holders", valid_fencing.len());
+            prop_assert!(valid_fencing.len() <= 1, "{} holders at the same time", valid_fencing.len());
             if let Some(fencing) = valid_fencing.first() {
-                prop_assert!(*fencing >= highest, "the number fell");
+                prop_assert!(*fencing >= highest, "the fencing number decreased");
                 highest = *fencing;
             }
         }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,5 @@
-//! A fleet in memory: what exchanges cost a node, and how fast news travel.
+//! Membership in a simulated fleet: the cost of exchanges for a node, and the
+//! time that updates take to reach all nodes.
 
 use {
     mangowalk_core::{
@@ -110,7 +111,9 @@
             updates: updates.clone(),
             crashes: Vec::new(),
         };
-        let bytes = postcard::to_stdvec(&request).expect("a message").len();
+        let bytes = postcard::to_stdvec(&request)
+            .expect("a message is encoded")
+            .len();
         self.nodes[index].bytes += bytes;
         if !self.nodes[peer].alive {
             let address = view(peer).caller_address;
@@ -126,7 +129,9 @@
             delta: self.nodes[peer].store.delta_for(&digest),
             crashes: Vec::new(),
         };
-        let bytes = postcard::to_stdvec(&reply).expect("a message").len();
+        let bytes = postcard::to_stdvec(&reply)
+            .expect("a message is encoded")
+            .len();
         self.nodes[peer].bytes += bytes;
         self.nodes[index].bytes += bytes;
         if let PeerReply::Exchange {
@@ -160,12 +165,14 @@
                 return round;
             }
         }
-        panic!("the news did not reach everyone")
+        panic!("an update did not reach all nodes within 199 rounds")
     }
 }
 
-/// Prints, for each size of fleet, what a node at rest sends and receives, and
-/// how many rounds of half a second news take.
+/// Returns a table with one line for each fleet size: the bytes a second that a
+/// node sends and receives while nothing changes, and the number of rounds that
+/// a failure and a change of the configuration take to reach all nodes. A round
+/// takes half a second.
 fn table() -> String {
     let mut lines = vec!["nodes  bytes/s  death  change".to_owned()];
     for size in [7, 50, 150, 350] {
@@ -197,16 +204,17 @@
     lines.join("\n")
 }
 
-/// What a node spends does not grow with the fleet, and stays under its
-/// 4 KB a second; what takes longer in a larger fleet is news, by a round or
-/// two each time it doubles.
+/// The control traffic of a node must not grow with the fleet and must stay
+/// under 4 KB a second. In a larger fleet, updates take longer instead: a round
+/// or two more each time the fleet doubles.
 #[test]
 fn the_cost_of_a_node_does_not_grow_with_the_fleet() {
     insta::assert_snapshot!(table());
 }
 
-/// An instance that was cut off suspects everyone, and tells so. Those who
-/// heard from the suspected ones a moment ago don't believe it.
+/// An instance that was cut off suspects all others and reports so when it is
+/// connected again. Instances that received a sign of life from the suspected
+/// one within the last second must drop the suspicion.
 #[test]
 fn a_suspicion_of_a_recently_alive_instance_is_dropped() {
     let mut members = Members::default();
@@ -224,12 +232,13 @@
     assert!(members.merge_indirect(&refuted, 5_500));
     assert!(
         !members.merge_indirect(&suspicion, 60_000),
-        "older than the refutation"
+        "the suspicion is older than the refutation"
     );
 }
 
-/// Seven instances restart at once and one is ready. Callers are told of it
-/// alone, for a moment only, so that they spread when the others are ready.
+/// Seven instances restart at once and one is ready. The answer names this one
+/// alone and must have a short time to live, so that callers spread once the
+/// others are ready.
 #[test]
 fn answers_expire_soon_while_most_instances_start() {
     let mut instances: Vec<InstanceView> = (0..7).map(view).collect();
@@ -247,8 +256,8 @@
     assert_eq!(answer_ttl_ms(&settings, &instances), settings.ttl_ms);
 }
 
-/// Every failure domain but the caller's is named last, and one address of
-/// another domain is always among the eight.
+/// Callers must try their own failure domain first, and the last of the eight
+/// addresses must be of another domain for failover.
 #[test]
 fn addresses_start_with_the_own_failure_domain_and_end_with_another() {
     let instances: Vec<InstanceView> = (0..120).map(view).collect();
@@ -258,8 +267,8 @@
     assert_eq!(order, [true, true, true, true, true, true, true, false]);
 }
 
-/// Guards against an instance that left and is told of as well by one that has not
-/// heard of it for long.
+/// After an instance has left, an instance that has not received the departure
+/// may still report it as present. Such a report must not restore it.
 #[test]
 fn a_departed_instance_is_not_restored_by_an_older_report() {
     let mut members = Members::default();
@@ -281,6 +290,6 @@
     };
     assert!(
         members.merge_indirect(&restarted, 62_000),
-        "it started again"
+        "a later incarnation is accepted"
     );
 }
