--- a/crates/gateway/src/mesh/exchange.rs
+++ b/crates/gateway/src/mesh/exchange.rs
@@ -11,22 +11,23 @@
     tokio::{net::UdpSocket, time::sleep},
 };
 
-/// Longest heartbeat that is read.
+/// Maximum size of a datagram that is read.
 const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 
-/// Peers named in a heartbeat, others in each, so that new ones are found by all.
+/// Peers named in one heartbeat. Each heartbeat names different ones, so that
+/// all instances discover a new peer.
 const PEERS_PER_HEARTBEAT: usize = 4;
 
-/// Opens the socket on which peers are heard.
+/// Binds the socket on which heartbeats are received.
 ///
 /// # Errors
 ///
-/// Fails where the address is in use.
+/// Fails if the address is in use.
 pub async fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::bind(address).await
 }
 
-/// Sends heartbeats and listens to those of peers.
+/// Sends heartbeats to peers and receives theirs; never returns.
 pub async fn exchange(instance: Rc<Instance>, socket: UdpSocket) {
     let sequence = Cell::new(0_u64);
     tokio::join!(
@@ -39,7 +40,7 @@
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok(length) = socket.recv(&mut buffer).await else {
-            // A port without a listener at the other end is told here too.
+            // Also reports that nothing listens at the port of a peer.
             continue;
         };
         match postcard::from_bytes::<MeshMessage>(&buffer[..length]) {
@@ -54,7 +55,8 @@
     }
 }
 
-/// Passes a heartbeat from another failure domain on within this one.
+/// Relays a heartbeat from another failure domain to the peers of the own
+/// domain.
 fn relay(instance: &Instance, socket: &UdpSocket, heartbeat: &Heartbeat) {
     let Some(bytes) = encode(Delivery::Relayed, heartbeat.clone()) else {
         return;
@@ -65,8 +67,8 @@
     }
 }
 
-/// Sends a datagram without waiting. One that doesn't fit the socket's buffer is
-/// lost like any other, and the next heartbeat makes up for it.
+/// Sends a datagram without waiting. One that does not fit the socket's buffer
+/// is lost like any other, and the next heartbeat makes up for it.
 fn send_datagram(socket: &UdpSocket, bytes: &[u8], peer: SocketAddr) {
     if let Err(error) = socket.try_send_to(bytes, peer) {
         log::debug!("event=heartbeat_lost peer={peer} error=\"{error}\"");
