--- a/crates/gateway/src/store/backoff.rs
+++ b/crates/gateway/src/store/backoff.rs
@@ -1,11 +1,11 @@
 use {std::time::Duration, tokio::time::sleep};
 
-/// First and longest pause after a call that failed. Spread at random, so
-/// that a herd that starts together doesn't call together.
+/// First and maximum delay after a failed call. The delays are jittered, so
+/// that instances that start at the same time do not call at the same time.
 const INITIAL_MS: u64 = 100;
 const MAX_MS: u64 = 800;
 
-/// Pauses between calls that fail, each longer than the one before.
+/// Exponential backoff with jitter between failed calls.
 pub(super) struct Backoff {
     next_ms: u64,
 }
@@ -19,7 +19,8 @@
 }
 
 impl Backoff {
-    /// Waits before the next call.
+    /// Waits before the next call and doubles the delay after it, up to the
+    /// maximum.
     pub(super) async fn wait(&mut self) {
         let jittered_ms = self.next_ms / 2 + rand::random_range(0..self.next_ms);
         self.next_ms = (self.next_ms * 2).min(MAX_MS);
--- a/crates/gateway/src/store/client.rs
+++ b/crates/gateway/src/store/client.rs
@@ -9,37 +9,38 @@
     tokio::{net::TcpStream, time::timeout},
 };
 
-/// Longest answer that is read. A list's page is at most about a megabyte.
+/// Maximum size of a response body. A page of a list is about a megabyte at
+/// most.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Connections kept for further calls.
+/// Maximum number of idle connections kept for further calls.
 const MAX_IDLE_CONNECTIONS: usize = 2;
 
-/// Why a call has no answer.
+/// Reason why a call got no response.
 #[derive(Debug, Display, Error)]
 pub enum CallError {
-    /// No connection could be made.
-    #[display("{address} takes no connection ({reason}); the call was not made.")]
+    /// No connection was established, so the call was not sent.
+    #[display("No connection to {address} ({reason}); the call was not sent.")]
     NotConnected {
-        /// Where it went.
+        /// Address that was called.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system, or the timeout.
         reason: String,
     },
-    /// The connection ended, or no answer came in time.
-    #[display("{address} gave no answer ({reason}); the call may have been carried out.")]
+    /// The connection ended, or no complete response arrived in time.
+    #[display("No complete response from {address} ({reason}); the call may have been executed.")]
     NoAnswer {
-        /// Where it went.
+        /// Address that was called.
         address: SocketAddr,
-        /// What was seen.
+        /// Error of the connection, or the timeout.
         reason: String,
     },
-    /// The call can't be written.
-    #[display("The call can't be written; check the names in it.")]
+    /// The call could not be encoded as an HTTP request.
+    #[display("The call cannot be encoded as an HTTP request; check the names in it.")]
     Unwritable,
 }
 
-/// Calls to one address, over kept connections.
+/// HTTP client for one address, with a pool of idle connections.
 #[derive(Debug)]
 pub struct CallClient {
     address: SocketAddr,
@@ -48,7 +49,8 @@
 }
 
 impl CallClient {
-    /// Returns a client without connections.
+    /// Returns a client without connections. `connect_timeout_ms` bounds the
+    /// time to establish one.
     pub fn new(address: SocketAddr, connect_timeout_ms: u64) -> CallClient {
         CallClient {
             address,
@@ -57,14 +59,15 @@
         }
     }
 
-    /// Makes a call, and returns status and body.
+    /// Makes a call and returns the status and the body of the response.
     ///
     /// # Errors
     ///
-    /// Fails where no whole answer came within the time.
+    /// Fails if no connection could be established, the call could not be
+    /// encoded or no complete response arrived within `timeout_ms`.
     pub async fn call(&self, call: &Call, timeout_ms: u64) -> Result<(u16, Bytes), CallError> {
         let answer = timeout(Duration::from_millis(timeout_ms), self.exchange(call)).await;
-        answer.unwrap_or_else(|_| Err(self.no_answer(&"time ran out")))
+        answer.unwrap_or_else(|_| Err(self.no_answer(&"timed out")))
     }
 
     async fn exchange(&self, call: &Call) -> Result<(u16, Bytes), CallError> {
@@ -111,7 +114,8 @@
             .await
             .map_err(|error| self.not_connected(&error))?;
         tokio::spawn(async move {
-            // Whoever waits for an answer is told of the end by the sender.
+            // The request's sender reports the end of the connection to the
+            // task that waits for the response.
             let _ = connection.await;
         });
         Ok(sender)
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -8,29 +8,32 @@
     tokio::time::sleep,
 };
 
-/// Status of a watch whose history is gone; the kind has to be read again.
+/// HTTP status of a watch whose history the store no longer has; the kind has
+/// to be read again in full.
 const GONE: u16 = 410;
 
-/// What follows one kind of objects.
+/// Receives the objects of one kind and their changes.
 pub(super) trait Follower {
     const KIND: Kind;
-    /// Pause after changes, in which further ones gather.
+    /// Delay after changes, in which further changes are batched.
     fn batch_ms(&self) -> u64 {
         0
     }
-    /// Takes over the whole kind as it is at a revision.
+    /// Applies a full reading of the kind at a revision.
     fn replace_all(&self, objects: &[Stored], revision: u64);
-    /// Takes over changes up to a revision, of which there may be none; an object
-    /// that is gone is `None`.
+    /// Applies changes up to a revision; there may be none. An object that no
+    /// longer exists is `None`.
     fn apply_changes(&self, changes: &[(String, Option<Stored>)], revision: u64);
-    /// Ends when peers know more than this instance's watch has told.
+    /// Completes when peers know a newer state than this instance's watch has
+    /// reported.
     async fn wait_until_behind(&self) {
         pending().await
     }
 }
 
-/// Follows a kind: reads it whole, then waits for changes, and reads it
-/// again when the history is gone, a call fails, or a peer knows more.
+/// Follows one kind of objects: reads all of them, then watches for changes.
+/// Reads all again when the store no longer has the history, a call fails or a
+/// peer knows a newer state.
 pub(super) async fn follow<F: Follower>(instance: &Instance, store: &CallClient, follower: F) {
     loop {
         let revision = read_with_retries(instance, store, &follower).await;
@@ -40,7 +43,8 @@
     }
 }
 
-/// Reads a kind whole, as often as it takes, and returns the revision.
+/// Reads all objects of a kind, with retries until it succeeds, and returns the
+/// revision.
 async fn read_with_retries<F: Follower>(
     instance: &Instance,
     store: &CallClient,
@@ -67,8 +71,7 @@
     }
 }
 
-/// Takes over changes for as long as the store tells them, and no peer knows
-/// more.
+/// Applies changes until a watch fails or a peer knows a newer state.
 async fn watch<F: Follower>(
     instance: &Instance,
     store: &CallClient,
@@ -83,7 +86,8 @@
         let Some(changes) = changes else {
             return;
         };
-        // A copy that lags may tell once more what was read before.
+        // A lagging replica of the store may report a change that was read
+        // before.
         let is_new = |object: &Option<Stored>| {
             object
                 .as_ref()
@@ -117,7 +121,8 @@
             return None;
         }
         let page = decoded_or_logged::<F, _>(decode_page(&body))?;
-        // Changes between two pages are seen by the watch from the first on.
+        // The watch starts at the revision of the first page, so it reports
+        // changes that happened between two pages.
         revision = revision.or(Some(page.revision));
         let more = page.more && !page.objects.is_empty();
         objects.extend(page.objects);
@@ -128,7 +133,8 @@
     }
 }
 
-/// Returns what was decoded. What can't be read is logged, and read again.
+/// Returns the decoded value. An answer that cannot be decoded is logged, and
+/// the caller reads again.
 fn decoded_or_logged<F: Follower, T>(result: Result<T, StoreError>) -> Option<T> {
     result
         .inspect_err(|error| {
--- a/crates/gateway/src/store/followers.rs
+++ b/crates/gateway/src/store/followers.rs
@@ -45,8 +45,8 @@
         let instance = &self.0;
         loop {
             instance.notes.configuration.notified().await;
-            // All learn of it at about the same time; only a watch that has
-            // fallen silent or lags needs a reading of its own.
+            // All instances receive a change at about the same time. Only an
+            // instance whose watch has stalled or lags has to read again.
             sleep(Duration::from_millis(instance.settings.peer_lead_ms)).await;
             if instance.is_behind(now_ms()) {
                 return;
@@ -57,7 +57,8 @@
 
 struct WeightsFollower {
     instance: Rc<Instance>,
-    /// When the store last told something of the kind, or that nothing changed.
+    /// When the store last reported a change of the kind, or that there was
+    /// none.
     last_answer_ms: Cell<Option<u64>>,
 }
 
@@ -176,12 +177,12 @@
     }
 }
 
-/// Follows the operators' configuration.
+/// Follows the operators' configuration; never returns.
 pub async fn watch_configuration(instance: Rc<Instance>, store: Rc<CallClient>) {
     follow(&instance, &store, ConfigurationFollower(instance.clone())).await;
 }
 
-/// Follows the newest weights.
+/// Follows the newest weights of each model; never returns.
 pub async fn watch_weights(instance: Rc<Instance>, store: Rc<CallClient>) {
     let follower = WeightsFollower {
         instance: instance.clone(),
@@ -190,7 +191,7 @@
     follow(&instance, &store, follower).await;
 }
 
-/// Follows the list of engines.
+/// Follows the engine list; never returns.
 pub async fn watch_engines(instance: Rc<Instance>, store: Rc<CallClient>) {
     follow(&instance, &store, EnginesFollower(instance.clone())).await;
 }
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's store: one client, and what is followed there.
+//! Client of the platform's store, and the tasks that follow objects in it.
 
 mod backoff;
 mod client;
--- a/crates/gateway/src/store/register.rs
+++ b/crates/gateway/src/store/register.rs
@@ -7,11 +7,11 @@
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// Tells the store where this instance listens to its peers, and reads where
-/// they do.
+/// Writes this instance's peer address to the store and reads those of its
+/// peers; returns once both have succeeded.
 ///
-/// Each instance writes before it reads, so of two that start together at
-/// least one finds the other, and its heartbeats make it known.
+/// Each instance writes before it reads, so of two that start at the same time
+/// at least one finds the other, and its heartbeats make it known to that one.
 pub async fn register(instance: Rc<Instance>, store: Rc<CallClient>) {
     let mut backoff = Backoff::default();
     while !publish_and_read_peers(&instance, &store).await {
