--- a/crates/core/src/config/store.rs
+++ b/crates/core/src/config/store.rs
@@ -78,15 +78,15 @@
         let Some(kind) = Kind::from_name(kind) else {
             return MergeOutcome::Ignored;
         };
-        let held = self.entries.get_mut(&(kind, name.to_owned()));
+        let stored = self.entries.get_mut(&(kind, name.to_owned()));
         let is_live = |e: &Entry| e.state != EntryState::Withdrawn;
-        if version <= floor && !held.as_deref().is_some_and(is_live) {
+        if version <= floor && !stored.as_deref().is_some_and(is_live) {
             return MergeOutcome::Stale;
         }
-        if let Some(held) = held {
-            let before = entry_hash(kind, name, held);
-            let outcome = held.join(kind, version, body);
-            self.hash ^= before ^ entry_hash(kind, name, held);
+        if let Some(stored) = stored {
+            let before = entry_hash(kind, name, stored);
+            let outcome = stored.join(kind, version, body);
+            self.hash ^= before ^ entry_hash(kind, name, stored);
             return outcome;
         }
         let mut entry = Entry::first(kind, version, body);
--- a/crates/core/src/membership/members.rs
+++ b/crates/core/src/membership/members.rs
@@ -134,16 +134,16 @@
             .collect();
         changed.sort_unstable_by(|a, b| b.cmp(a));
         changed.truncate(self.settings.max_updates);
-        let mut named: Vec<SocketAddr> = changed.into_iter().map(|(_, a)| a).collect();
+        let mut selected: Vec<SocketAddr> = changed.into_iter().map(|(_, a)| a).collect();
         let known: Vec<SocketAddr> = self.members.keys().copied().collect();
-        let rest = known.len().min(self.settings.max_updates) - named.len();
-        for _ in 0..rest {
+        let remaining = known.len().min(self.settings.max_updates) - selected.len();
+        for _ in 0..remaining {
             self.next_index = (self.next_index + 1) % known.len();
-            if !named.contains(&known[self.next_index]) {
-                named.push(known[self.next_index]);
+            if !selected.contains(&known[self.next_index]) {
+                selected.push(known[self.next_index]);
             }
         }
-        named.iter().filter_map(|a| self.transmit(a)).collect()
+        selected.iter().filter_map(|a| self.transmit(a)).collect()
     }
 
     fn transmit(&mut self, address: &SocketAddr) -> Option<InstanceView> {
@@ -173,8 +173,8 @@
     pub fn forget(&mut self, now_ms: u64) {
         let forget_ms = self.settings.forget_ms;
         let is_recent = |member: &Member| {
-            let quiet_ms = now_ms.saturating_sub(member.suspected_ms.unwrap_or(now_ms));
-            quiet_ms < forget_ms
+            let suspected_for_ms = now_ms.saturating_sub(member.suspected_ms.unwrap_or(now_ms));
+            suspected_for_ms < forget_ms
         };
         self.members.retain(|_, member| is_recent(member));
         self.departed.retain(|_, member| is_recent(member));
--- a/crates/core/tests/config_never_reverts.rs
+++ b/crates/core/tests/config_never_reverts.rs
@@ -170,16 +170,16 @@
     fn check_complete(&self, instance: usize) -> Result<(), TestCaseError> {
         let store = &self.stores[instance];
         for name in 0..NAMES {
-            let held = store.entry(Kind::Team, &name_of(name));
+            let stored = store.entry(Kind::Team, &name_of(name));
             match self.last_write(name, store.revision()) {
                 Some((version, true)) => {
                     prop_assert!(
-                        held.is_some_and(|e| e.version >= version),
+                        stored.is_some_and(|e| e.version >= version),
                         "a write up to the revision is missing"
                     );
                 }
                 Some((version, false)) => {
-                    let live = held.filter(|e| e.body.is_some());
+                    let live = stored.filter(|e| e.body.is_some());
                     prop_assert!(
                         live.is_none_or(|e| e.version > version),
                         "a withdrawn record is still stored"
@@ -199,8 +199,8 @@
             (0..INSTANCES).flat_map(|instance| (0..NAMES).map(move |name| (instance, name)))
         {
             let last_write = self.last_write(name, self.revision());
-            let held = self.stores[instance].entry(Kind::Team, &name_of(name));
-            let live = held.is_some_and(|e| e.body.is_some());
+            let stored = self.stores[instance].entry(Kind::Team, &name_of(name));
+            let live = stored.is_some_and(|e| e.body.is_some());
             prop_assert_eq!(live, matches!(last_write, Some((_, true))));
         }
         Ok(())
--- a/crates/gateway/src/store/register.rs
+++ b/crates/gateway/src/store/register.rs
@@ -29,8 +29,8 @@
     match store.call(&create, timeout_ms).await {
         Ok((200 | 201, _)) => {}
         Ok((409, body)) => {
-            if let Ok(before) = decode_object(&body) {
-                let replace = encode_replace(Kind::Members, name, before.revision, &record);
+            if let Ok(existing) = decode_object(&body) {
+                let replace = encode_replace(Kind::Members, name, existing.revision, &record);
                 if !matches!(store.call(&replace, timeout_ms).await, Ok((200, _))) {
                     return false;
                 }
