--- a/crates/core/src/mesh/heartbeat.rs
+++ b/crates/core/src/mesh/heartbeat.rs
@@ -10,7 +10,7 @@
 /// Progress of a change of one engine's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderPhase {
-    /// The order will be sent soon. New requests are steered to other engines.
+    /// The order will be sent soon; new requests to the engine are paused.
     Planned,
     /// The order was sent to the engine.
     Sent,
@@ -85,8 +85,8 @@
     pub versions: Vec<(String, u64, Option<u32>)>,
     /// Unfinished work that the instance has sent to each engine.
     pub loads: Vec<(String, Load)>,
-    /// Recent placements: shared prompt parts that engines have read for the
-    /// instance, each with a short hash of the engine's name.
+    /// Recent placements: shared prompt parts that engines have prefilled for
+    /// the instance, each with a short hash of the engine's name.
     #[serde(rename = "placed")]
     pub placements: Vec<(u64, u32)>,
     /// Engines that do not answer the instance.
@@ -97,7 +97,7 @@
     pub engines_revision: u64,
     /// Departures of engines that peers may not know yet.
     pub departures: Vec<Departure>,
-    /// Crashes of engines, and the requests that they are charged to.
+    /// Crashes of engines, and the requests that they are attributed to.
     pub crashes: Vec<CrashSight>,
     /// Whether the instance knows what was spent of the teams' rates before it
     /// started.
--- a/crates/core/src/mesh/members.rs
+++ b/crates/core/src/mesh/members.rs
@@ -88,7 +88,7 @@
         self.candidates_since_ms.entry(address).or_insert(now_ms);
     }
 
-    /// Stores a heartbeat and the peer addresses in it.
+    /// Stores a heartbeat, and adds the peer addresses in it as candidates.
     ///
     /// Returns `false` for a heartbeat that is older than the last one of its
     /// sender or belongs to a start that has stopped.
--- a/crates/core/src/peer/message.rs
+++ b/crates/core/src/peer/message.rs
@@ -19,7 +19,7 @@
         /// Membership updates of other instances, bounded in number.
         #[serde(rename = "news")]
         updates: Vec<InstanceView>,
-        /// Crashes charged to requests.
+        /// Crashes attributed to requests.
         crashes: Vec<CrashSight>,
     },
     /// Asks for tokens of a team's rate. The answer is [`PeerReply::Granted`],
@@ -43,7 +43,7 @@
     /// Reports crashes without waiting for the next exchange. The answer is
     /// [`PeerReply::Crashes`].
     Crashes {
-        /// Crashes charged to requests.
+        /// Crashes attributed to requests.
         crashes: Vec<CrashSight>,
     },
 }
@@ -60,7 +60,7 @@
         updates: Vec<InstanceView>,
         /// Records that the requesting instance may lack.
         delta: Delta,
-        /// Crashes charged to requests.
+        /// Crashes attributed to requests.
         crashes: Vec<CrashSight>,
     },
     /// Answer to [`PeerRequest::Grant`] and [`PeerRequest::GiveBack`].
@@ -78,7 +78,7 @@
     /// Answer to [`PeerRequest::Crashes`], with the crashes that the peer
     /// knows.
     Crashes {
-        /// Crashes charged to requests.
+        /// Crashes attributed to requests.
         crashes: Vec<CrashSight>,
     },
 }
--- a/crates/gateway/src/mesh/exchange.rs
+++ b/crates/gateway/src/mesh/exchange.rs
@@ -40,7 +40,7 @@
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok(length) = socket.recv(&mut buffer).await else {
-            // Also reports that nothing listens at the port of a peer.
+            // The socket also reports here that nothing listens at a peer's port.
             continue;
         };
         match postcard::from_bytes::<MeshMessage>(&buffer[..length]) {
--- a/crates/gateway/src/store/backoff.rs
+++ b/crates/gateway/src/store/backoff.rs
@@ -1,11 +1,13 @@
 use {std::time::Duration, tokio::time::sleep};
 
-/// First and maximum delay after a failed call. The delays are jittered, so
-/// that instances that start at the same time do not call at the same time.
+/// Delay after the first failed call, before jitter.
 const INITIAL_MS: u64 = 100;
+
+/// Maximum delay, before jitter.
 const MAX_MS: u64 = 800;
 
-/// Exponential backoff with jitter between failed calls.
+/// Exponential backoff between failed calls, with jitter so that instances that
+/// start at the same time do not call at the same time.
 pub(super) struct Backoff {
     next_ms: u64,
 }
