--- a/crates/mangowalkd/src/caller/addresses.rs
+++ b/crates/mangowalkd/src/caller/addresses.rs
@@ -18,9 +18,9 @@
 /// Returns the instances that a caller may use, in the order in which it
 /// should try them.
 pub(super) fn body<E: Edges>(router: &Router<E>) -> Vec<u8> {
-    let board = router.shared();
-    let id = &board.identity;
-    let mut instances: Vec<InstanceView> = board
+    let shared = router.shared();
+    let id = &shared.identity;
+    let mut instances: Vec<InstanceView> = shared
         .peers
         .read(|m| m.all().map(|m| m.view.clone()).collect());
     instances.push(InstanceView {
@@ -29,8 +29,8 @@
         incarnation: id.incarnation,
         heartbeat: 0,
         failure_domain: id.failure_domain.clone(),
-        ready: board.lifecycle.is_ready(),
-        departing: board.lifecycle.is_departing(),
+        ready: shared.lifecycle.is_ready(),
+        departing: shared.lifecycle.is_departing(),
         suspected: false,
     });
     let body = Addresses {
--- a/crates/mangowalkd/src/caller/body.rs
+++ b/crates/mangowalkd/src/caller/body.rs
@@ -12,7 +12,7 @@
 
 /// The two forms of request and answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Form {
+pub(super) enum Endpoint {
     /// `/v1/chat/completions`
     Chat,
     /// `/v1/completions`
@@ -28,28 +28,28 @@
     pub(super) stream: bool,
     pub(super) include_usage: bool,
     /// Parameters that engines can't be told.
-    pub(super) passed_over: Vec<&'static str>,
+    pub(super) ignored: Vec<&'static str>,
 }
 
 /// Reads and checks a body.
-pub(super) fn read(bytes: &[u8], form: Form) -> Result<Body, Refusal> {
+pub(super) fn read(bytes: &[u8], endpoint: Endpoint) -> Result<Body, Refusal> {
     let fields: Map<String, Value> = serde_json::from_slice(bytes).map_err(|error| {
         malformed(format!(
             "The body is no JSON object: {error}; correct it there."
         ))
     })?;
-    let Parameters { passed_over } = parameters::check(&fields, form)?;
-    let prompt = match form {
-        Form::Chat => prompt_of_messages(fields.get("messages"))?,
-        Form::Completion => prompt_of(fields.get("prompt"))?,
+    let Parameters { ignored } = parameters::check(&fields, endpoint)?;
+    let prompt = match endpoint {
+        Endpoint::Chat => prompt_of_messages(fields.get("messages"))?,
+        Endpoint::Completion => prompt_of(fields.get("prompt"))?,
     };
     Ok(Body {
         model: model_of(&fields)?,
         prompt,
         max_tokens: max_tokens_of(&fields)?,
-        stream: flag(&fields, "stream")?,
+        stream: bool_of(&fields, "stream")?,
         include_usage: include_usage_of(&fields)?,
-        passed_over,
+        ignored,
     })
 }
 
@@ -106,17 +106,17 @@
 fn include_usage_of(fields: &Map<String, Value>) -> Result<bool, Refusal> {
     match fields.get("stream_options") {
         None | Some(Value::Null) => Ok(false),
-        Some(Value::Object(options)) => flag(options, "include_usage"),
+        Some(Value::Object(options)) => bool_of(options, "include_usage"),
         Some(_) => Err(malformed(
             "`stream_options` must be an object; give {\"include_usage\": true}.".to_owned(),
         )),
     }
 }
 
-fn flag(fields: &Map<String, Value>, name: &str) -> Result<bool, Refusal> {
+fn bool_of(fields: &Map<String, Value>, name: &str) -> Result<bool, Refusal> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(false),
-        Some(Value::Bool(flag)) => Ok(*flag),
+        Some(Value::Bool(value)) => Ok(*value),
         Some(value) => Err(malformed(format!(
             "`{name}` is {value}; give true or false."
         ))),
--- a/crates/mangowalkd/src/caller/chat.rs
+++ b/crates/mangowalkd/src/caller/chat.rs
@@ -1,9 +1,9 @@
 use {
     super::{
-        body::{self, Body, Form},
+        body::{self, Body, Endpoint},
         handler::{Handler, bearer, header},
         reply::Head,
-        shape::Shape,
+        response_format::ResponseFormat,
         stream::StreamSink,
     },
     crate::serve::{AnswerSink, ChatRequest},
@@ -26,19 +26,19 @@
     handler: &Handler<'_, E>,
     mut request: Request,
     team: &str,
-    form: Form,
+    endpoint: Endpoint,
 ) {
     let read = handler
         .body(&mut request)
-        .and_then(|bytes| body::read(&bytes, form))
+        .and_then(|bytes| body::read(&bytes, endpoint))
         .and_then(|body| check_version(&request, body))
         .and_then(|body| Ok((body, deadline_of(&request)?)));
     let (body, deadline_ms) = match read {
         Ok(read) => read,
         Err(refusal) => return handler.refuse(request, &refusal),
     };
-    let shape = Shape {
-        form,
+    let response_format = ResponseFormat {
+        endpoint,
         id: handler.request_id.clone(),
         model: body.model.clone(),
         created_s: handler.router.edges.clock().wall_ms() / MS_PER_S,
@@ -54,13 +54,13 @@
         deadline_ms,
     };
     let mut head = handler.head.clone();
-    if !body.passed_over.is_empty() {
-        head.add("x-mangowalk-passed-over", body.passed_over.join(","));
+    if !body.ignored.is_empty() {
+        head.add("x-mangowalk-passed-over", body.ignored.join(","));
     }
     if body.stream {
-        streamed(handler, request, &chat, head, shape);
+        respond_streamed(handler, request, &chat, head, response_format);
     } else {
-        whole(handler, request, &chat, head, &shape);
+        respond_whole(handler, request, &chat, head, &response_format);
     }
 }
 
@@ -90,17 +90,17 @@
         })
 }
 
-fn whole<E: Edges>(
+fn respond_whole<E: Edges>(
     handler: &Handler<'_, E>,
     request: Request,
     chat: &ChatRequest,
     mut head: Head,
-    shape: &Shape,
+    response_format: &ResponseFormat,
 ) {
-    let mut sink = Collect::default();
+    let mut sink = CollectSink::default();
     match handler.router.generate_counted(chat, &mut sink) {
         Ok(finished) => {
-            let body = shape.whole(&sink.text, &finished).to_string();
+            let body = response_format.whole(&sink.text, &finished).to_string();
             handler.add_rate(&mut head, &chat.team);
             head.json(request, 200, body.into_bytes());
         }
@@ -113,15 +113,15 @@
 
 /// Streams the answer. The head is written with the first token, so that a
 /// refusal before it still has its own status.
-fn streamed<E: Edges>(
+fn respond_streamed<E: Edges>(
     handler: &Handler<'_, E>,
     request: Request,
     chat: &ChatRequest,
     mut head: Head,
-    shape: Shape,
+    response_format: ResponseFormat,
 ) {
     handler.add_rate(&mut head, &chat.team);
-    let mut sink = StreamSink::new(request, head, shape);
+    let mut sink = StreamSink::new(request, head, response_format);
     match handler.router.generate_counted(chat, &mut sink) {
         Ok(finished) => sink.finish(&finished),
         Err(refusal) => sink.refuse(&refusal),
@@ -129,11 +129,11 @@
 }
 
 #[derive(Default)]
-struct Collect {
+struct CollectSink {
     text: String,
 }
 
-impl AnswerSink for Collect {
+impl AnswerSink for CollectSink {
     fn token(&mut self, text: &str) -> io::Result<()> {
         self.text.push_str(text);
         Ok(())
--- a/crates/mangowalkd/src/caller/framing.rs
+++ b/crates/mangowalkd/src/caller/framing.rs
@@ -1,7 +1,7 @@
 use {super::body::malformed, mangowalk_core::refusal::Refusal, tiny_http::Request};
 
 /// Headers of which a second one would leave open which counts.
-const ONCE: [&str; 4] = [
+const SINGLE_HEADERS: [&str; 4] = [
     "Content-Length",
     "Transfer-Encoding",
     "Authorization",
@@ -18,7 +18,7 @@
 ///
 /// Returns what is doubtful.
 pub(super) fn check(request: &Request) -> Result<(), Refusal> {
-    for name in ONCE {
+    for name in SINGLE_HEADERS {
         if count(request, name) > 1 {
             return Err(malformed(format!("`{name}` came twice; send it once.")));
         }
--- a/crates/mangowalkd/src/caller/handler.rs
+++ b/crates/mangowalkd/src/caller/handler.rs
@@ -1,12 +1,11 @@
 use {
     super::{
         addresses,
-        body::{Form, malformed},
-        chat,
-        condemned::Condemned,
-        models,
+        body::{Endpoint, malformed},
+        chat, models,
         reply::Head,
         request_id, service,
+        untrusted::UntrustedConnections,
     },
     crate::serve::Router,
     log::info,
@@ -21,12 +20,12 @@
 /// Declared length above which a body is not even thrown away. The server
 /// reserves memory for what is left of a body when it drops the request, and
 /// a length that no memory can hold would end the process.
-const ABSURD_BYTES: usize = 1 << 30;
+const MAX_DISCARDED_BODY_BYTES: usize = 1 << 30;
 
 /// Serves one request of a caller.
 pub(super) struct Handler<'a, E: Edges> {
     pub(super) router: &'a Router<E>,
-    condemned: &'a Condemned,
+    untrusted: &'a UntrustedConnections,
     /// Identity between router and upstreams.
     pub(super) request_id: String,
     /// What every response to this request says.
@@ -36,16 +35,16 @@
 impl<'a, E: Edges> Handler<'a, E> {
     pub(super) fn new(
         router: &'a Router<E>,
-        condemned: &'a Condemned,
+        untrusted: &'a UntrustedConnections,
         request: &Request,
     ) -> Handler<'a, E> {
-        let drawn = request_id::draw();
-        let shown = header(request, "x-request-id").and_then(request_id::accepted);
-        let head = Head::of(shown.unwrap_or(&drawn));
+        let generated_id = request_id::generate();
+        let caller_id = header(request, "x-request-id").and_then(request_id::accepted);
+        let head = Head::of(caller_id.unwrap_or(&generated_id));
         Handler {
             router,
-            condemned,
-            request_id: drawn,
+            untrusted,
+            request_id: generated_id,
             head,
         }
     }
@@ -55,8 +54,11 @@
         if let Some(refusal) = refused {
             return self.refuse(request, &refusal);
         }
-        if request.body_length().is_some_and(|b| b > ABSURD_BYTES) {
-            return self.refuse_absurd(request);
+        if request
+            .body_length()
+            .is_some_and(|b| b > MAX_DISCARDED_BODY_BYTES)
+        {
+            return self.refuse_oversized(request);
         }
         self.route(request);
     }
@@ -73,8 +75,8 @@
     }
 
     fn ready(&self, request: Request) {
-        let board = self.router.shared();
-        let ready = board.lifecycle.is_ready();
+        let shared = self.router.shared();
+        let ready = shared.lifecycle.is_ready();
         self.json(request, if ready { 200 } else { 503 }, b"{}".to_vec());
     }
 
@@ -87,14 +89,14 @@
         let is_get = *request.method() == Method::Get;
         match path {
             "/v1/models" if is_get => self.json(request, 200, models::list(self.router)),
-            "/v1/chat/completions" if is_post => chat::serve(self, request, &team, Form::Chat),
-            "/v1/completions" if is_post => chat::serve(self, request, &team, Form::Completion),
+            "/v1/chat/completions" if is_post => chat::serve(self, request, &team, Endpoint::Chat),
+            "/v1/completions" if is_post => chat::serve(self, request, &team, Endpoint::Completion),
             _ if path.starts_with(service::PREFIX) => service::serve(self, request, &team),
-            _ => self.other(request, path),
+            _ => self.model_or_unknown_path(request, path),
         }
     }
 
-    fn other(&self, request: Request, path: &str) {
+    fn model_or_unknown_path(&self, request: Request, path: &str) {
         let model = path
             .strip_prefix("/v1/models/")
             .filter(|_| *request.method() == Method::Get);
@@ -118,7 +120,7 @@
     /// next request.
     fn refuse_unread(&self, request: Request, refusal: &Refusal) {
         if header(&request, "Transfer-Encoding").is_some() {
-            self.condemn(&request);
+            self.mark_untrusted(&request);
         }
         self.refuse(request, refusal);
     }
@@ -127,8 +129,8 @@
     /// would reserve memory for the whole declared length. The connection is
     /// lost for good, which costs a descriptor and a thread for a length that
     /// no honest caller declares.
-    fn refuse_absurd(&self, request: Request) {
-        info!("callers: A caller declared a body of over {ABSURD_BYTES} bytes.");
+    fn refuse_oversized(&self, request: Request) {
+        info!("callers: A caller declared a body of over {MAX_DISCARDED_BODY_BYTES} bytes.");
         let refusal = Refusal::TooLarge {
             limit_bytes: self.router.settings().max_body_bytes,
         };
@@ -136,9 +138,9 @@
         mem::forget(stream);
     }
 
-    fn condemn(&self, request: &Request) {
+    fn mark_untrusted(&self, request: &Request) {
         let now_ms = self.router.now_ms();
-        self.condemned.add(request.remote_addr(), now_ms);
+        self.untrusted.add(request.remote_addr(), now_ms);
     }
 
     /// Adds the team's rate to a head: its burst, the tokens that are here,
@@ -146,12 +148,12 @@
     /// hold more of the team's tokens, so a request over what remains here is
     /// not refused for that alone.
     pub(super) fn add_rate(&self, head: &mut Head, team: &str) {
-        let board = self.router.shared();
-        let view = board.config.view();
+        let shared = self.router.shared();
+        let view = shared.config.view();
         let Some(rate) = view.rates.get(team) else {
             return;
         };
-        let remaining_tokens = board.limits.tokens(team, rate, self.router.now_ms());
+        let remaining_tokens = shared.limits.tokens(team, rate, self.router.now_ms());
         let missing_tokens = rate.burst_tokens.saturating_sub(remaining_tokens);
         let reset_ms = refill_ms(rate, missing_tokens);
         head.add("x-ratelimit-limit-tokens", rate.burst_tokens.to_string());
@@ -171,7 +173,7 @@
             Err(Refusal::TooLarge { .. }) if is_counted => {}
             Ok(_) => {}
             // What comes next is the rest of this body.
-            Err(_) => self.condemn(request),
+            Err(_) => self.mark_untrusted(request),
         }
         body
     }
@@ -183,7 +185,7 @@
             return Err(Refusal::TooLarge { limit_bytes });
         }
         let until_ms = self.router.now_ms() + settings.caller_timeout_ms;
-        let too_slow = Refusal::TooSlow {
+        let timed_out = Refusal::TooSlow {
             timeout_ms: settings.caller_timeout_ms,
         };
         let expected = request.body_length();
@@ -193,7 +195,7 @@
             let read = match request.as_reader().read(&mut part) {
                 Ok(0) => break,
                 Ok(read) => read,
-                Err(error) if is_timeout(&error) => return Err(too_slow),
+                Err(error) if is_timeout(&error) => return Err(timed_out),
                 Err(_) => return Err(broken_body()),
             };
             body.extend_from_slice(&part[..read]);
@@ -201,7 +203,7 @@
                 return Err(Refusal::TooLarge { limit_bytes });
             }
             if self.router.now_ms() > until_ms {
-                return Err(too_slow);
+                return Err(timed_out);
             }
         }
         if expected.is_some_and(|length| length != body.len()) {
--- a/crates/mangowalkd/src/caller/listener.rs
+++ b/crates/mangowalkd/src/caller/listener.rs
@@ -11,10 +11,10 @@
 const BACKLOG: i32 = 1_024;
 
 /// Shortest keepalive that the system accepts.
-const LEAST_KEEPALIVE: Duration = Duration::from_secs(1);
+const MIN_KEEPALIVE: Duration = Duration::from_secs(1);
 
 /// Longest time that the listener's own connection may take.
-const KNOCK_TIMEOUT: Duration = Duration::from_secs(1);
+const WAKE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Listens to callers with bounds on what a slow one may hold.
 ///
@@ -28,7 +28,7 @@
 /// - the user timeout and keepalive end one whose machine is gone;
 /// - no delay: a token must not wait for the receipt of the one before it.
 ///
-/// The read timeout also ends an idle `accept`; see [`knock`].
+/// The read timeout also ends an idle `accept`; see [`wake_accept`].
 pub(super) fn listen(address: SocketAddr, timeout: Duration) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -39,7 +39,7 @@
     socket.set_read_timeout(Some(timeout))?;
     socket.set_write_timeout(Some(timeout))?;
     socket.set_tcp_user_timeout(Some(timeout))?;
-    let keepalive = TcpKeepalive::new().with_time(timeout.max(LEAST_KEEPALIVE));
+    let keepalive = TcpKeepalive::new().with_time(timeout.max(MIN_KEEPALIVE));
     socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_nodelay(true)?;
     socket.bind(&address.into())?;
@@ -49,7 +49,7 @@
 
 /// Makes a connection of its own, so that `accept` returns before its timeout
 /// however rarely callers come. It is closed at once and served nothing.
-pub(super) fn knock(address: SocketAddr) {
+pub(super) fn wake_accept(address: SocketAddr) {
     // A knock that fails is made good by the next, or by a new server.
-    let _ = TcpStream::connect_timeout(&address, KNOCK_TIMEOUT);
+    let _ = TcpStream::connect_timeout(&address, WAKE_TIMEOUT);
 }
--- a/crates/mangowalkd/src/caller/mod.rs
+++ b/crates/mangowalkd/src/caller/mod.rs
@@ -3,7 +3,6 @@
 mod addresses;
 mod body;
 mod chat;
-mod condemned;
 mod error;
 mod framing;
 mod handler;
@@ -13,10 +12,11 @@
 mod parameters;
 mod reply;
 mod request_id;
+mod response_format;
 mod server;
 mod service;
-mod shape;
 mod sse;
 mod stream;
+mod untrusted;
 
 pub use server::CallerServer;
--- a/crates/mangowalkd/src/caller/parameters.rs
+++ b/crates/mangowalkd/src/caller/parameters.rs
@@ -1,11 +1,11 @@
 use {
-    super::body::{Form, malformed},
+    super::body::{Endpoint, malformed},
     mangowalk_core::refusal::Refusal,
     serde_json::{Map, Value, json},
 };
 
 /// Fields that are read elsewhere.
-const READ: [&str; 5] = [
+const HANDLED_ELSEWHERE: [&str; 5] = [
     "model",
     "max_tokens",
     "max_completion_tokens",
@@ -14,7 +14,7 @@
 ];
 
 /// Parameters that change nothing in the answer.
-const WITHOUT_EFFECT: [&str; 6] = [
+const NO_EFFECT: [&str; 6] = [
     "user",
     "metadata",
     "safety_identifier",
@@ -26,11 +26,11 @@
 /// Parameters of sampling. Engines sample with their own settings, and their
 /// protocol has no field for these; the answer's head names what was passed
 /// over, so that nobody takes it for followed.
-const PASSED_OVER: [&str; 3] = ["temperature", "top_p", "seed"];
+const IGNORED: [&str; 3] = ["temperature", "top_p", "seed"];
 
 /// What follows from the parameters of a request.
 pub(super) struct Parameters {
-    pub(super) passed_over: Vec<&'static str>,
+    pub(super) ignored: Vec<&'static str>,
 }
 
 /// Checks every parameter.
@@ -38,37 +38,40 @@
 /// One that would change the answer and can't be followed is refused unless
 /// it asks for what happens anyway. Ignored silently, it would give a caller
 /// an answer to another request.
-pub(super) fn check(fields: &Map<String, Value>, form: Form) -> Result<Parameters, Refusal> {
-    let mut passed_over = Vec::new();
+pub(super) fn check(
+    fields: &Map<String, Value>,
+    endpoint: Endpoint,
+) -> Result<Parameters, Refusal> {
+    let mut ignored = Vec::new();
     for (name, value) in fields.iter().filter(|(_, value)| !value.is_null()) {
-        if is_read(name, form) || WITHOUT_EFFECT.contains(&name.as_str()) {
+        if is_handled_elsewhere(name, endpoint) || NO_EFFECT.contains(&name.as_str()) {
             continue;
         }
-        if let Some(known) = PASSED_OVER.into_iter().find(|known| known == name) {
+        if let Some(known) = IGNORED.into_iter().find(|known| known == name) {
             check_number(known, value)?;
-            passed_over.push(known);
+            ignored.push(known);
             continue;
         }
         check_neutral(name, value)?;
     }
-    Ok(Parameters { passed_over })
+    Ok(Parameters { ignored })
 }
 
-fn is_read(name: &str, form: Form) -> bool {
-    let own = match form {
-        Form::Chat => "messages",
-        Form::Completion => "prompt",
+fn is_handled_elsewhere(name: &str, endpoint: Endpoint) -> bool {
+    let own = match endpoint {
+        Endpoint::Chat => "messages",
+        Endpoint::Completion => "prompt",
     };
-    name == own || READ.contains(&name)
+    name == own || HANDLED_ELSEWHERE.contains(&name)
 }
 
 fn check_number(name: &str, value: &Value) -> Result<(), Refusal> {
-    let is_fit = match name {
+    let is_in_range = match name {
         "temperature" => value.as_f64().is_some_and(|t| (0.0..=2.0).contains(&t)),
         "top_p" => value.as_f64().is_some_and(|p| (0.0..=1.0).contains(&p)),
         _ => value.is_i64() || value.is_u64(),
     };
-    if is_fit {
+    if is_in_range {
         return Ok(());
     }
     Err(malformed(format!(
@@ -77,22 +80,22 @@
 }
 
 fn check_neutral(name: &str, value: &Value) -> Result<(), Refusal> {
-    let neutral = neutral(name).ok_or_else(|| {
+    let neutral_values = neutral_values(name).ok_or_else(|| {
         malformed(format!(
             "`{name}` is no known parameter; leave it out. docs/api.md lists all."
         ))
     })?;
-    if neutral.contains(value) {
+    if neutral_values.contains(value) {
         return Ok(());
     }
     Err(malformed(format!(
         "`{name}` can't be followed by the engines here; leave it out or send {}.",
-        neutral[0]
+        neutral_values[0]
     )))
 }
 
 /// Returns the values of a parameter that ask for what happens anyway.
-fn neutral(name: &str) -> Option<Vec<Value>> {
+fn neutral_values(name: &str) -> Option<Vec<Value>> {
     Some(match name {
         "n" | "best_of" => vec![json!(1)],
         "stop" | "tools" | "functions" => vec![json!([])],
--- a/crates/mangowalkd/src/caller/reply.rs
+++ b/crates/mangowalkd/src/caller/reply.rs
@@ -11,7 +11,7 @@
 pub(super) const SOURCE_HEADER: &str = "x-mangowalk-source";
 
 /// A response whose body is held whole.
-pub(super) type WholeResponse = Response<Cursor<Vec<u8>>>;
+pub(super) type BufferedResponse = Response<Cursor<Vec<u8>>>;
 
 /// Headers that every response to one request carries.
 #[derive(Debug, Clone, Default)]
@@ -48,7 +48,7 @@
     }
 
     /// Returns the response that tells a refusal.
-    pub(super) fn refusal(&self, refusal: &Refusal) -> WholeResponse {
+    pub(super) fn refusal(&self, refusal: &Refusal) -> BufferedResponse {
         let body = serde_json::to_vec(&ErrorBody::of(refusal)).unwrap_or_default();
         let mut response = self.response(refusal.status(), body);
         let outcome = refusal.outcome().to_string();
@@ -63,7 +63,7 @@
         response
     }
 
-    fn response(&self, status: u16, body: Vec<u8>) -> WholeResponse {
+    fn response(&self, status: u16, body: Vec<u8>) -> BufferedResponse {
         let response = Response::from_data(body).with_status_code(status);
         let response = with_header(response, "Content-Type", "application/json");
         self.headers
@@ -77,15 +77,15 @@
 /// Tells clients whether to send again by themselves. They would otherwise
 /// repeat after every 409 and 5xx, also where the request may have run.
 fn should_retry(refusal: &Refusal) -> &'static str {
-    let helps = refusal.retry_ms().is_some() || refusal.status() == 408;
-    if helps && refusal.outcome() == Outcome::NotRun {
+    let is_retryable = refusal.retry_ms().is_some() || refusal.status() == 408;
+    if is_retryable && refusal.outcome() == Outcome::NotRun {
         return "true";
     }
     "false"
 }
 
 /// Adds a header. A value that no header can hold is left out.
-fn with_header(response: WholeResponse, name: &str, value: &str) -> WholeResponse {
+fn with_header(response: BufferedResponse, name: &str, value: &str) -> BufferedResponse {
     match Header::from_bytes(name, value) {
         Ok(header) => response.with_header(header),
         Err(()) => response,
--- a/crates/mangowalkd/src/caller/shape.rs
+++ b/crates/mangowalkd/src/caller/response_format.rs
@@ -1,24 +1,24 @@
 use {
-    super::body::Form,
-    crate::serve::Finished,
+    super::body::Endpoint,
+    crate::serve::FinishedAnswer,
     mangowalk_core::engine::Usage,
     serde_json::{Value, json},
 };
 
 /// Writes the protocol's objects for one answer.
-pub(super) struct Shape {
-    pub(super) form: Form,
+pub(super) struct ResponseFormat {
+    pub(super) endpoint: Endpoint,
     pub(super) id: String,
     pub(super) model: String,
     pub(super) created_s: u64,
     pub(super) include_usage: bool,
 }
 
-impl Shape {
+impl ResponseFormat {
     fn object(&self, choices: Value) -> Value {
-        let (object, prefix) = match self.form {
-            Form::Chat => ("chat.completion.chunk", "chatcmpl"),
-            Form::Completion => ("text_completion", "cmpl"),
+        let (object, prefix) = match self.endpoint {
+            Endpoint::Chat => ("chat.completion.chunk", "chatcmpl"),
+            Endpoint::Completion => ("text_completion", "cmpl"),
         };
         json!({
             "id": format!("{prefix}-{}", self.id),
@@ -31,7 +31,7 @@
 
     /// Returns the event that opens a stream, if the form has one.
     pub(super) fn opening(&self) -> Option<Value> {
-        (self.form == Form::Chat).then(|| {
+        (self.endpoint == Endpoint::Chat).then(|| {
             self.object(json!([{
                 "index": 0,
                 "delta": { "role": "assistant", "content": "" },
@@ -42,22 +42,22 @@
 
     /// Returns the event of one token.
     pub(super) fn delta(&self, text: &str) -> Value {
-        self.object(match self.form {
-            Form::Chat => json!([{
+        self.object(match self.endpoint {
+            Endpoint::Chat => json!([{
                 "index": 0, "delta": { "content": text }, "finish_reason": null,
             }]),
-            Form::Completion => json!([{
+            Endpoint::Completion => json!([{
                 "index": 0, "text": text, "finish_reason": null, "logprobs": null,
             }]),
         })
     }
 
     /// Returns the events that close a complete stream.
-    pub(super) fn closing(&self, finished: &Finished) -> Vec<Value> {
+    pub(super) fn closing(&self, finished: &FinishedAnswer) -> Vec<Value> {
         let reason = &finished.finish_reason;
-        let last = self.object(match self.form {
-            Form::Chat => json!([{ "index": 0, "delta": {}, "finish_reason": reason }]),
-            Form::Completion => json!([{
+        let last = self.object(match self.endpoint {
+            Endpoint::Chat => json!([{ "index": 0, "delta": {}, "finish_reason": reason }]),
+            Endpoint::Completion => json!([{
                 "index": 0, "text": "", "finish_reason": reason, "logprobs": null,
             }]),
         });
@@ -70,20 +70,20 @@
     }
 
     /// Returns the body of an answer that is not streamed.
-    pub(super) fn whole(&self, text: &str, finished: &Finished) -> Value {
+    pub(super) fn whole(&self, text: &str, finished: &FinishedAnswer) -> Value {
         let reason = &finished.finish_reason;
-        let choices = match self.form {
-            Form::Chat => json!([{
+        let choices = match self.endpoint {
+            Endpoint::Chat => json!([{
                 "index": 0,
                 "message": { "role": "assistant", "content": text },
                 "finish_reason": reason,
             }]),
-            Form::Completion => json!([{
+            Endpoint::Completion => json!([{
                 "index": 0, "text": text, "finish_reason": reason, "logprobs": null,
             }]),
         };
         let mut body = self.object(choices);
-        if self.form == Form::Chat {
+        if self.endpoint == Endpoint::Chat {
             body["object"] = json!("chat.completion");
         }
         body["usage"] = usage_of(&finished.usage);
--- a/crates/mangowalkd/src/caller/server.rs
+++ b/crates/mangowalkd/src/caller/server.rs
@@ -1,9 +1,9 @@
 use {
     super::{
-        body::malformed, condemned::Condemned, framing, handler::Handler, listener, reply::Head,
-        request_id,
+        body::malformed, framing, handler::Handler, listener, reply::Head, request_id,
+        untrusted::UntrustedConnections,
     },
-    crate::serve::{Router, spread_ms},
+    crate::serve::{Router, jittered_ms},
     log::{info, warn},
     mangowalk_core::{edge::Edges, refusal::Refusal},
     std::{
@@ -23,19 +23,19 @@
 const REFUSAL_STACK_BYTES: usize = 64 << 10;
 
 /// When a caller should come back at the earliest if every thread is taken.
-const FULL_RETRY_MS: u64 = 1_000;
+const MIN_OVERLOAD_RETRY_MS: u64 = 1_000;
 
 /// Pause between two looks at whether to stop.
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Knocks within one read timeout.
-const KNOCKS: u32 = 4;
+const WAKES_PER_TIMEOUT: u32 = 4;
 
 /// Read timeouts for which a condemned connection is remembered.
-const CONDEMNED_TIMEOUTS: u64 = 3;
+const UNTRUSTED_TIMEOUTS: u64 = 3;
 
 /// Looks without a request after which a server that was replaced ends.
-const LAST_LOOKS: u32 = 6_000;
+const MAX_IDLE_POLLS: u32 = 6_000;
 
 /// Listens to callers and serves each request on a thread of its own.
 pub struct CallerServer {
@@ -56,13 +56,13 @@
         let callers = Arc::new(Callers {
             listener,
             router,
-            condemned: Condemned::default(),
+            untrusted: UntrustedConnections::default(),
         });
         let first = callers.server()?;
-        let knocking = callers.clone();
+        let waker = callers.clone();
         thread::Builder::new()
             .name("callers-knock".to_owned())
-            .spawn(move || knocking.knock(address, timeout / KNOCKS))?;
+            .spawn(move || waker.wake_accept(address, timeout / WAKES_PER_TIMEOUT))?;
         callers.spawn(first)?;
         Ok(CallerServer { address })
     }
@@ -76,7 +76,7 @@
 struct Callers<E: Edges> {
     listener: TcpListener,
     router: Arc<Router<E>>,
-    condemned: Condemned,
+    untrusted: UntrustedConnections,
 }
 
 impl<E: Edges> Callers<E> {
@@ -108,14 +108,14 @@
     fn serve(self: &Arc<Self>, server: &tiny_http::Server) {
         let mut is_ended = false;
         let mut is_replaced = false;
-        let mut idle_looks = 0;
-        while !self.is_stopped() && idle_looks < LAST_LOOKS {
-            match server.recv_timeout(POLL) {
+        let mut idle_polls = 0;
+        while !self.is_stopped() && idle_polls < MAX_IDLE_POLLS {
+            match server.recv_timeout(POLL_INTERVAL) {
                 Ok(Some(request)) => {
-                    idle_looks = 0;
+                    idle_polls = 0;
                     self.dispatch(request);
                 }
-                Ok(None) => idle_looks += u32::from(is_replaced),
+                Ok(None) => idle_polls += u32::from(is_replaced),
                 Err(error) => {
                     info!("callers: Accepting ended and begins anew. {error}.");
                     is_ended = true;
@@ -135,10 +135,10 @@
         replaced.is_ok()
     }
 
-    fn knock(&self, address: SocketAddr, period: Duration) {
+    fn wake_accept(&self, address: SocketAddr, period: Duration) {
         while !self.is_stopped() {
             thread::sleep(period);
-            listener::knock(address);
+            listener::wake_accept(address);
         }
     }
 
@@ -149,14 +149,14 @@
     /// the doubtful one in front of it is refused.
     fn check(&self, request: &Request) -> Result<(), Refusal> {
         let now_ms = self.router.now_ms();
-        let keep_ms = self.router.settings().caller_timeout_ms * CONDEMNED_TIMEOUTS;
+        let retention_ms = self.router.settings().caller_timeout_ms * UNTRUSTED_TIMEOUTS;
         let caller = request.remote_addr();
-        if self.condemned.holds(caller, keep_ms, now_ms) {
+        if self.untrusted.contains(caller, retention_ms, now_ms) {
             return Err(malformed(
                 "This connection sent a doubtful length; open another.".to_owned(),
             ));
         }
-        framing::check(request).inspect_err(|_| self.condemned.add(caller, now_ms))
+        framing::check(request).inspect_err(|_| self.untrusted.add(caller, now_ms))
     }
 
     /// Serves or refuses a request on a thread of its own. Neither happens
@@ -164,20 +164,20 @@
     fn dispatch(self: &Arc<Self>, request: Request) {
         let refused = self.check(&request).err();
         let callers = self.clone();
-        let most = self.router.settings().max_open_requests;
-        let spawned = match self.router.shared().lifecycle.open(most) {
+        let max_open_requests = self.router.settings().max_open_requests;
+        let spawned = match self.router.shared().lifecycle.try_open(max_open_requests) {
             Some(guard) => thread::Builder::new()
                 .name("request".to_owned())
                 .stack_size(REQUEST_STACK_BYTES)
                 .spawn(move || {
                     let _guard = guard;
-                    Handler::new(&callers.router, &callers.condemned, &request)
+                    Handler::new(&callers.router, &callers.untrusted, &request)
                         .handle(request, refused);
                 }),
             None => thread::Builder::new()
                 .name("refusal".to_owned())
                 .stack_size(REFUSAL_STACK_BYTES)
-                .spawn(move || refuse_full(request)),
+                .spawn(move || refuse_overload(request)),
         };
         if let Err(error) = spawned {
             warn!("callers: No thread for a request. {error}; raise the limit of threads.");
@@ -185,10 +185,10 @@
     }
 }
 
-fn refuse_full(request: Request) {
+fn refuse_overload(request: Request) {
     let refusal = Refusal::Unavailable {
         reason: "This instance serves as many requests as it may",
-        retry_ms: spread_ms(FULL_RETRY_MS),
+        retry_ms: jittered_ms(MIN_OVERLOAD_RETRY_MS),
     };
-    Head::of(&request_id::draw()).refuse(request, &refusal);
+    Head::of(&request_id::generate()).refuse(request, &refusal);
 }
--- a/crates/mangowalkd/src/caller/stream.rs
+++ b/crates/mangowalkd/src/caller/stream.rs
@@ -1,6 +1,6 @@
 use {
-    super::{error::ErrorBody, reply::Head, shape::Shape, sse::SseWriter},
-    crate::serve::{AnswerSink, Finished},
+    super::{error::ErrorBody, reply::Head, response_format::ResponseFormat, sse::SseWriter},
+    crate::serve::{AnswerSink, FinishedAnswer},
     log::info,
     mangowalk_core::refusal::Refusal,
     std::io,
@@ -17,23 +17,23 @@
     request: Option<Request>,
     writer: Option<SseWriter>,
     head: Head,
-    shape: Shape,
+    response_format: ResponseFormat,
 }
 
 impl StreamSink {
-    pub(super) fn new(request: Request, head: Head, shape: Shape) -> StreamSink {
+    pub(super) fn new(request: Request, head: Head, response_format: ResponseFormat) -> StreamSink {
         StreamSink {
             request: Some(request),
             writer: None,
             head,
-            shape,
+            response_format,
         }
     }
 
     fn writer(&mut self) -> io::Result<&mut SseWriter> {
         if let Some(request) = self.request.take() {
             let mut writer = SseWriter::start(request, &self.head)?;
-            if let Some(first) = self.shape.opening() {
+            if let Some(first) = self.response_format.opening() {
                 writer.event(&first)?;
             }
             self.writer = Some(writer);
@@ -44,17 +44,17 @@
     }
 
     /// Writes the end of a complete answer.
-    pub(super) fn finish(&mut self, finished: &Finished) {
+    pub(super) fn finish(&mut self, finished: &FinishedAnswer) {
         if let Err(error) = self.write_end(finished) {
             info!(
                 "callers: The end of {} was not taken. {error}.",
-                self.shape.id
+                self.response_format.id
             );
         }
     }
 
-    fn write_end(&mut self, finished: &Finished) -> io::Result<()> {
-        let closing = self.shape.closing(finished);
+    fn write_end(&mut self, finished: &FinishedAnswer) -> io::Result<()> {
+        let closing = self.response_format.closing(finished);
         let writer = self.writer()?;
         for event in closing {
             writer.event(&event)?;
@@ -80,7 +80,7 @@
 
 impl AnswerSink for StreamSink {
     fn token(&mut self, text: &str) -> io::Result<()> {
-        let event = self.shape.delta(text);
+        let event = self.response_format.delta(text);
         self.writer()?.event(&event)
     }
 
--- a/crates/mangowalkd/src/caller/condemned.rs
+++ b/crates/mangowalkd/src/caller/untrusted.rs
@@ -5,7 +5,7 @@
 };
 
 /// Connections that are remembered at once.
-const MOST: usize = 4_096;
+const MAX_CONNECTIONS: usize = 4_096;
 
 /// Connections whose bytes can't be trusted any more, by the caller's address.
 ///
@@ -13,29 +13,34 @@
 /// offers no way to close it. After a doubtful length those bytes may be the
 /// rest of a body made to look like a request, so none of them is served.
 #[derive(Debug, Default)]
-pub(super) struct Condemned {
+pub(super) struct UntrustedConnections {
     since_ms: Mutex<HashMap<SocketAddr, u64>>,
 }
 
-impl Condemned {
+impl UntrustedConnections {
     /// Serves nothing more from a connection.
     pub(super) fn add(&self, caller: Option<&SocketAddr>, now_ms: u64) {
         let Some(caller) = caller else { return };
         let mut since_ms = self.since_ms.lock().unwrap_or_else(PoisonError::into_inner);
-        if since_ms.len() >= MOST {
+        if since_ms.len() >= MAX_CONNECTIONS {
             since_ms.clear();
         }
         since_ms.insert(*caller, now_ms);
     }
 
     /// Returns whether a connection is condemned. A port that another caller
-    /// uses later is free again after `keep_ms`: a silent connection is closed
+    /// uses later is free again after `retention_ms`: a silent connection is closed
     /// before that.
-    pub(super) fn holds(&self, caller: Option<&SocketAddr>, keep_ms: u64, now_ms: u64) -> bool {
+    pub(super) fn contains(
+        &self,
+        caller: Option<&SocketAddr>,
+        retention_ms: u64,
+        now_ms: u64,
+    ) -> bool {
         let Some(caller) = caller else { return false };
         let mut since_ms = self.since_ms.lock().unwrap_or_else(PoisonError::into_inner);
         match since_ms.get(caller) {
-            Some(at_ms) if now_ms.saturating_sub(*at_ms) < keep_ms => true,
+            Some(added_ms) if now_ms.saturating_sub(*added_ms) < retention_ms => true,
             Some(_) => {
                 since_ms.remove(caller);
                 false
--- a/crates/mangowalkd/src/serve/admit.rs
+++ b/crates/mangowalkd/src/serve/admit.rs
@@ -13,13 +13,13 @@
 
 /// Pause after which a waiting request looks at the queue itself. Answers and
 /// reports move the queue; this is for when neither comes.
-const LOOK: Duration = Duration::from_millis(50);
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// When a caller should come back if no engine serves the model.
 const NO_ENGINE_RETRY_MS: u64 = 1_000;
 
 /// Versions that a request asks for in turn while weights change.
-const VERSION_TRIES: u32 = 3;
+const MAX_VERSION_ATTEMPTS: u32 = 3;
 
 impl<E: Edges> Router<E> {
     /// Waits for a request's turn.
@@ -28,27 +28,27 @@
     ///
     /// Refuses at once what would not be served in time.
     pub(super) fn admit(&self, request: &ChatRequest) -> Result<Target, Refusal> {
-        let mut version = self.version_now(request)?;
-        for _ in 1..VERSION_TRIES {
-            let refusal = match self.wait_for(request, &version) {
+        let mut version = self.current_version(request)?;
+        for _ in 1..MAX_VERSION_ATTEMPTS {
+            let refusal = match self.wait_for_version(request, &version) {
                 Err(refusal @ Refusal::Unavailable { .. }) => refusal,
                 other => return other,
             };
             // While weights change, the last engine of a version may be
             // drained under the requests that wait for it. They ask anew for
             // the other version; refused, they would pay for the rollout.
-            let now = self.version_now(request)?;
-            if now == version {
+            let current = self.current_version(request)?;
+            if current == version {
                 return Err(refusal);
             }
-            version = now;
+            version = current;
         }
-        self.wait_for(request, &version)
+        self.wait_for_version(request, &version)
     }
 
     /// Returns the weights version for a request that arrives now.
-    fn version_now(&self, request: &ChatRequest) -> Result<String, Refusal> {
-        self.board.apply_engines(&self.board.config.view());
+    fn current_version(&self, request: &ChatRequest) -> Result<String, Refusal> {
+        self.shared.apply_engines(&self.shared.config.view());
         self.version_for(request).ok_or(Refusal::Unavailable {
             reason: "No engine serves the model now",
             retry_ms: NO_ENGINE_RETRY_MS,
@@ -56,9 +56,9 @@
     }
 
     /// Waits for a request's turn on an engine that serves a version.
-    fn wait_for(&self, request: &ChatRequest, version: &str) -> Result<Target, Refusal> {
-        let job = self.job(request, &self.board.config.view(), version);
-        match self.wait_turn(job) {
+    fn wait_for_version(&self, request: &ChatRequest, version: &str) -> Result<Target, Refusal> {
+        let job = self.job(request, &self.shared.config.view(), version);
+        match self.wait_for_decision(job) {
             Decision::Send { choice, .. } => self.dispatch(request, version, choice),
             Decision::Refuse { refusal, .. } => {
                 info!(
@@ -86,28 +86,28 @@
         choice: Choice,
     ) -> Result<Target, Refusal> {
         // Read anew: an engine withdrawn meanwhile gets no work.
-        let view = self.board.config.view();
+        let view = self.shared.config.view();
         let target = self.target(&view, version, choice);
         if !self.still_authorized(&request.team, &request.key_digest) {
             return Err(Refusal::Unauthorized);
         }
         let now_ms = self.edges.clock().now_ms();
-        let allowed = |name: &str| self.board.upstreams.allows(name, now_ms);
+        let allowed = |name: &str| self.shared.upstreams.allows(name, now_ms);
         target
-            .or_else(|| self.place_again(request, &view, Some(version), &HashSet::new(), &allowed))
+            .or_else(|| self.place_retry(request, &view, Some(version), &HashSet::new(), &allowed))
             .ok_or(Refusal::Unavailable {
                 reason: "The engine chosen is departing",
                 retry_ms: NO_ENGINE_RETRY_MS,
             })
     }
 
-    fn wait_turn(&self, job: Job) -> Decision {
-        let dispatch = &self.board.dispatch;
-        let verdict = dispatch.arrive(job, self.edges.clock().now_ms());
+    fn wait_for_decision(&self, job: Job) -> Decision {
+        let dispatch = &self.shared.dispatch;
+        let decision = dispatch.submit(job, self.edges.clock().now_ms());
         loop {
-            match verdict.recv_timeout(LOOK) {
-                Ok(verdict) => return verdict,
-                Err(_) => dispatch.pump(self.edges.clock().now_ms()),
+            match decision.recv_timeout(QUEUE_POLL_INTERVAL) {
+                Ok(decision) => return decision,
+                Err(_) => dispatch.dispatch_queued(self.edges.clock().now_ms()),
             }
         }
     }
@@ -127,7 +127,7 @@
             model: request.model.clone(),
             version: version.to_owned(),
             chain: block_chain(&salt, &request.prompt),
-            avoid: self.suspects_apart_from(request),
+            avoid: self.upstreams_with_other_suspects(request),
             stored_blocks: 0,
         }
     }
--- a/crates/mangowalkd/src/serve/answer.rs
+++ b/crates/mangowalkd/src/serve/answer.rs
@@ -20,7 +20,7 @@
 
 /// How a complete answer ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Finished {
+pub struct FinishedAnswer {
     /// `stop` or `length`.
     pub finish_reason: String,
     /// Token counts over all attempts.
--- a/crates/mangowalkd/src/serve/attempt.rs
+++ b/crates/mangowalkd/src/serve/attempt.rs
@@ -1,5 +1,7 @@
 use {
-    super::{AnswerSink, ChatRequest, Finished, Router, place::cache_salt, poison::identity_of},
+    super::{
+        AnswerSink, ChatRequest, FinishedAnswer, Router, place::cache_salt, poison::chat_identity,
+    },
     crate::shared_state::{PlacedAttempt, UpstreamAttempt},
     log::{info, warn},
     mangowalk_core::{
@@ -15,10 +17,10 @@
 ///
 /// A caller that goes away shows only when it is written to. Without a sign
 /// in between, a slow engine would work on for it until its next token.
-const SIGN_MS: u64 = 1_000;
+const KEEPALIVE_INTERVAL_MS: u64 = 1_000;
 
 /// Priority of a team whose record names none.
-const MIDDLE_PRIORITY: u8 = 5;
+const DEFAULT_PRIORITY: u8 = 5;
 
 /// An engine that can take an attempt now.
 pub(super) struct Target {
@@ -29,24 +31,24 @@
 }
 
 /// What one wait brought.
-enum Next {
+enum WaitResult {
     Token,
     /// An event that is nothing to the caller.
-    Nothing,
+    Ignored,
     /// Nothing came.
     Silence,
     End(End),
 }
 
 /// One attempt while it runs.
-struct Run<'a, E: Edges> {
+struct RunningAttempt<'a, E: Edges> {
     router: &'a Router<E>,
     events: <E::Engines as Engines>::Events,
     sequencer: &'a mut Sequencer,
     sink: &'a mut dyn AnswerSink,
     timeouts: Timeouts,
     target: &'a Target,
-    finished: Option<Finished>,
+    finished: Option<FinishedAnswer>,
 }
 
 impl<E: Edges> Router<E> {
@@ -56,18 +58,18 @@
         &self,
         request: &ChatRequest,
         target: &Target,
-        on: UpstreamAttempt,
+        upstream_attempt: UpstreamAttempt,
         timeouts: Timeouts,
         sequencer: &mut Sequencer,
         sink: &mut dyn AnswerSink,
-    ) -> (EndedAttempt, Option<Finished>) {
-        let _in_flight = self.board.engines.start(&target.engine.name);
-        let identity = identity_of(request);
-        let _running = self.board.poison.start(&target.engine.name, identity);
+    ) -> (EndedAttempt, Option<FinishedAnswer>) {
+        let _in_flight = self.shared.engines.start(&target.engine.name);
+        let identity = chat_identity(request);
+        let _running = self.shared.poison.start(&target.engine.name, identity);
         let planned = Attempt::plan(sequencer.next_attempt(target.incarnation));
         let message = self.message(request, target, sequencer, planned.number());
         let sent = planned.send(self.edges.clock().now_ms());
-        let mut run = Run {
+        let mut run = RunningAttempt {
             router: self,
             events: self
                 .edges
@@ -79,11 +81,11 @@
             target,
             finished: None,
         };
-        let ended = run.until_first_token(sent, &on);
+        let ended = run.until_first_token(sent, &upstream_attempt);
         let finished = run.finished;
-        on.end(&ended, self.edges.clock().now_ms());
-        self.note(request, target, sent.number(), &ended);
-        self.note_run(request, target, &ended);
+        upstream_attempt.end(&ended, self.edges.clock().now_ms());
+        self.record_end(request, target, sent.number(), &ended);
+        self.record_run(request, target, &ended);
         (ended, finished)
     }
 
@@ -94,11 +96,11 @@
         sequencer: &Sequencer,
         attempt: u32,
     ) -> GenerateRequest {
-        let view = self.board.config.view();
+        let view = self.shared.config.view();
         let priority = view
             .teams
             .get(&request.team)
-            .map_or(MIDDLE_PRIORITY, |team| team.priority);
+            .map_or(DEFAULT_PRIORITY, |team| team.priority);
         GenerateRequest {
             request_id: request.request_id.clone(),
             attempt,
@@ -114,7 +116,13 @@
     }
 
     /// Writes down how an attempt ended, and acts on what that tells.
-    fn note(&self, request: &ChatRequest, target: &Target, attempt: u32, ended: &EndedAttempt) {
+    fn record_end(
+        &self,
+        request: &ChatRequest,
+        target: &Target,
+        attempt: u32,
+        ended: &EndedAttempt,
+    ) {
         let engine = &target.engine;
         let id = &request.request_id;
         if ended.needs_cancel() {
@@ -126,7 +134,7 @@
         }
         if ended.is_stale() {
             info!("serve: {} changed; its state is read again.", engine.name);
-            self.refresh(engine);
+            self.refresh_state(engine);
         }
         if ended.is_failure() {
             let end = ended.end();
@@ -138,57 +146,61 @@
     }
 
     /// Returns whether another engine could take the request of a target.
-    fn has_other(&self, target: &Target, now_ms: u64) -> bool {
-        let sights = self.board.engines.snapshot();
+    fn has_alternative(&self, target: &Target, now_ms: u64) -> bool {
+        let engines = self.shared.engines.snapshot();
         let serves = |name: &str| {
-            let state = sights.get(name).and_then(|sight| sight.state.as_ref());
+            let state = engines.get(name).and_then(|known| known.state.as_ref());
             state.is_some_and(|s| s.version == target.version && !s.loading)
         };
-        self.board.config.view().engines.values().any(|engine| {
+        self.shared.config.view().engines.values().any(|engine| {
             engine.name != target.engine.name
                 && engine.model == target.engine.model
                 && !engine.departing
                 && serves(&engine.name)
-                && self.board.upstreams.usable(&engine.name, now_ms)
+                && self.shared.upstreams.usable(&engine.name, now_ms)
         })
     }
 
     /// Reads an engine's state again, so that the next placement does not
     /// meet the same refusal.
-    fn refresh(&self, engine: &EngineRecord) {
+    fn refresh_state(&self, engine: &EngineRecord) {
         let state = self.edges.engines().state(engine.address).ok();
         let seen_ms = self.edges.clock().now_ms();
-        self.board
+        self.shared
             .dispatch
             .report(&engine.name, state.as_ref(), seen_ms);
-        self.board.engines.update(&engine.name, |sight| {
-            sight.state = state;
-            sight.seen_ms = seen_ms;
+        self.shared.engines.update(&engine.name, |known| {
+            known.state = state;
+            known.seen_ms = seen_ms;
         });
     }
 }
 
-impl<E: Edges> Run<'_, E> {
+impl<E: Edges> RunningAttempt<'_, E> {
     fn now_ms(&self) -> u64 {
         self.router.edges.clock().now_ms()
     }
 
-    fn until_first_token(&mut self, sent: Attempt<Sent>, on: &UpstreamAttempt) -> EndedAttempt {
+    fn until_first_token(
+        &mut self,
+        sent: Attempt<Sent>,
+        upstream_attempt: &UpstreamAttempt,
+    ) -> EndedAttempt {
         loop {
             let wait_ms = sent.wait_ms(&self.timeouts, self.now_ms());
-            match self.next(wait_ms) {
-                Next::Nothing => {}
-                Next::Silence if sent.number() == 1 && self.may_move() => {
+            match self.wait_next(wait_ms) {
+                WaitResult::Ignored => {}
+                WaitResult::Silence if sent.number() == 1 && self.may_switch_engine() => {
                     return sent.end(End::Stalled);
                 }
-                Next::Silence => {}
-                Next::End(end) => return sent.end(end),
-                Next::Token => {
+                WaitResult::Silence => {}
+                WaitResult::End(end) => return sent.end(end),
+                WaitResult::Token => {
                     let now_ms = self.now_ms();
                     let streaming = sent.first_token(now_ms);
                     self.target.placed.first_token(now_ms);
-                    on.first_token(streaming.first_token_ms(), now_ms);
-                    return self.until_end(streaming, on);
+                    upstream_attempt.first_token(streaming.first_token_ms(), now_ms);
+                    return self.until_end(streaming, upstream_attempt);
                 }
             }
         }
@@ -197,18 +209,18 @@
     fn until_end(
         &mut self,
         mut streaming: Attempt<Streaming>,
-        on: &UpstreamAttempt,
+        upstream_attempt: &UpstreamAttempt,
     ) -> EndedAttempt {
         loop {
             let wait_ms = streaming.wait_ms(&self.timeouts, self.now_ms());
-            match self.next(wait_ms) {
-                Next::Nothing => {}
-                Next::Silence => on.unheard(self.now_ms()),
-                Next::End(end) => return streaming.end(end),
-                Next::Token => {
+            match self.wait_next(wait_ms) {
+                WaitResult::Ignored => {}
+                WaitResult::Silence => upstream_attempt.record_silence(self.now_ms()),
+                WaitResult::End(end) => return streaming.end(end),
+                WaitResult::Token => {
                     let now_ms = self.now_ms();
                     streaming.token(now_ms);
-                    on.heard(now_ms);
+                    upstream_attempt.record_token(now_ms);
                 }
             }
         }
@@ -216,47 +228,52 @@
 
     /// Returns whether the request may leave its engine before the timeout: it
     /// is stalled, another one is free, and the budget pays for it.
-    fn may_move(&self) -> bool {
+    fn may_switch_engine(&self) -> bool {
         let now_ms = self.now_ms();
-        let upstreams = &self.router.board.upstreams;
+        let upstreams = &self.router.shared.upstreams;
         upstreams.is_stalled(&self.target.engine.name, now_ms)
-            && self.router.has_other(self.target, now_ms)
-            && upstreams.retry()
+            && self.router.has_alternative(self.target, now_ms)
+            && upstreams.try_retry()
     }
 
-    fn next(&mut self, wait_ms: u64) -> Next {
+    fn wait_next(&mut self, wait_ms: u64) -> WaitResult {
         let until_ms = self.timeouts.request_until_ms;
         let left_ms = until_ms.saturating_sub(self.now_ms());
         if left_ms == 0 {
-            return Next::End(End::OverTime);
+            return WaitResult::End(End::OverTime);
         }
         if wait_ms == 0 {
-            return Next::End(End::Send(SendError::TimedOut));
+            return WaitResult::End(End::Send(SendError::TimedOut));
         }
-        match self.events.wait(wait_ms.min(SIGN_MS).min(left_ms)) {
-            Ok(Some(event)) => self.take(&event),
-            Ok(None) if self.sink.silence().is_err() => Next::End(End::CallerGone),
-            Ok(None) => Next::Silence,
-            Err(error) => Next::End(End::Send(error)),
+        match self
+            .events
+            .wait(wait_ms.min(KEEPALIVE_INTERVAL_MS).min(left_ms))
+        {
+            Ok(Some(event)) => self.handle_event(&event),
+            Ok(None) if self.sink.silence().is_err() => WaitResult::End(End::CallerGone),
+            Ok(None) => WaitResult::Silence,
+            Err(error) => WaitResult::End(End::Send(error)),
         }
     }
 
-    fn take(&mut self, event: &GenerateEvent) -> Next {
+    fn handle_event(&mut self, event: &GenerateEvent) -> WaitResult {
         match self.sequencer.take(event) {
-            Step::Write(text) if self.sink.token(&text).is_err() => Next::End(End::CallerGone),
-            Step::Write(_) => Next::Token,
-            Step::Skip => Next::Nothing,
-            Step::Fail(fault) => Next::End(End::Stream(fault)),
+            Step::Write(text) if self.sink.token(&text).is_err() => {
+                WaitResult::End(End::CallerGone)
+            }
+            Step::Write(_) => WaitResult::Token,
+            Step::Skip => WaitResult::Ignored,
+            Step::Fail(fault) => WaitResult::End(End::Stream(fault)),
             Step::Complete {
                 finish_reason,
                 usage,
             } => {
-                self.finished = Some(Finished {
+                self.finished = Some(FinishedAnswer {
                     finish_reason,
                     usage,
                     engine: self.target.engine.name.clone(),
                 });
-                Next::End(End::Complete)
+                WaitResult::End(End::Complete)
             }
         }
     }
--- a/crates/mangowalkd/src/serve/attempts.rs
+++ b/crates/mangowalkd/src/serve/attempts.rs
@@ -1,5 +1,7 @@
 use {
-    super::{AnswerSink, ChatRequest, Finished, Router, attempt::Target, poison::identity_of},
+    super::{
+        AnswerSink, ChatRequest, FinishedAnswer, Router, attempt::Target, poison::chat_identity,
+    },
     mangowalk_core::{
         attempt::{End, EndedAttempt, Timeouts},
         edge::{Clock, Edges},
@@ -15,39 +17,39 @@
 
 /// Attempts that one request may use. Three engines that fail in turn are no
 /// accident any more: either the fleet is down or the request is to blame.
-const MOST_ATTEMPTS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// Engines whose state may turn out to be old, for one request.
-const MOST_STALE: u32 = 8;
+const MAX_STALE_REFUSALS: u32 = 8;
 
 /// When a caller should come back at the earliest if no engine can take its
 /// request.
-const NO_ENGINE_RETRY_MS: u64 = 1_000;
+const MIN_RETRY_MS: u64 = 1_000;
 
 /// Pause between two looks for an engine that can resume a stream.
-const RESUME_LOOK_MS: u64 = 100;
+const RESUME_POLL_INTERVAL_MS: u64 = 100;
 
 /// What the attempts of one request have come to.
-struct Course {
+struct AttemptHistory {
     sequencer: Sequencer,
     /// Engines tried, with the incarnation that was tried. One that restarted
     /// since may be tried again.
     tried: HashMap<String, u64>,
     attempts: u32,
-    stale: u32,
+    stale_refusals: u32,
     /// Whether the next attempt was charged when the last one gave up.
-    is_paid: bool,
+    is_retry_charged: bool,
     outcome: Outcome,
 }
 
-impl Course {
-    fn new(request_id: &str) -> Course {
-        Course {
+impl AttemptHistory {
+    fn new(request_id: &str) -> AttemptHistory {
+        AttemptHistory {
             sequencer: Sequencer::new(request_id, ""),
             tried: HashMap::new(),
             attempts: 0,
-            stale: 0,
-            is_paid: false,
+            stale_refusals: 0,
+            is_retry_charged: false,
             outcome: Outcome::NotRun,
         }
     }
@@ -56,28 +58,28 @@
         self.sequencer.bound_version().is_some()
     }
 
-    fn note(&mut self, target: &Target, ended: &EndedAttempt) {
+    fn record(&mut self, target: &Target, ended: &EndedAttempt) {
         let name = target.engine.name.clone();
         self.tried.insert(name, target.incarnation);
-        self.outcome = worse(self.outcome, ended.outcome());
-        self.is_paid = ended.end() == End::Stalled;
+        self.outcome = combine_outcomes(self.outcome, ended.outcome());
+        self.is_retry_charged = ended.end() == End::Stalled;
         if ended.is_stale() {
-            self.stale += 1;
+            self.stale_refusals += 1;
         } else {
             self.attempts += 1;
         }
     }
 
-    fn is_over(&self) -> bool {
-        self.attempts >= MOST_ATTEMPTS || self.stale >= MOST_STALE
+    fn is_exhausted(&self) -> bool {
+        self.attempts >= MAX_ATTEMPTS || self.stale_refusals >= MAX_STALE_REFUSALS
     }
 
     /// Returns what the caller is told where no attempt completed.
-    fn given_up(&self, reason: &'static str) -> Refusal {
+    fn refusal(&self, reason: &'static str) -> Refusal {
         match self.outcome {
             Outcome::NotRun => Refusal::Unavailable {
                 reason,
-                retry_ms: spread_ms(NO_ENGINE_RETRY_MS),
+                retry_ms: jittered_ms(MIN_RETRY_MS),
             },
             outcome => Refusal::Lost {
                 remedy: "send it again",
@@ -89,13 +91,13 @@
 
 /// Returns a time up to twice as long, drawn anew. Callers refused together
 /// would otherwise come back together and be refused again.
-pub(crate) fn spread_ms(least_ms: u64) -> u64 {
-    rand::random_range(least_ms..=least_ms * 2)
+pub(crate) fn jittered_ms(min_ms: u64) -> u64 {
+    rand::random_range(min_ms..=min_ms * 2)
 }
 
 /// Returns what is known after two attempts: that one ran is known whatever
 /// became of the other, and a doubt is not removed by a refusal elsewhere.
-fn worse(a: Outcome, b: Outcome) -> Outcome {
+fn combine_outcomes(a: Outcome, b: Outcome) -> Outcome {
     match (a, b) {
         (Outcome::Ran, _) | (_, Outcome::Ran) => Outcome::Ran,
         (Outcome::Unknown, _) | (_, Outcome::Unknown) => Outcome::Unknown,
@@ -110,52 +112,59 @@
         &self,
         request: &ChatRequest,
         sink: &mut dyn AnswerSink,
-    ) -> Result<Finished, Refusal> {
+    ) -> Result<FinishedAnswer, Refusal> {
         let started_ms = self.edges.clock().now_ms();
-        let mut course = Course::new(&request.request_id);
-        self.board.upstreams.first_attempt();
-        while !course.is_over() {
-            let Some(target) = self.next_target(request, &course, sink)? else {
+        let mut history = AttemptHistory::new(&request.request_id);
+        self.shared.upstreams.record_first_attempt();
+        while !history.is_exhausted() {
+            let Some(target) = self.next_target(request, &history, sink)? else {
                 break;
             };
-            if !self.may_send(&course) {
-                return Err(course.given_up("Too many requests had to be sent again"));
+            if !self.charge_retry(&history) {
+                return Err(history.refusal("Too many requests had to be sent again"));
             }
             let now_ms = self.edges.clock().now_ms();
             let name = &target.engine.name;
-            let Some(on) = self.board.upstreams.start(name, &request.model, now_ms) else {
-                course.tried.insert(name.clone(), target.incarnation);
+            let Some(upstream_attempt) = self.shared.upstreams.start(name, &request.model, now_ms)
+            else {
+                history.tried.insert(name.clone(), target.incarnation);
                 continue;
             };
-            course.sequencer.rebind(&target.version);
+            history.sequencer.rebind(&target.version);
             let timeouts = self.timeouts(request, started_ms, now_ms);
-            let (ended, finished) =
-                self.attempt(request, &target, on, timeouts, &mut course.sequencer, sink);
-            course.note(&target, &ended);
+            let (ended, finished) = self.attempt(
+                request,
+                &target,
+                upstream_attempt,
+                timeouts,
+                &mut history.sequencer,
+                sink,
+            );
+            history.record(&target, &ended);
             let usage = finished.as_ref().map(|f| &f.usage);
             target.placed.end(usage, self.edges.clock().now_ms());
             if let Some(finished) = finished {
                 return Ok(finished);
             }
-            self.refuse_poison(identity_of(request), course.outcome)?;
+            self.refuse_poisonous(chat_identity(request), history.outcome)?;
             match ended.end() {
                 End::OverTime => break,
                 End::CallerGone => {
                     return Err(Refusal::Lost {
                         remedy: "the caller closed the connection",
-                        outcome: course.outcome,
+                        outcome: history.outcome,
                     });
                 }
-                _ if !course.has_begun() && self.is_late(request, started_ms) => break,
+                _ if !history.has_begun() && self.is_past_deadline(request, started_ms) => break,
                 _ => {}
             }
         }
-        Err(course.given_up("No engine can take the request"))
+        Err(history.refusal("No engine can take the request"))
     }
 
     /// Returns whether the caller no longer waits for a first token. Another
     /// attempt would be work for nobody.
-    fn is_late(&self, request: &ChatRequest, started_ms: u64) -> bool {
+    fn is_past_deadline(&self, request: &ChatRequest, started_ms: u64) -> bool {
         let spent_ms = self.edges.clock().now_ms().saturating_sub(started_ms);
         request
             .deadline_ms
@@ -177,12 +186,12 @@
 
     /// Asks the budget for what is no first attempt. One behind a stale
     /// refusal is free: nothing ran, and the engine's state is known now.
-    fn may_send(&self, course: &Course) -> bool {
-        if course.has_begun() {
-            self.board.upstreams.resume();
+    fn charge_retry(&self, history: &AttemptHistory) -> bool {
+        if history.has_begun() {
+            self.shared.upstreams.charge_resume();
             return true;
         }
-        course.attempts == 0 || course.is_paid || self.board.upstreams.retry()
+        history.attempts == 0 || history.is_retry_charged || self.shared.upstreams.try_retry()
     }
 
     /// Chooses an engine. For a stream that has begun it waits for one to
@@ -191,57 +200,57 @@
     fn next_target(
         &self,
         request: &ChatRequest,
-        course: &Course,
+        history: &AttemptHistory,
         sink: &mut dyn AnswerSink,
     ) -> Result<Option<Target>, Refusal> {
-        if course.tried.is_empty() {
+        if history.tried.is_empty() {
             return self.admit(request).map(Some);
         }
-        let mut left_ms = if course.has_begun() {
+        let mut left_ms = if history.has_begun() {
             self.settings.token_timeout_ms
         } else {
             0
         };
         loop {
-            if let Some(target) = self.choose(request, course) {
+            if let Some(target) = self.choose(request, history) {
                 return Ok(Some(target));
             }
             if left_ms == 0 || sink.silence().is_err() {
                 return Ok(None);
             }
-            thread::sleep(Duration::from_millis(RESUME_LOOK_MS));
-            left_ms = left_ms.saturating_sub(RESUME_LOOK_MS);
+            thread::sleep(Duration::from_millis(RESUME_POLL_INTERVAL_MS));
+            left_ms = left_ms.saturating_sub(RESUME_POLL_INTERVAL_MS);
         }
     }
 
     /// Prefers engines below their limits. Where there is none, one whose
     /// breaker is closed is better than a refusal.
-    fn choose(&self, request: &ChatRequest, course: &Course) -> Option<Target> {
+    fn choose(&self, request: &ChatRequest, history: &AttemptHistory) -> Option<Target> {
         // Read anew for each attempt: an engine withdrawn meanwhile gets none.
-        let view = self.board.config.view();
+        let view = self.shared.config.view();
         let now_ms = self.edges.clock().now_ms();
-        let upstreams = &self.board.upstreams;
-        let version = course.sequencer.bound_version();
-        let tried = self.still_tried(course);
-        let suspects = self.suspects_apart_from(request);
+        let upstreams = &self.shared.upstreams;
+        let version = history.sequencer.bound_version();
+        let tried = self.tried_engines(history);
+        let suspects = self.upstreams_with_other_suspects(request);
         let usable = |name: &str| upstreams.usable(name, now_ms);
         let allowed = |name: &str| upstreams.allows(name, now_ms);
-        let apart = |name: &str| usable(name) && !suspects.contains(name);
-        self.place_again(request, &view, version, &tried, &apart)
-            .or_else(|| self.place_again(request, &view, version, &tried, &usable))
-            .or_else(|| self.place_again(request, &view, version, &tried, &allowed))
+        let away_from_suspects = |name: &str| usable(name) && !suspects.contains(name);
+        self.place_retry(request, &view, version, &tried, &away_from_suspects)
+            .or_else(|| self.place_retry(request, &view, version, &tried, &usable))
+            .or_else(|| self.place_retry(request, &view, version, &tried, &allowed))
     }
 
     /// Returns the tried engines that have not restarted since.
-    fn still_tried(&self, course: &Course) -> HashSet<String> {
-        self.board.engines.read(|sights| {
-            course
+    fn tried_engines(&self, history: &AttemptHistory) -> HashSet<String> {
+        self.shared.engines.read(|engines| {
+            history
                 .tried
                 .iter()
                 .filter(|(name, incarnation)| {
-                    sights
+                    engines
                         .get(*name)
-                        .and_then(|sight| sight.state.as_ref())
+                        .and_then(|known| known.state.as_ref())
                         .is_none_or(|state| state.incarnation == **incarnation)
                 })
                 .map(|(name, _)| name.clone())
--- a/crates/mangowalkd/src/serve/claim.rs
+++ b/crates/mangowalkd/src/serve/claim.rs
@@ -12,14 +12,14 @@
 };
 
 /// Writes of one claim whose replies may be lost before it is given up.
-const MOST_WRITES: u32 = 2;
+const MAX_CLAIM_WRITES: u32 = 2;
 
 /// What became of an attempt to claim a request.
-pub(super) enum Claiming {
+pub(super) enum ClaimResult {
     /// This request may be sent.
-    Won(Claim<Claimed>),
+    Created(Claim<Claimed>),
     /// It may not; the caller gets this.
-    Met(DuplicateResponse),
+    NotCreated(DuplicateResponse),
 }
 
 impl<E: Edges> Router<E> {
@@ -27,9 +27,9 @@
     ///
     /// Without the claim a caller that sends again through another instance,
     /// after this one died, would have its deposit taken twice.
-    pub(super) fn claim(&self, request: &ServiceRequest) -> Claiming {
+    pub(super) fn claim(&self, request: &ServiceRequest) -> ClaimResult {
         let Some(key) = &request.idempotency_key else {
-            return Claiming::Met(DuplicateResponse::Refuse(Refusal::Malformed {
+            return ClaimResult::NotCreated(DuplicateResponse::Refuse(Refusal::Malformed {
                 detail: "This call may run only once; send an Idempotency-Key.".to_owned(),
             }));
         };
@@ -39,7 +39,7 @@
     }
 
     fn claim_body(&self, request: &ServiceRequest) -> ClaimBody {
-        let identity = &self.board.identity;
+        let identity = &self.shared.identity;
         ClaimBody {
             schema: 1,
             holder: identity.caller_address,
@@ -52,7 +52,7 @@
                 request.content_type.as_bytes(),
                 &request.body,
             ]),
-            epoch: self.board.claims.epoch(self.edges.clock().now_ms()),
+            epoch: self.shared.claims.epoch(self.edges.clock().now_ms()),
             state: ClaimState::Claimed,
         }
     }
@@ -60,54 +60,59 @@
     /// Creates the claim. A write whose reply was lost is read back, and
     /// written again where it is not there: whichever of both takes effect,
     /// it is this claim.
-    fn create(&self, claim: Claim<Unclaimed>) -> Claiming {
+    fn create(&self, claim: Claim<Unclaimed>) -> ClaimResult {
         let begun_ms = self.edges.clock().now_ms();
         let key = claim.key();
         let body = serde_json::to_value(claim.body()).unwrap_or_default();
-        for _ in 0..MOST_WRITES {
+        for _ in 0..MAX_CLAIM_WRITES {
             match self.edges.platform().put(&key, Expect::Absent, &body) {
-                Ok(version) => return Claiming::Won(claim.created(version, begun_ms)),
+                Ok(version) => return ClaimResult::Created(claim.created(version, begun_ms)),
                 Err(PlatformError::Conflict { .. } | PlatformError::Lost) => {}
                 Err(PlatformError::Unreached | PlatformError::Refused { .. }) => {
-                    return Claiming::Met(unrecorded());
+                    return ClaimResult::NotCreated(not_recorded());
                 }
             }
             match self.edges.platform().get(&key) {
-                Ok(Some(object)) => return self.meet(claim, begun_ms, &object),
+                Ok(Some(object)) => return self.resolve_existing(claim, begun_ms, &object),
                 Ok(None) => {}
                 Err(_) => break,
             }
         }
         // The claim may be there or still come. Nothing was sent under it, so
         // it is taken back once the platform answers.
-        self.board.claims.withdraw_nonce(key, claim.body().nonce);
-        Claiming::Met(unrecorded())
+        self.shared.claims.withdraw_nonce(key, claim.body().nonce);
+        ClaimResult::NotCreated(not_recorded())
     }
 
-    fn meet(&self, claim: Claim<Unclaimed>, begun_ms: u64, object: &Object) -> Claiming {
-        let Ok(held) = serde_json::from_value::<ClaimBody>(object.body.clone()) else {
-            return Claiming::Met(DuplicateResponse::Refuse(Refusal::Claimed {
+    fn resolve_existing(
+        &self,
+        claim: Claim<Unclaimed>,
+        begun_ms: u64,
+        object: &Object,
+    ) -> ClaimResult {
+        let Ok(existing) = serde_json::from_value::<ClaimBody>(object.body.clone()) else {
+            return ClaimResult::NotCreated(DuplicateResponse::Refuse(Refusal::Claimed {
                 detail: "A call with this Idempotency-Key was claimed by a newer version of the router; send it again.",
                 outcome: Outcome::Unknown,
                 retry_ms: CLAIMED_RETRY_MS,
             }));
         };
-        if held.nonce == claim.body().nonce {
-            return Claiming::Won(claim.created(object.version, begun_ms));
+        if existing.nonce == claim.body().nonce {
+            return ClaimResult::Created(claim.created(object.version, begun_ms));
         }
-        let holder = self.holder_of(&held);
-        Claiming::Met(duplicate_response(&held, &claim.body().request, holder))
+        let holder = self.holder_liveness(&existing);
+        ClaimResult::NotCreated(duplicate_response(&existing, &claim.body().request, holder))
     }
 
-    fn holder_of(&self, claim: &ClaimBody) -> HolderLiveness {
-        let identity = &self.board.identity;
+    fn holder_liveness(&self, claim: &ClaimBody) -> HolderLiveness {
+        let identity = &self.shared.identity;
         if claim.incarnation == identity.incarnation {
             return HolderLiveness::Alive;
         }
-        let heard = self.board.peers.reachable().iter().any(|peer| {
+        let is_reachable = self.shared.peers.reachable().iter().any(|peer| {
             peer.view.caller_address == claim.holder && peer.view.incarnation == claim.incarnation
         });
-        if heard {
+        if is_reachable {
             HolderLiveness::Alive
         } else {
             HolderLiveness::Silent
@@ -115,7 +120,7 @@
     }
 }
 
-fn unrecorded() -> DuplicateResponse {
+fn not_recorded() -> DuplicateResponse {
     DuplicateResponse::Refuse(Refusal::Unavailable {
         reason: "The platform can't record that this call runs once, so it was not sent",
         retry_ms: CLAIMED_RETRY_MS,
--- a/crates/mangowalkd/src/serve/observe.rs
+++ b/crates/mangowalkd/src/serve/counted.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AnswerSink, ChatRequest, Finished, Router, ServiceRequest},
+    super::{AnswerSink, ChatRequest, FinishedAnswer, Router, ServiceRequest},
     mangowalk_core::{
         burn::{End, Observation},
         edge::{Clock, Edges, ServiceReply},
@@ -46,7 +46,7 @@
         &self,
         request: &ChatRequest,
         sink: &mut dyn AnswerSink,
-    ) -> Result<Finished, Refusal> {
+    ) -> Result<FinishedAnswer, Refusal> {
         let started_ms = self.now_ms();
         let mut timed = TimedSink {
             sink,
@@ -56,21 +56,24 @@
         };
         let result = self.generate(request, &mut timed);
         let (first_ms, caller_gone) = (timed.first_ms, timed.caller_gone);
-        let asked = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
+        let reserved_tokens = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
         let (end, tokens) = match &result {
-            Ok(done) => (
+            Ok(finished) => (
                 End::Complete,
-                done.usage.prompt_tokens + done.usage.completion_tokens,
+                finished.usage.prompt_tokens + finished.usage.completion_tokens,
+            ),
+            Err(_) if caller_gone => (End::Abandoned, reserved_tokens),
+            Err(refusal) => (
+                End::from_refusal(refusal, first_ms.is_some()),
+                reserved_tokens,
             ),
-            Err(_) if caller_gone => (End::Abandoned, asked),
-            Err(refusal) => (End::from_refusal(refusal, first_ms.is_some()), asked),
         };
-        let seen = Observation {
+        let observation = Observation {
             first_token_ms: first_ms.map(|ms| ms.saturating_sub(started_ms)),
             end,
             tokens,
         };
-        self.count(&request.team, &seen);
+        self.count(&request.team, &observation);
         result
     }
 
@@ -85,22 +88,24 @@
             Ok(_) => End::Complete,
             Err(refusal) => End::from_refusal(refusal, false),
         };
-        let seen = Observation {
+        let observation = Observation {
             first_token_ms: None,
             end,
             tokens: request.tokens(),
         };
-        self.count(&request.team, &seen);
+        self.count(&request.team, &observation);
         result
     }
 
-    fn count(&self, team: &str, seen: &Observation) {
-        let view = self.board.config.view();
+    fn count(&self, team: &str, observation: &Observation) {
+        let view = self.shared.config.view();
         let objective_ms = view
             .teams
             .get(team)
             .map_or(DEFAULT_FIRST_TOKEN_MS, |t| t.first_token_ms);
         let now_ms = self.now_ms();
-        self.board.burn.note(team, seen, objective_ms, now_ms);
+        self.shared
+            .burn
+            .record(team, observation, objective_ms, now_ms);
     }
 }
--- a/crates/mangowalkd/src/serve/generate.rs
+++ b/crates/mangowalkd/src/serve/generate.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AnswerSink, ChatRequest, Finished, Router, poison::identity_of},
+    super::{AnswerSink, ChatRequest, FinishedAnswer, Router, poison::chat_identity},
     mangowalk_core::{
         edge::Edges,
         placement::estimate_tokens,
@@ -17,24 +17,24 @@
         &self,
         request: &ChatRequest,
         sink: &mut dyn AnswerSink,
-    ) -> Result<Finished, Refusal> {
-        let view = self.board.config.view();
+    ) -> Result<FinishedAnswer, Refusal> {
+        let view = self.shared.config.view();
         if !view.models.contains_key(&request.model) {
             return Err(Refusal::NotFound {
                 what: "Model",
                 name: request.model.clone(),
             });
         }
-        self.refuse_poison(identity_of(request), Outcome::NotRun)?;
-        let reserved = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
-        let reservation = self.reserve(&request.team, reserved)?;
+        self.refuse_poisonous(chat_identity(request), Outcome::NotRun)?;
+        let reserved_tokens = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
+        let reservation = self.reserve(&request.team, reserved_tokens)?;
         let result = self.attempts(request, sink);
-        let used = match &result {
+        let used_tokens = match &result {
             Ok(finished) => finished.usage.prompt_tokens + finished.usage.completion_tokens,
             Err(refusal) if refusal.outcome() == Outcome::NotRun => 0,
-            Err(_) => reserved,
+            Err(_) => reserved_tokens,
         };
-        self.settle(&reservation, used);
+        self.settle(&reservation, used_tokens);
         result
     }
 }
--- a/crates/mangowalkd/src/serve/mod.rs
+++ b/crates/mangowalkd/src/serve/mod.rs
@@ -5,8 +5,8 @@
 mod attempt;
 mod attempts;
 mod claim;
+mod counted;
 mod generate;
-mod observe;
 mod place;
 mod poison;
 mod request;
@@ -15,12 +15,12 @@
 mod service;
 
 pub(crate) use {
-    attempts::spread_ms,
+    attempts::jittered_ms,
     place::{cache_salt, version_of},
 };
 
 pub use {
-    answer::{AnswerSink, Finished},
+    answer::{AnswerSink, FinishedAnswer},
     request::{ChatRequest, ServiceRequest},
     router::Router,
 };
--- a/crates/mangowalkd/src/serve/place.rs
+++ b/crates/mangowalkd/src/serve/place.rs
@@ -18,7 +18,7 @@
 /// Returns the weights version for a new request. A prefix keeps to one
 /// version while the share of engines that serve it stays the same.
 pub(crate) fn version_of(
-    board: &SharedState,
+    shared: &SharedState,
     team: &str,
     model: &str,
     prompt: &str,
@@ -26,7 +26,7 @@
     let salt = cache_salt(team, model, "");
     let first_block = prompt.get(..BLOCK_BYTES).unwrap_or_default();
     let key = block_chain(&salt, first_block).first().copied();
-    board.dispatch.read(|placement| {
+    shared.dispatch.read(|placement| {
         let version = placement.version(model, key.unwrap_or_default());
         version.map(str::to_owned)
     })
@@ -37,7 +37,7 @@
     /// gone, departing or draining by now.
     pub(super) fn target(&self, view: &View, version: &str, choice: Choice) -> Option<Target> {
         let (name, incarnation) = (choice.engine.clone(), choice.incarnation);
-        let placed = PlacedAttempt::new(self.board.clone(), choice);
+        let placed = PlacedAttempt::new(self.shared.clone(), choice);
         let record = view
             .engines
             .get(&name)
@@ -52,38 +52,41 @@
 
     /// Returns the weights version for a new request.
     pub(super) fn version_for(&self, request: &ChatRequest) -> Option<String> {
-        version_of(&self.board, &request.team, &request.model, &request.prompt)
+        version_of(&self.shared, &request.team, &request.model, &request.prompt)
     }
 
     /// Places a request that was let in already and lost its engine. It does
     /// not queue again: its caller holds a part of the answer or waited once.
     /// A stream that has begun is bound to its weights version.
-    pub(super) fn place_again(
+    pub(super) fn place_retry(
         &self,
         request: &ChatRequest,
         view: &View,
         version: Option<&str>,
         tried: &HashSet<String>,
-        fit: &EngineFilter<'_>,
+        is_usable: &EngineFilter<'_>,
     ) -> Option<Target> {
         let mut avoid = tried.clone();
         avoid.extend(view.closed_engines());
         let version = version.map_or_else(|| self.version_for(request), |v| Some(v.to_owned()))?;
         let salt = cache_salt(&request.team, &request.model, &version);
         let chain = block_chain(&salt, &request.prompt);
-        let ask = PlacementRequest {
+        let placement_request = PlacementRequest {
             model: &request.model,
             version: &version,
             chain: &chain,
             kv_store_blocks: 0,
             avoid: &avoid,
-            is_usable: fit,
+            is_usable,
             waited_ms: 0,
             queued: 0,
             force: true,
         };
         let now_ms = self.edges.clock().now_ms();
-        let choice = self.board.dispatch.place_again(&ask, now_ms)?;
+        let choice = self
+            .shared
+            .dispatch
+            .place_retry(&placement_request, now_ms)?;
         self.target(view, &version, choice)
     }
 }
--- a/crates/mangowalkd/src/serve/poison.rs
+++ b/crates/mangowalkd/src/serve/poison.rs
@@ -13,10 +13,10 @@
 };
 
 /// Digits of a digest that make a request's or a crash's identity.
-const IDENTITY_DIGITS: usize = 16;
+const IDENTITY_HEX_DIGITS: usize = 16;
 
 /// Returns the identity of a chat request, the same for each copy of it.
-pub(super) fn identity_of(request: &ChatRequest) -> u64 {
+pub(super) fn chat_identity(request: &ChatRequest) -> u64 {
     identity(&[
         request.team.as_bytes(),
         request.model.as_bytes(),
@@ -26,7 +26,7 @@
 }
 
 /// Returns the identity of a call, the same for each copy of it.
-pub(super) fn identity_of_call(request: &ServiceRequest) -> u64 {
+pub(super) fn call_identity(request: &ServiceRequest) -> u64 {
     identity(&[
         request.team.as_bytes(),
         request.service.as_bytes(),
@@ -39,16 +39,16 @@
 fn identity(parts: &[&[u8]]) -> u64 {
     let digest = digest_of_parts(parts);
     digest
-        .get(..IDENTITY_DIGITS)
+        .get(..IDENTITY_HEX_DIGITS)
         .and_then(|digits| u64::from_str_radix(digits, 16).ok())
         .unwrap_or_default()
 }
 
 impl<E: Edges> Router<E> {
     /// Refuses a request that crashed several upstreams, here or elsewhere.
-    pub(super) fn refuse_poison(&self, request: u64, outcome: Outcome) -> Result<(), Refusal> {
+    pub(super) fn refuse_poisonous(&self, request: u64, outcome: Outcome) -> Result<(), Refusal> {
         let now_ms = self.edges.clock().now_ms();
-        let crashes = self.board.poison.crashes(request, now_ms);
+        let crashes = self.shared.poison.crashes(request, now_ms);
         if crashes < MAX_CRASHES {
             return Ok(());
         }
@@ -56,56 +56,59 @@
     }
 
     /// Notes what the end of an attempt tells of its request.
-    pub(super) fn note_run(&self, request: &ChatRequest, target: &Target, ended: &EndedAttempt) {
+    pub(super) fn record_run(&self, request: &ChatRequest, target: &Target, ended: &EndedAttempt) {
         match ended.end() {
-            End::Complete => self.board.poison.completed(identity_of(request)),
-            End::Send(SendError::Lost | SendError::Unreadable) => self.note_crash(target),
+            End::Complete => self.shared.poison.completed(chat_identity(request)),
+            End::Send(SendError::Lost | SendError::Unreadable) => self.record_engine_crash(target),
             _ => {}
         }
     }
 
     /// Charges the requests on an engine with its crash, and tells peers
     /// before any of them is sent again.
-    fn note_crash(&self, target: &Target) {
+    fn record_engine_crash(&self, target: &Target) {
         let engine = &target.engine;
-        if self.still_runs(target) {
+        if self.is_still_running(target) {
             return;
         }
-        let crash = identity(&[engine.name.as_bytes(), &self.crash_number(target)]);
-        self.note_crash_of(&engine.name, crash);
+        let crash = identity(&[engine.name.as_bytes(), &self.crash_discriminator(target)]);
+        self.record_crash_of(&engine.name, crash);
     }
 
     /// Charges the calls on a service's instance that closed a connection.
     /// Services state no incarnation, so each instance counts once in the time
     /// for which crashes count.
-    pub(super) fn note_lost_call(&self, service: &str) {
-        self.note_crash_of(service, identity(&[b"service", service.as_bytes()]));
+    pub(super) fn record_lost_call(&self, service: &str) {
+        self.record_crash_of(service, identity(&[b"service", service.as_bytes()]));
     }
 
     /// Charges the requests on an upstream with a crash.
-    fn note_crash_of(&self, upstream: &str, crash: u64) {
+    fn record_crash_of(&self, upstream: &str, crash: u64) {
         let now_ms = self.edges.clock().now_ms();
-        if self.board.poison.crashed(upstream, crash, now_ms) {
+        if self.shared.poison.record_crash(upstream, crash, now_ms) {
             warn!("poison: {upstream} crashed; the most suspect of its requests are charged.");
-            tell_crashes(&*self.edges, &self.board);
+            tell_crashes(&*self.edges, &self.shared);
         }
     }
 
     /// Returns the engines that a suspect request is to be kept from: those
     /// that run another suspect. None, if the request is no suspect.
-    pub(super) fn suspects_apart_from(&self, request: &ChatRequest) -> HashSet<String> {
-        let identity = identity_of(request);
+    pub(super) fn upstreams_with_other_suspects(&self, request: &ChatRequest) -> HashSet<String> {
+        let identity = chat_identity(request);
         let now_ms = self.edges.clock().now_ms();
-        let poison = &self.board.poison;
+        let poison = &self.shared.poison;
         if poison.crashes(identity, now_ms) == 0 {
             return HashSet::new();
         }
-        poison.with_suspects(identity, now_ms).into_iter().collect()
+        poison
+            .upstreams_with_suspects(identity, now_ms)
+            .into_iter()
+            .collect()
     }
 
     /// Returns whether an engine whose stream was cut is still the same
     /// process. Then only the connection was lost, and no one is to blame.
-    fn still_runs(&self, target: &Target) -> bool {
+    fn is_still_running(&self, target: &Target) -> bool {
         let state = self.edges.engines().state(target.engine.address);
         let incarnation = state.map_or(0, |state| state.incarnation);
         incarnation != 0 && incarnation == target.incarnation
@@ -113,10 +116,10 @@
 
     /// Tells an engine's crash from its others. One that states no
     /// incarnation counts as crashed once in a second.
-    fn crash_number(&self, target: &Target) -> [u8; 8] {
+    fn crash_discriminator(&self, target: &Target) -> [u8; 8] {
         const MS_PER_S: u64 = 1_000;
         let number = match target.incarnation {
-            0 => self.board.identity.incarnation ^ (self.edges.clock().now_ms() / MS_PER_S),
+            0 => self.shared.identity.incarnation ^ (self.edges.clock().now_ms() / MS_PER_S),
             incarnation => incarnation,
         };
         number.to_le_bytes()
--- a/crates/mangowalkd/src/serve/reserve.rs
+++ b/crates/mangowalkd/src/serve/reserve.rs
@@ -16,7 +16,7 @@
 
 /// Time that gathering may take in all. A grant older than that is dropped:
 /// after a pause the tokens belong to a moment long gone.
-const GATHER_MS: u64 = 300;
+const MAX_GATHER_MS: u64 = 300;
 
 /// Added to a wait for tokens, so that rounding does not end it too soon.
 const WAIT_MARGIN_MS: u64 = 2;
@@ -35,7 +35,7 @@
     /// A request that can't have its tokens within the longest wait is
     /// refused at once.
     pub(super) fn reserve(&self, team: &str, tokens: u64) -> Result<Reservation, Refusal> {
-        let view = self.board.config.view();
+        let view = self.shared.config.view();
         let rate = view.rates.get(team).ok_or(Refusal::RateLimited {
             retry_ms: NO_RATE_RETRY_MS,
         })?;
@@ -45,13 +45,13 @@
                 burst_tokens: rate.burst_tokens,
             });
         }
-        let limits = &self.board.limits;
+        let limits = &self.shared.limits;
         let now_ms = self.edges.clock().now_ms();
         if let Some(reservation) = limits.take(team, rate, tokens, now_ms) {
             return Ok(reservation);
         }
-        let hopeless = limits.shortages(|s| s.missing_tokens(team, rate, tokens, now_ms));
-        match hopeless {
+        let missing_tokens = limits.shortages(|s| s.missing_tokens(team, rate, tokens, now_ms));
+        match missing_tokens {
             Some(short_tokens) => Err(self.refuse_short(team, rate, tokens, short_tokens)),
             None => self.gather(team, rate, tokens),
         }
@@ -60,46 +60,46 @@
     /// Ends a reservation and puts back what it did not use, here and at the
     /// peers that granted it. A message that is lost loses tokens.
     pub(super) fn settle(&self, reservation: &Reservation, used_tokens: u64) {
-        for moved in self.board.limits.settle(reservation, used_tokens) {
+        for peer_grant in self.shared.limits.settle(reservation, used_tokens) {
             let request = PeerRequest::GiveBack {
                 team: reservation.team.clone(),
-                part: moved.grant_id,
-                tokens: moved.tokens,
+                part: peer_grant.grant_id,
+                tokens: peer_grant.tokens,
             };
             let peers = self.edges.peers();
-            let _ = peers.ask(moved.peer, &request, GRANT_TIMEOUT_MS);
+            let _ = peers.ask(peer_grant.peer, &request, GRANT_TIMEOUT_MS);
         }
     }
 
     /// Gathers a request's tokens from here and from peers, and waits once if
     /// the rest will be minted soon.
     fn gather(&self, team: &str, rate: &Rate, tokens: u64) -> Result<Reservation, Refusal> {
-        let limits = &self.board.limits;
+        let limits = &self.shared.limits;
         let mut gathered = Reservation::empty(team);
-        let mut elsewhere = self.gather_once(rate, tokens, &mut gathered);
-        let mut short_tokens = tokens.saturating_sub(gathered.tokens + elsewhere);
+        let mut peer_tokens = self.gather_once(rate, tokens, &mut gathered);
+        let mut short_tokens = tokens.saturating_sub(gathered.tokens + peer_tokens);
         let now_ms = self.edges.clock().now_ms();
         let wait_ms = limits.shortages(|s| s.wait_ms(team, rate, short_tokens, now_ms));
         if let Some(wait_ms) = wait_ms.filter(|_| gathered.tokens < tokens) {
             limits.shortages(|s| s.begin_wait(team, short_tokens));
             thread::sleep(Duration::from_millis(wait_ms + WAIT_MARGIN_MS));
             limits.shortages(|s| s.end_wait(team, short_tokens));
-            elsewhere = self.gather_once(rate, tokens, &mut gathered);
+            peer_tokens = self.gather_once(rate, tokens, &mut gathered);
         }
         if gathered.tokens == tokens {
             return Ok(gathered);
         }
         let now_ms = self.edges.clock().now_ms();
-        let found = gathered.tokens + elsewhere;
+        let available_tokens = gathered.tokens + peer_tokens;
         self.settle(&gathered, 0);
-        if found == 0 && limits.slots(now_ms) == 0 {
+        if available_tokens == 0 && limits.slots(now_ms) == 0 {
             return Err(Refusal::Unavailable {
                 reason: "This instance holds no share of the rates yet, and no peer gave of its own",
                 retry_ms: NO_SLOT_RETRY_MS,
             });
         }
-        limits.shortages(|s| s.record_shortage(team, found, now_ms));
-        short_tokens = tokens.saturating_sub(found).max(1);
+        limits.shortages(|s| s.record_shortage(team, available_tokens, now_ms));
+        short_tokens = tokens.saturating_sub(available_tokens).max(1);
         Err(self.refuse_short(team, rate, tokens, short_tokens))
     }
 
@@ -112,7 +112,7 @@
     fn gather_once(&self, rate: &Rate, tokens: u64, gathered: &mut Reservation) -> u64 {
         let begun_ms = self.edges.clock().now_ms();
         let missing = tokens - gathered.tokens;
-        self.board
+        self.shared
             .limits
             .take_up_to(gathered, rate, missing, begun_ms);
         let mut left = Vec::new();
@@ -150,7 +150,7 @@
     ) -> Grant {
         let spent_ms = self.edges.clock().now_ms().saturating_sub(begun_ms);
         let missing = up_to - gathered.tokens;
-        if missing == 0 || spent_ms > GATHER_MS {
+        if missing == 0 || spent_ms > MAX_GATHER_MS {
             return Grant::default();
         }
         let request = PeerRequest::Grant {
@@ -164,7 +164,7 @@
                 tokens,
                 left_tokens,
                 part,
-            }) if spent_ms <= GATHER_MS && tokens <= missing => {
+            }) if spent_ms <= MAX_GATHER_MS && tokens <= missing => {
                 let grant = Grant {
                     tokens,
                     left_tokens,
@@ -181,12 +181,12 @@
     /// while they are not known. The order is drawn anew, so that no peer is
     /// emptied by all others.
     fn peers_to_ask(&self, team: &str) -> Vec<SocketAddr> {
-        let holders = self.board.limits.holders(team);
-        let live = self.board.peers.reachable();
-        let minting = live
+        let holders = self.shared.limits.holders(team);
+        let live = self.shared.peers.reachable();
+        let holder_peers = live
             .iter()
             .filter(|peer| holders.contains(&peer.view.caller_address));
-        let mut peers: Vec<SocketAddr> = minting.map(|peer| peer.view.peer_address).collect();
+        let mut peers: Vec<SocketAddr> = holder_peers.map(|peer| peer.view.peer_address).collect();
         if peers.is_empty() {
             peers.extend(live.iter().map(|peer| peer.view.peer_address));
         }
@@ -200,10 +200,10 @@
         let ask = RefusedRequest {
             tokens,
             short_tokens,
-            instances: self.board.peers.reachable().len() as u64 + 1,
+            instances: self.shared.peers.reachable().len() as u64 + 1,
             jitter: rand::random(),
         };
-        let retry_ms = self.board.limits.retry_ms(team, rate, &ask, now_ms);
+        let retry_ms = self.shared.limits.retry_ms(team, rate, &ask, now_ms);
         Refusal::RateLimited { retry_ms }
     }
 }
--- a/crates/mangowalkd/src/serve/router.rs
+++ b/crates/mangowalkd/src/serve/router.rs
@@ -13,23 +13,23 @@
 /// Serves requests with what the board knows.
 pub struct Router<E: Edges> {
     pub(crate) edges: Arc<E>,
-    pub(super) board: Arc<SharedState>,
+    pub(super) shared: Arc<SharedState>,
     pub(super) settings: Settings,
 }
 
 impl<E: Edges> Router<E> {
     /// Returns a router over a board.
-    pub fn new(edges: Arc<E>, board: Arc<SharedState>, settings: Settings) -> Router<E> {
+    pub fn new(edges: Arc<E>, shared: Arc<SharedState>, settings: Settings) -> Router<E> {
         Router {
             edges,
-            board,
+            shared,
             settings,
         }
     }
 
     /// Returns the board.
     pub fn shared(&self) -> &SharedState {
-        &self.board
+        &self.shared
     }
 
     /// Returns the settings.
@@ -43,8 +43,8 @@
     ///
     /// Fails where the key is wrong or withdrawn, or no record is held yet.
     pub fn authenticate(&self, key: Option<&str>) -> Result<String, Refusal> {
-        self.records_usable()?;
-        let view = self.board.config.view();
+        self.check_records()?;
+        let view = self.shared.config.view();
         key.and_then(|key| view.team_of_key(key))
             .map(str::to_owned)
             .ok_or(Refusal::Unauthorized)
@@ -58,18 +58,18 @@
     /// Returns whether a key still authenticates a team. A request that waited
     /// asks again right before it is sent: the key may be withdrawn by now.
     pub fn still_authorized(&self, team: &str, key_digest: &str) -> bool {
-        let view = self.board.config.view();
+        let view = self.shared.config.view();
         view.team_of_digest(key_digest) == Some(team)
     }
 
     /// Refuses while the records held can't be relied on.
-    fn records_usable(&self) -> Result<(), Refusal> {
+    fn check_records(&self) -> Result<(), Refusal> {
         let now_ms = self.now_ms();
-        let reason = if self.board.config.view().revision == 0 {
+        let reason = if self.shared.config.view().revision == 0 {
             "This instance has no configuration yet"
-        } else if self.board.lifecycle.is_starting() {
+        } else if self.shared.lifecycle.is_starting() {
             "This instance compares its configuration with its peers"
-        } else if !self.board.config.freshness().is_usable(now_ms) {
+        } else if !self.shared.config.freshness().is_usable(now_ms) {
             "This instance is cut off, and can't tell which keys are withdrawn"
         } else {
             return Ok(());
--- a/crates/mangowalkd/src/serve/service.rs
+++ b/crates/mangowalkd/src/serve/service.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Router, ServiceRequest, claim::Claiming, poison::identity_of_call},
+    super::{Router, ServiceRequest, claim::ClaimResult, poison::call_identity},
     mangowalk_core::{
         claim::{Claim, ClaimTooOld, Claimed, DuplicateResponse},
         config::ServiceRecord,
@@ -9,7 +9,7 @@
 };
 
 /// When a caller should come back if the service can't be reached.
-const UNREACHED_RETRY_MS: u64 = 1_000;
+const UNREACHABLE_RETRY_MS: u64 = 1_000;
 
 impl<E: Edges> Router<E> {
     /// Serves one call of a plain service.
@@ -18,7 +18,7 @@
     ///
     /// Returns what the caller is told, and what is known of the outcome.
     pub fn call_service(&self, request: &ServiceRequest) -> Result<ServiceReply, Refusal> {
-        let view = self.board.config.view();
+        let view = self.shared.config.view();
         let instances: Vec<&ServiceRecord> = view
             .services
             .values()
@@ -30,7 +30,7 @@
                 name: request.service.clone(),
             });
         };
-        self.refuse_poison(identity_of_call(request), Outcome::NotRun)?;
+        self.refuse_poisonous(call_identity(request), Outcome::NotRun)?;
         let tokens = request.tokens();
         let reservation = self.reserve(&request.team, tokens)?;
         let result = if first.repeatable && !request.marked_not_repeatable {
@@ -59,10 +59,14 @@
                 Err(error) => may_have_run |= !states_not_run(error),
             }
             if may_have_run {
-                self.refuse_poison(identity_of_call(request), Outcome::Unknown)?;
+                self.refuse_poisonous(call_identity(request), Outcome::Unknown)?;
             }
         }
-        Err(if may_have_run { lost() } else { unreached() })
+        Err(if may_have_run {
+            outcome_unknown()
+        } else {
+            service_unreachable()
+        })
     }
 
     /// Sends a call that may run at most once, under a claim.
@@ -72,9 +76,9 @@
         instances: &[&ServiceRecord],
     ) -> Result<ServiceReply, Refusal> {
         match self.claim(request) {
-            Claiming::Won(claim) => self.send_claimed(request, instances, claim),
-            Claiming::Met(DuplicateResponse::Replay(reply)) => Ok(reply.into_reply()),
-            Claiming::Met(DuplicateResponse::Refuse(refusal)) => Err(refusal),
+            ClaimResult::Created(claim) => self.send_claimed(request, instances, claim),
+            ClaimResult::NotCreated(DuplicateResponse::Replay(reply)) => Ok(reply.into_reply()),
+            ClaimResult::NotCreated(DuplicateResponse::Refuse(refusal)) => Err(refusal),
         }
     }
 
@@ -85,13 +89,13 @@
         instances: &[&ServiceRecord],
         mut claim: Claim<Claimed>,
     ) -> Result<ServiceReply, Refusal> {
-        let claims = &self.board.claims;
+        let claims = &self.shared.claims;
         for service in instances {
             let sent = match claim.send(self.edges.clock().now_ms()) {
                 Ok(sent) => sent,
                 Err(ClaimTooOld(unsent)) => {
                     claims.withdraw(&unsent);
-                    return Err(unreached());
+                    return Err(service_unreachable());
                 }
             };
             match self.send(request, service) {
@@ -102,12 +106,12 @@
                 Err(error) if states_not_run(error) => claim = sent.not_sent(),
                 Err(_) => {
                     claims.settle(sent.reply_lost());
-                    return Err(lost());
+                    return Err(outcome_unknown());
                 }
             }
         }
         claims.withdraw(&claim);
-        Err(unreached())
+        Err(service_unreachable())
     }
 
     fn send(
@@ -124,15 +128,15 @@
             idempotency_key: request.idempotency_key.as_deref(),
             body: &request.body,
         };
-        let identity = identity_of_call(request);
-        let _running = self.board.poison.start(&service.name, identity);
+        let identity = call_identity(request);
+        let _running = self.shared.poison.start(&service.name, identity);
         let result =
             self.edges
                 .services()
                 .call(service.address, &call, self.settings.request_timeout_ms);
         match &result {
-            Ok(_) => self.board.poison.completed(identity),
-            Err(SendError::Lost) => self.note_lost_call(&service.name),
+            Ok(_) => self.shared.poison.completed(identity),
+            Err(SendError::Lost) => self.record_lost_call(&service.name),
             Err(_) => {}
         }
         result
@@ -144,14 +148,14 @@
     matches!(error, SendError::NotConnected | SendError::Refused { .. })
 }
 
-fn unreached() -> Refusal {
+fn service_unreachable() -> Refusal {
     Refusal::Unavailable {
         reason: "The service can't be reached",
-        retry_ms: UNREACHED_RETRY_MS,
+        retry_ms: UNREACHABLE_RETRY_MS,
     }
 }
 
-fn lost() -> Refusal {
+fn outcome_unknown() -> Refusal {
     Refusal::Lost {
         remedy: "ask the service whether it ran before sending it with a new key",
         outcome: Outcome::Unknown,
--- a/crates/mangowalkd/src/shared_state/admission.rs
+++ b/crates/mangowalkd/src/shared_state/admission.rs
@@ -37,7 +37,7 @@
     waiters: HashMap<u64, Sender<Decision>>,
     next_id: u64,
     /// View whose engines placement knows.
-    taken: Option<Arc<View>>,
+    applied_view: Option<Arc<View>>,
     now_ms: u64,
 }
 
@@ -57,7 +57,7 @@
                 upstreams,
                 waiters: HashMap::new(),
                 next_id: 1,
-                taken: None,
+                applied_view: None,
                 now_ms: 0,
             }),
         }
@@ -69,16 +69,19 @@
     }
 
     /// Returns whether the engines of a view were not taken yet.
-    pub fn is_new(&self, view: &Arc<View>) -> bool {
+    pub fn is_new_view(&self, view: &Arc<View>) -> bool {
         let inner = lock(&self.inner);
-        !inner.taken.as_ref().is_some_and(|t| Arc::ptr_eq(t, view))
+        !inner
+            .applied_view
+            .as_ref()
+            .is_some_and(|t| Arc::ptr_eq(t, view))
     }
 
     /// Takes the engines of a view.
     pub fn set_engines(&self, specs: &[EngineSpec], view: &Arc<View>) {
         let mut inner = lock(&self.inner);
         inner.dispatcher.placement_mut().set_engines(specs);
-        inner.taken = Some(view.clone());
+        inner.applied_view = Some(view.clone());
     }
 
     /// Sets how many instances share the engines.
@@ -91,7 +94,7 @@
     pub fn report(&self, engine: &str, state: Option<&EngineState>, now_ms: u64) {
         let mut inner = lock(&self.inner);
         inner.dispatcher.placement_mut().report(engine, state);
-        inner.pump(now_ms);
+        inner.dispatch_queued(now_ms);
     }
 
     /// Takes cache events of an engine.
@@ -104,28 +107,30 @@
     }
 
     /// Takes a new request. Its verdict comes on the channel, maybe at once.
-    pub fn arrive(&self, job: Job, now_ms: u64) -> Receiver<Decision> {
-        let (sender, verdict) = flume::bounded(1);
+    pub fn submit(&self, job: Job, now_ms: u64) -> Receiver<Decision> {
+        let (sender, decision) = flume::bounded(1);
         let mut inner = lock(&self.inner);
         let id = inner.next_id;
         inner.next_id += 1;
         inner.now_ms = now_ms;
         inner.waiters.insert(id, sender);
         let upstreams = inner.upstreams.clone();
-        let fit = |name: &str| upstreams.usable(name, now_ms);
-        let verdicts = inner.dispatcher.submit(Job { id, ..job }, &fit, now_ms);
-        inner.tell(verdicts, now_ms);
-        verdict
+        let is_usable = |name: &str| upstreams.usable(name, now_ms);
+        let decisions = inner
+            .dispatcher
+            .submit(Job { id, ..job }, &is_usable, now_ms);
+        inner.deliver(decisions, now_ms);
+        decision
     }
 
     /// Sends what has room now, and refuses what can't be served in time.
-    pub fn pump(&self, now_ms: u64) {
-        lock(&self.inner).pump(now_ms);
+    pub fn dispatch_queued(&self, now_ms: u64) {
+        lock(&self.inner).dispatch_queued(now_ms);
     }
 
     /// Chooses an engine past the queue, for a request that was let in
     /// already and lost its engine.
-    pub fn place_again(&self, ask: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
+    pub fn place_retry(&self, ask: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
         let mut inner = lock(&self.inner);
         let placement = inner.dispatcher.placement_mut();
         let mut choice = placement.choose(ask, now_ms)?;
@@ -152,7 +157,7 @@
 
     /// Notes the end of an attempt whose request broke off. Its end is taken
     /// to be the last time that the board was told.
-    pub(super) fn broke_off(&self, choice: &Choice) {
+    pub(super) fn abandoned(&self, choice: &Choice) {
         let now_ms = lock(&self.inner).now_ms;
         self.ended(choice, None, now_ms);
     }
@@ -162,28 +167,28 @@
         let mut inner = lock(&self.inner);
         let placement = inner.dispatcher.placement_mut();
         placement.ended(choice, cached_blocks, now_ms);
-        inner.pump(now_ms);
+        inner.dispatch_queued(now_ms);
     }
 }
 
 impl Inner {
-    fn pump(&mut self, now_ms: u64) {
+    fn dispatch_queued(&mut self, now_ms: u64) {
         self.now_ms = now_ms;
         let upstreams = &self.upstreams;
-        let fit = |name: &str| upstreams.usable(name, now_ms);
-        let verdicts = self.dispatcher.dispatch_queued(&fit, now_ms);
-        self.tell(verdicts, now_ms);
+        let is_usable = |name: &str| upstreams.usable(name, now_ms);
+        let decisions = self.dispatcher.dispatch_queued(&is_usable, now_ms);
+        self.deliver(decisions, now_ms);
     }
 
-    fn tell(&mut self, verdicts: Vec<Decision>, now_ms: u64) {
-        for verdict in verdicts {
-            let (Decision::Send { id, .. } | Decision::Refuse { id, .. }) = &verdict;
-            let told = match self.waiters.remove(id) {
-                Some(waiter) => waiter.send(verdict),
+    fn deliver(&mut self, decisions: Vec<Decision>, now_ms: u64) {
+        for decision in decisions {
+            let (Decision::Send { id, .. } | Decision::Refuse { id, .. }) = &decision;
+            let delivered = match self.waiters.remove(id) {
+                Some(waiter) => waiter.send(decision),
                 None => continue,
             };
             // The request's thread is gone: its slot must not stay taken.
-            if let Err(flume::SendError(Decision::Send { choice, .. })) = told {
+            if let Err(flume::SendError(Decision::Send { choice, .. })) = delivered {
                 let placement = self.dispatcher.placement_mut();
                 placement.ended(&choice, None, now_ms);
             }
--- a/crates/mangowalkd/src/shared_state/burn.rs
+++ b/crates/mangowalkd/src/shared_state/burn.rs
@@ -6,7 +6,7 @@
 
 /// First tokens that wait for the metrics daemon. More in one second are left
 /// out: statsd timers are samples, and memory must stay bounded.
-const MOST_SAMPLES: usize = 1_024;
+const MAX_FIRST_TOKEN_SAMPLES: usize = 1_024;
 
 /// What became of every team's requests.
 #[derive(Debug, Default)]
@@ -31,11 +31,11 @@
 
 impl SharedBurn {
     /// Counts one request of a team.
-    pub fn note(&self, team: &str, seen: &Observation, objective_ms: u64, now_ms: u64) {
+    pub fn record(&self, team: &str, observation: &Observation, objective_ms: u64, now_ms: u64) {
         let mut inner = lock(&self.inner);
-        inner.ledger.record(team, seen, objective_ms, now_ms);
+        inner.ledger.record(team, observation, objective_ms, now_ms);
         if let Some(unsent) = &mut inner.unsent {
-            unsent.note(team, seen, objective_ms);
+            unsent.record(team, observation, objective_ms);
         }
     }
 
@@ -55,11 +55,11 @@
 }
 
 impl UnsentCounts {
-    fn note(&mut self, team: &str, seen: &Observation, objective_ms: u64) {
+    fn record(&mut self, team: &str, observation: &Observation, objective_ms: u64) {
         let counts = self.counts.entry(team.to_owned()).or_default();
-        counts.record(seen, objective_ms);
-        if let Some(first_ms) = seen.first_token_ms
-            && self.first_tokens.len() < MOST_SAMPLES
+        counts.record(observation, objective_ms);
+        if let Some(first_ms) = observation.first_token_ms
+            && self.first_tokens.len() < MAX_FIRST_TOKEN_SAMPLES
         {
             self.first_tokens.push((team.to_owned(), first_ms));
         }
--- a/crates/mangowalkd/src/shared_state/claims.rs
+++ b/crates/mangowalkd/src/shared_state/claims.rs
@@ -10,14 +10,14 @@
 };
 
 /// Writes that may wait for the platform.
-const MOST_WAITING: usize = 1_024;
+const MAX_PENDING_WRITES: usize = 1_024;
 
 /// Waiting writes above which answers are dropped from them, so that an
 /// outage of the platform does not fill the memory.
-const MOST_WITH_REPLY: usize = 64;
+const MAX_PENDING_WITH_REPLY: usize = 64;
 
 /// Looks for a claim whose write got no answer, a second apart.
-const MOST_LOOKS: u32 = 5;
+const MAX_NONCE_CHECKS: u32 = 5;
 
 /// A write of a claim that no caller waits for.
 #[derive(Debug, Clone, PartialEq)]
@@ -60,7 +60,7 @@
 
 impl Default for SharedClaims {
     fn default() -> SharedClaims {
-        let (sender, receiver) = flume::bounded(MOST_WAITING);
+        let (sender, receiver) = flume::bounded(MAX_PENDING_WRITES);
         SharedClaims {
             sender,
             receiver,
@@ -73,7 +73,7 @@
     /// Has an outcome written. One that does not fit any more is dropped:
     /// later callers are then told that it is unknown, which is true.
     pub fn settle(&self, mut claim: Claim<Settled>) {
-        if self.sender.len() > MOST_WITH_REPLY {
+        if self.sender.len() > MAX_PENDING_WITH_REPLY {
             claim.drop_reply();
         }
         let write = ClaimWrite::Settle {
@@ -98,7 +98,7 @@
         let write = ClaimWrite::WithdrawNonce {
             key,
             nonce,
-            checks_left: MOST_LOOKS,
+            checks_left: MAX_NONCE_CHECKS,
         };
         let _ = self.sender.try_send(write);
     }
--- a/crates/mangowalkd/src/shared_state/engines.rs
+++ b/crates/mangowalkd/src/shared_state/engines.rs
@@ -21,36 +21,36 @@
 /// Engines as last seen, by name of record.
 #[derive(Debug, Clone, Default)]
 pub struct SharedEngines {
-    sights: Arc<Mutex<BTreeMap<String, KnownEngine>>>,
+    engines: Arc<Mutex<BTreeMap<String, KnownEngine>>>,
 }
 
 impl SharedEngines {
     /// Returns a copy of every sight.
     pub fn snapshot(&self) -> BTreeMap<String, KnownEngine> {
-        lock(&self.sights).clone()
+        lock(&self.engines).clone()
     }
 
     /// Reads the sights without copying them.
     pub fn read<T>(&self, reader: impl FnOnce(&BTreeMap<String, KnownEngine>) -> T) -> T {
-        reader(&lock(&self.sights))
+        reader(&lock(&self.engines))
     }
 
     /// Changes one engine's sight.
     pub fn update(&self, name: &str, writer: impl FnOnce(&mut KnownEngine)) {
-        let mut sights = lock(&self.sights);
-        writer(sights.entry(name.to_owned()).or_default());
+        let mut engines = lock(&self.engines);
+        writer(engines.entry(name.to_owned()).or_default());
     }
 
     /// Forgets engines whose records are gone.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
-        lock(&self.sights).retain(|name, _| keep(name));
+        lock(&self.engines).retain(|name, _| keep(name));
     }
 
     /// Counts an attempt as in flight until the guard is dropped.
     pub fn start(&self, name: &str) -> InFlightGuard {
         self.update(name, |s| s.in_flight += 1);
         InFlightGuard {
-            board: self.clone(),
+            shared: self.clone(),
             name: name.to_owned(),
         }
     }
@@ -59,13 +59,13 @@
 /// An attempt that is counted on its engine while this guard lives.
 #[derive(Debug)]
 pub struct InFlightGuard {
-    board: SharedEngines,
+    shared: SharedEngines,
     name: String,
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.board
+        self.shared
             .update(&self.name, |s| s.in_flight = s.in_flight.saturating_sub(1));
     }
 }
--- a/crates/mangowalkd/src/shared_state/lifecycle.rs
+++ b/crates/mangowalkd/src/shared_state/lifecycle.rs
@@ -21,7 +21,7 @@
 pub struct Lifecycle {
     phase: Mutex<Phase>,
     stopped: AtomicBool,
-    open: Arc<AtomicUsize>,
+    open_requests: Arc<AtomicUsize>,
 }
 
 impl Default for Lifecycle {
@@ -29,7 +29,7 @@
         Lifecycle {
             phase: Mutex::new(Phase::Starting(Instance::starting(0))),
             stopped: AtomicBool::default(),
-            open: Arc::default(),
+            open_requests: Arc::default(),
         }
     }
 }
@@ -99,28 +99,28 @@
 
     /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
-        self.open.load(Ordering::SeqCst)
+        self.open_requests.load(Ordering::SeqCst)
     }
 
     /// Counts a request as open until the guard is dropped, unless as many
     /// are open already.
-    pub fn open(&self, most: usize) -> Option<OpenRequestGuard> {
-        let before = self.open.fetch_add(1, Ordering::SeqCst);
+    pub fn try_open(&self, max_open_requests: usize) -> Option<OpenRequestGuard> {
+        let open_before = self.open_requests.fetch_add(1, Ordering::SeqCst);
         let guard = OpenRequestGuard {
-            open: self.open.clone(),
+            open_requests: self.open_requests.clone(),
         };
-        (before < most).then_some(guard)
+        (open_before < max_open_requests).then_some(guard)
     }
 }
 
 /// A request that is counted as open while this guard lives.
 #[derive(Debug)]
 pub struct OpenRequestGuard {
-    open: Arc<AtomicUsize>,
+    open_requests: Arc<AtomicUsize>,
 }
 
 impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        self.open.fetch_sub(1, Ordering::SeqCst);
+        self.open_requests.fetch_sub(1, Ordering::SeqCst);
     }
 }
--- a/crates/mangowalkd/src/shared_state/placed_attempt.rs
+++ b/crates/mangowalkd/src/shared_state/placed_attempt.rs
@@ -13,16 +13,16 @@
 /// this guard is dropped.
 #[derive(Debug)]
 pub struct PlacedAttempt {
-    board: Arc<SharedState>,
+    shared: Arc<SharedState>,
     choice: RefCell<Choice>,
     ended: bool,
 }
 
 impl PlacedAttempt {
     /// Returns the guard of an attempt that was noted as sent.
-    pub fn new(board: Arc<SharedState>, choice: Choice) -> PlacedAttempt {
+    pub fn new(shared: Arc<SharedState>, choice: Choice) -> PlacedAttempt {
         PlacedAttempt {
-            board,
+            shared,
             choice: RefCell::new(choice),
             ended: false,
         }
@@ -31,7 +31,7 @@
     /// Notes the first token.
     pub fn first_token(&self, now_ms: u64) {
         let mut choice = self.choice.borrow_mut();
-        self.board.dispatch.first_token(&mut choice, now_ms);
+        self.shared.dispatch.first_token(&mut choice, now_ms);
     }
 
     /// Notes the end, with the engine's own counts if the answer is complete.
@@ -39,14 +39,14 @@
         self.ended = true;
         let cached_blocks = usage.map(|u| (u.cached_tokens / BLOCK_TOKENS) as usize);
         let choice = self.choice.borrow();
-        self.board.dispatch.ended(&choice, cached_blocks, now_ms);
+        self.shared.dispatch.ended(&choice, cached_blocks, now_ms);
     }
 }
 
 impl Drop for PlacedAttempt {
     fn drop(&mut self) {
         if !self.ended {
-            self.board.dispatch.broke_off(&self.choice.borrow());
+            self.shared.dispatch.abandoned(&self.choice.borrow());
         }
     }
 }
--- a/crates/mangowalkd/src/shared_state/poison.rs
+++ b/crates/mangowalkd/src/shared_state/poison.rs
@@ -18,7 +18,7 @@
     ledger: PoisonLedger,
     running: HashMap<String, HashMap<u64, u32>>,
     /// Crashes that were charged, and until when they are remembered.
-    judged: HashMap<u64, u64>,
+    recorded_crashes: HashMap<u64, u64>,
 }
 
 impl SharedPoison {
@@ -28,7 +28,7 @@
         let running = inner.running.entry(upstream.to_owned()).or_default();
         *running.entry(request).or_default() += 1;
         RunningRequest {
-            board: self.clone(),
+            shared: self.clone(),
             upstream: upstream.to_owned(),
             request,
         }
@@ -39,11 +39,13 @@
     /// Each request that ran there meets the same crash on its own thread.
     /// The first to come decides for all, while all of them still count as
     /// running.
-    pub fn crashed(&self, upstream: &str, crash: u64, now_ms: u64) -> bool {
+    pub fn record_crash(&self, upstream: &str, crash: u64, now_ms: u64) -> bool {
         let mut inner = lock(&self.inner);
-        inner.judged.retain(|_, until_ms| *until_ms > now_ms);
+        inner
+            .recorded_crashes
+            .retain(|_, until_ms| *until_ms > now_ms);
         if inner
-            .judged
+            .recorded_crashes
             .insert(crash, now_ms + CRASH_RETENTION_MS)
             .is_some()
         {
@@ -72,13 +74,13 @@
     /// Returns the upstreams on which another suspect request runs. A suspect
     /// is kept from them: beside another one its crash could not be told from
     /// the other's.
-    pub fn with_suspects(&self, but: u64, now_ms: u64) -> Vec<String> {
+    pub fn upstreams_with_suspects(&self, except: u64, now_ms: u64) -> Vec<String> {
         let inner = lock(&self.inner);
         let is_suspect = |request: &u64| inner.ledger.crashes(*request, now_ms) > 0;
         inner
             .running
             .iter()
-            .filter(|(_, requests)| requests.keys().any(|r| *r != but && is_suspect(r)))
+            .filter(|(_, requests)| requests.keys().any(|r| *r != except && is_suspect(r)))
             .map(|(upstream, _)| upstream.clone())
             .collect()
     }
@@ -93,9 +95,9 @@
     /// engine, which may all be innocent. Were it not, the one to blame would
     /// go free whenever a peer was faster. The ledger lets only the most
     /// suspect of all those charged with a crash answer for it.
-    pub fn merge(&self, sights: &[CrashReport], now_ms: u64) {
-        if !sights.is_empty() {
-            lock(&self.inner).ledger.merge(sights, now_ms);
+    pub fn merge(&self, reports: &[CrashReport], now_ms: u64) {
+        if !reports.is_empty() {
+            lock(&self.inner).ledger.merge(reports, now_ms);
         }
     }
 }
@@ -103,14 +105,14 @@
 /// A request that counts as running on an upstream while this guard lives.
 #[derive(Debug)]
 pub struct RunningRequest {
-    board: SharedPoison,
+    shared: SharedPoison,
     upstream: String,
     request: u64,
 }
 
 impl Drop for RunningRequest {
     fn drop(&mut self) {
-        let mut inner = lock(&self.board.inner);
+        let mut inner = lock(&self.shared.inner);
         let Some(running) = inner.running.get_mut(&self.upstream) else {
             return;
         };
--- a/crates/mangowalkd/src/shared_state/state.rs
+++ b/crates/mangowalkd/src/shared_state/state.rs
@@ -66,7 +66,7 @@
     /// placement, requests in between would be sent to an engine that drains
     /// or departs, and refused when that is found out.
     pub fn apply_engines(&self, view: &Arc<View>) {
-        if !self.dispatch.is_new(view) {
+        if !self.dispatch.is_new_view(view) {
             return;
         }
         let specs: Vec<EngineSpec> = view
--- a/crates/mangowalkd/src/shared_state/upstreams.rs
+++ b/crates/mangowalkd/src/shared_state/upstreams.rs
@@ -57,17 +57,17 @@
     }
 
     /// Notes a request that is tried for the first time.
-    pub fn first_attempt(&self) {
+    pub fn record_first_attempt(&self) {
         lock(&self.inner).budget.record_first_attempt();
     }
 
     /// Takes a retry out of the budget, if one is left.
-    pub fn retry(&self) -> bool {
+    pub fn try_retry(&self) -> bool {
         lock(&self.inner).budget.try_retry()
     }
 
     /// Charges a stream that is resumed.
-    pub fn resume(&self) {
+    pub fn charge_resume(&self) {
         lock(&self.inner).budget.charge_resume();
     }
 
@@ -80,7 +80,7 @@
             entry.serves = serves.to_owned();
         }
         entry.health.start(now_ms).then(|| UpstreamAttempt {
-            board: self.clone(),
+            shared: self.clone(),
             name: name.to_owned(),
             is_waiting: Cell::new(true),
         })
@@ -97,7 +97,7 @@
 
 impl Inner {
     /// Returns the middle of the times that the peers of an upstream need.
-    fn peers_ms(&self, name: &str) -> Option<f64> {
+    fn peers_median_ms(&self, name: &str) -> Option<f64> {
         let serves = &self.upstreams.get(name)?.serves;
         let mut times: Vec<f64> = self
             .upstreams
@@ -113,7 +113,7 @@
 /// An attempt that is counted on its upstream while this guard lives.
 #[derive(Debug)]
 pub struct UpstreamAttempt {
-    board: SharedUpstreams,
+    shared: SharedUpstreams,
     name: String,
     is_waiting: Cell<bool>,
 }
@@ -122,25 +122,25 @@
     /// Notes the time to first token.
     pub fn first_token(&self, took_ms: u64, now_ms: u64) {
         self.is_waiting.set(false);
-        let mut inner = lock(&self.board.inner);
-        let peers_ms = inner.peers_ms(&self.name);
+        let mut inner = lock(&self.shared.inner);
+        let peers_median_ms = inner.peers_median_ms(&self.name);
         if let Some(entry) = inner.upstreams.get_mut(&self.name) {
-            entry.health.first_token(took_ms, peers_ms, now_ms);
+            entry.health.first_token(took_ms, peers_median_ms, now_ms);
         }
     }
 
     /// Notes a token behind the first.
-    pub fn heard(&self, now_ms: u64) {
+    pub fn record_token(&self, now_ms: u64) {
         self.update(|health| health.record_token(now_ms));
     }
 
     /// Notes that a stream listened and heard nothing.
-    pub fn unheard(&self, now_ms: u64) {
+    pub fn record_silence(&self, now_ms: u64) {
         self.update(|health| health.record_silence(now_ms));
     }
 
     fn update(&self, writer: impl FnOnce(&mut Health)) {
-        let mut inner = lock(&self.board.inner);
+        let mut inner = lock(&self.shared.inner);
         if let Some(entry) = inner.upstreams.get_mut(&self.name) {
             writer(&mut entry.health);
         }
@@ -149,7 +149,7 @@
     /// Notes how the attempt ended.
     pub fn end(self, ended: &EndedAttempt, now_ms: u64) {
         self.is_waiting.set(false);
-        let mut inner = lock(&self.board.inner);
+        let mut inner = lock(&self.shared.inner);
         if let Some(entry) = inner.upstreams.get_mut(&self.name) {
             entry.health.end(ended, now_ms);
         }
@@ -162,7 +162,7 @@
         if !self.is_waiting.get() {
             return;
         }
-        let mut inner = lock(&self.board.inner);
+        let mut inner = lock(&self.shared.inner);
         if let Some(entry) = inner.upstreams.get_mut(&self.name) {
             entry.health.cancel_waiting();
         }
--- a/crates/mangowalkd/tests/admission.rs
+++ b/crates/mangowalkd/tests/admission.rs
@@ -5,7 +5,7 @@
     std::thread,
 };
 
-fn full_fleet(favour: &str) -> Fleet {
+fn fleet_with_two_slots(favour: &str) -> Fleet {
     let fleet = Fleet::start(&FleetSettings {
         program: env!("CARGO_BIN_EXE_mangowalkd").to_owned(),
         engines: 1,
@@ -22,7 +22,7 @@
 }
 
 /// Sends requests at once and returns what their callers got.
-fn together(fleet: &Fleet, count: usize, tokens: u32) -> Vec<Answer> {
+fn send_concurrently(fleet: &Fleet, count: usize, tokens: u32) -> Vec<Answer> {
     thread::scope(|scope| {
         let callers: Vec<_> = (0..count)
             .map(|i| scope.spawn(move || fleet.chat(0, &format!("caller {i}"), tokens, false)))
@@ -38,9 +38,9 @@
 /// served, for the work is there to be done in time; those who wait do so in
 /// the router, so the engine never holds more than it can run.
 #[test]
-fn a_burst_waits_and_is_served() {
-    let fleet = full_fleet("worst-team");
-    let answers = together(&fleet, 12, 10);
+fn a_burst_is_queued_and_served() {
+    let fleet = fleet_with_two_slots("worst-team");
+    let answers = send_concurrently(&fleet, 12, 10);
     assert!(answers.iter().all(|a| a.status == 200));
 }
 
@@ -49,9 +49,9 @@
 /// told so as not run, with a time to come back, and the engine never sees
 /// the request; the rest are served in full.
 #[test]
-fn who_cannot_be_served_in_time_is_refused_as_not_run() {
-    let fleet = full_fleet("first-token");
-    let answers = together(&fleet, 40, 100);
+fn a_request_that_cannot_be_served_in_time_is_refused_as_not_run() {
+    let fleet = fleet_with_two_slots("first-token");
+    let answers = send_concurrently(&fleet, 40, 100);
     let refused: Vec<&Answer> = answers.iter().filter(|a| a.status == 503).collect();
     assert!(!refused.is_empty());
     for answer in &refused {
--- a/crates/mangowalkd/tests/bad_input.rs
+++ b/crates/mangowalkd/tests/bad_input.rs
@@ -26,7 +26,7 @@
 }
 
 /// Sends a head with a good key and the given lines, and bytes behind it.
-fn raw(fleet: &Fleet, lines: &str, body: &str) -> RawCaller {
+fn send_raw(fleet: &Fleet, lines: &str, body: &str) -> RawCaller {
     let mut caller = RawCaller::connect(fleet.routers[0].address());
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {}\r\n{lines}\r\n\r\n",
@@ -37,7 +37,7 @@
     caller
 }
 
-fn serves_on(fleet: &Fleet) {
+fn assert_still_serves(fleet: &Fleet) {
     let answer = fleet.chat(0, "still", 3, false);
     assert_eq!(
         answer.text(),
@@ -91,28 +91,28 @@
         r#""surprise":1"#,
     ];
     let fields = fields.map(|f| (f, format!(r#"{{"model":"drafting",{message},{f}}}"#)));
-    let mut told = String::new();
+    let mut responses = String::new();
     for (name, body) in bodies.into_iter().chain(fields) {
         let answer = post(&fleet, "/v1/chat/completions", &body);
         let error = &answer.json()["error"];
         let (code, text) = (&error["code"], &error["message"]);
         assert_eq!(error["outcome"], "not_run", "{name}: {}", answer.body);
-        writeln!(told, "{name}: {} {code} {text}", answer.status).expect("a text");
+        writeln!(responses, "{name}: {} {code} {text}", answer.status).expect("a text");
     }
-    insta::assert_snapshot!(told);
+    insta::assert_snapshot!(responses);
     assert_eq!(fleet.engines[0].attempts(), before);
-    serves_on(&fleet);
+    assert_still_serves(&fleet);
 }
 
 #[test]
-fn bytes_that_are_no_text_are_refused() {
+fn a_body_that_is_not_utf8_is_refused() {
     let fleet = fleet(&[]);
-    let mut caller = raw(&fleet, "Connection: close\r\nContent-Length: 14", "");
+    let mut caller = send_raw(&fleet, "Connection: close\r\nContent-Length: 14", "");
     caller.send(b"{\"model\":\"\xff\xfe\"}");
     let text = caller.read_to_end();
     assert!(text.starts_with("HTTP/1.1 400"), "{text}");
     assert!(text.contains("invalid_request"), "{text}");
-    serves_on(&fleet);
+    assert_still_serves(&fleet);
 }
 
 #[test]
@@ -122,35 +122,35 @@
     assert_eq!(answer.status, 413);
     assert_eq!(answer.json()["error"]["code"], "body_too_large");
     let chunked = format!("bb8\r\n{}\r\n0\r\n\r\n", "a".repeat(3_000));
-    let text = raw(&fleet, "Transfer-Encoding: chunked", &chunked).read_to_end();
+    let text = send_raw(&fleet, "Transfer-Encoding: chunked", &chunked).read_to_end();
     assert!(text.starts_with("HTTP/1.1 413"), "{text}");
-    serves_on(&fleet);
+    assert_still_serves(&fleet);
 }
 
 /// A caller declares more bytes than any memory holds. The server below
 /// reserves memory for a body that it throws away, which would end the
 /// process and every stream in it.
 #[test]
-fn an_absurd_length_does_not_end_the_process() {
+fn a_huge_content_length_does_not_crash_the_process() {
     let fleet = fleet(&[]);
     for length in ["99999999999999", "9223372036854775807"] {
-        let mut caller = raw(&fleet, &format!("Content-Length: {length}"), "{}");
+        let mut caller = send_raw(&fleet, &format!("Content-Length: {length}"), "{}");
         assert!(caller.read_until("HTTP/1.1 413"), "{}", caller.text());
     }
-    serves_on(&fleet);
+    assert_still_serves(&fleet);
 }
 
 /// The length of a request is told in two ways that differ. Behind it, hidden
 /// from a reader who believes the other way, stands a second request. The
 /// first is refused and the second never served.
 #[test]
-fn a_request_hidden_behind_a_doubtful_length_is_not_served() {
+fn a_request_smuggled_behind_an_ambiguous_length_is_not_served() {
     let fleet = fleet(&[]);
-    let hidden = format!(
+    let smuggled = format!(
         "GET /v1/models HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {}\r\nConnection: close\r\n\r\n",
         Fleet::KEY
     );
-    let doubtful = [
+    let ambiguous = [
         "Content-Length: 5\r\nTransfer-Encoding: chunked",
         "Content-Length: 5\r\nContent-Length: 6",
         "Content-Length: +5",
@@ -159,19 +159,19 @@
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity",
         "Connection: upgrade\r\nContent-Length: 5",
     ];
-    for lines in doubtful {
-        let text = raw(&fleet, lines, &format!("0\r\n\r\n{hidden}")).read_to_end();
+    for lines in ambiguous {
+        let text = send_raw(&fleet, lines, &format!("0\r\n\r\n{smuggled}")).read_to_end();
         assert!(text.starts_with("HTTP/1.1 400"), "{lines}: {text}");
         assert!(text.contains("\"not_run\""), "{lines}: {text}");
         assert!(!text.contains("\"data\""), "{lines}: {text}");
     }
-    serves_on(&fleet);
+    assert_still_serves(&fleet);
 }
 
 /// A caller of HTTP/1.0 asks for a stream, which it could not tell from a cut
 /// one. It is refused, and served without a stream.
 #[test]
-fn a_stream_needs_chunks() {
+fn a_stream_over_http_1_0_is_refused() {
     let fleet = fleet(&[]);
     for (stream, status) in [(true, "400"), (false, "200")] {
         let body = format!(r#"{{"model":"drafting","prompt":"a","stream":{stream}}}"#);
@@ -191,24 +191,24 @@
 /// Callers who stop in the middle of a head or a body. Each is let go, and
 /// none keeps another from being served.
 #[test]
-fn silent_callers_are_let_go() {
+fn callers_that_stop_sending_are_timed_out() {
     let fleet = fleet(&["--caller-timeout-ms=400"]);
     let mut head = RawCaller::connect(fleet.routers[0].address());
     head.send(b"POST /v1/chat/completions HTTP/1.1\r\nHost:");
-    let mut silent = raw(&fleet, "Content-Length: 2000", "{");
-    serves_on(&fleet);
+    let mut silent = send_raw(&fleet, "Content-Length: 2000", "{");
+    assert_still_serves(&fleet);
     assert!(silent.read_until("body_too_slow"), "{}", silent.text());
     assert!(silent.text().starts_with("HTTP/1.1 408"));
     assert_eq!(head.read_to_end(), "");
-    serves_on(&fleet);
+    assert_still_serves(&fleet);
 }
 
 /// A caller sends a byte before each read timeout, and its body in the end.
 /// Each wait is short and their sum is not, so it is refused all the same.
 #[test]
-fn a_caller_that_trickles_is_let_go() {
+fn a_caller_that_sends_slowly_is_timed_out() {
     let fleet = fleet(&["--caller-timeout-ms=400"]);
-    let mut caller = raw(&fleet, "Content-Length: 2000", "");
+    let mut caller = send_raw(&fleet, "Content-Length: 2000", "");
     for _ in 0..20 {
         caller.send(b" ");
         thread::sleep(SLOW_PAUSE);
@@ -216,16 +216,16 @@
     caller.send(" ".repeat(1_980).as_bytes());
     assert!(caller.read_until("outcome"), "{}", caller.text());
     assert!(caller.text().contains("body_too_slow"), "{}", caller.text());
-    serves_on(&fleet);
+    assert_still_serves(&fleet);
 }
 
 /// No caller comes for several read timeouts, which end an idle `accept`.
 /// The next caller is served all the same.
 #[test]
-fn a_router_that_nobody_calls_goes_on_listening() {
+fn an_idle_router_keeps_accepting() {
     let fleet = fleet(&["--caller-timeout-ms=100"]);
     thread::sleep(Duration::from_millis(1_000));
-    serves_on(&fleet);
+    assert_still_serves(&fleet);
 }
 
 /// As many requests are open as may be. One more is refused at once and told
@@ -233,7 +233,7 @@
 #[test]
 fn a_request_over_the_limit_is_refused_as_not_run() {
     let fleet = fleet(&["--max-open-requests=1"]);
-    let mut holding = raw(&fleet, "Content-Length: 2000", "{");
+    let mut holding = send_raw(&fleet, "Content-Length: 2000", "{");
     let mut answer = Answer::default();
     for _ in 0..100 {
         answer = fleet.chat(0, "one more", 3, false);
--- a/crates/mangowalkd/tests/callers.rs
+++ b/crates/mangowalkd/tests/callers.rs
@@ -30,7 +30,7 @@
 }
 
 /// Replaces what differs from run to run.
-fn steady(mut body: Value) -> String {
+fn without_varying_fields(mut body: Value) -> String {
     for field in ["id", "created"] {
         if !body[field].is_null() {
             body[field] = json!("*");
@@ -52,33 +52,40 @@
 }
 
 #[test]
-fn answers_have_the_shapes_of_the_protocol() {
+fn responses_match_the_protocol() {
     let fleet = fleet();
     let body = chat(json!("hello"), json!({}));
     let answer = post(&fleet, "/v1/chat/completions", &[], &body);
-    insta::assert_snapshot!("chat", steady(answer.json()));
+    insta::assert_snapshot!("chat", without_varying_fields(answer.json()));
     let prompt = json!({ "model": "drafting", "prompt": ["hello"], "max_tokens": 3 });
     let answer = post(&fleet, "/v1/completions", &[], &prompt);
-    insta::assert_snapshot!("completion", steady(answer.json()));
-    insta::assert_snapshot!("models", steady(get(&fleet, "/v1/models").json()));
+    insta::assert_snapshot!("completion", without_varying_fields(answer.json()));
+    insta::assert_snapshot!(
+        "models",
+        without_varying_fields(get(&fleet, "/v1/models").json())
+    );
     insta::assert_snapshot!("model", get(&fleet, "/v1/models/drafting").body);
     insta::assert_snapshot!("no_model", get(&fleet, "/v1/models/none").body);
     insta::assert_snapshot!("no_path", get(&fleet, "/v1/chat/completions").body);
 }
 
 #[test]
-fn a_stream_has_the_events_of_the_protocol() {
+fn stream_events_match_the_protocol() {
     let fleet = fleet();
     let options = json!({ "stream": true, "stream_options": { "include_usage": true } });
     let body = chat(json!("hello"), options);
     let answer = post(&fleet, "/v1/chat/completions", &[], &body);
-    let events: Vec<String> = answer.events().into_iter().map(steady).collect();
+    let events: Vec<String> = answer
+        .events()
+        .into_iter()
+        .map(without_varying_fields)
+        .collect();
     insta::assert_snapshot!("stream", events.join("\n"));
     assert_eq!(answer.header("content-type"), Some("text/event-stream"));
 }
 
 #[test]
-fn parts_of_text_are_joined() {
+fn text_parts_of_a_message_are_joined() {
     let fleet = fleet();
     let parts = json!([{ "type": "text", "text": "hel" }, { "type": "text", "text": "lo" }]);
     let answer = post(&fleet, "/v1/chat/completions", &[], &chat(parts, json!({})));
@@ -88,23 +95,23 @@
 /// The engines can't be told a temperature. The answer says so, since the
 /// caller would otherwise take it for followed.
 #[test]
-fn what_is_passed_over_is_named() {
+fn ignored_parameters_are_named_in_the_response() {
     let fleet = fleet();
     let more = json!({ "temperature": 0.2, "user": "desk-1", "n": 1, "stop": null });
     let body = chat(json!("hello"), more);
     let answer = post(&fleet, "/v1/chat/completions", &[], &body);
     assert_eq!(answer.status, 200, "{}", answer.body);
-    let passed_over = answer.header("x-mangowalk-passed-over");
-    assert_eq!(passed_over, Some("temperature"));
+    let ignored = answer.header("x-mangowalk-passed-over");
+    assert_eq!(ignored, Some("temperature"));
 }
 
 #[test]
-fn a_sane_request_id_is_taken_over() {
+fn only_a_valid_request_id_is_echoed() {
     let fleet = fleet();
     let body = chat(json!("hello"), json!({}));
     let path = "/v1/chat/completions";
-    let sane = post(&fleet, path, &[("x-request-id", "desk-17.a")], &body);
-    assert_eq!(sane.header("x-request-id"), Some("desk-17.a"));
+    let valid = post(&fleet, path, &[("x-request-id", "desk-17.a")], &body);
+    assert_eq!(valid.header("x-request-id"), Some("desk-17.a"));
     let long = "a".repeat(65);
     for id in ["a b", "", long.as_str()] {
         let answer = post(&fleet, path, &[("x-request-id", id)], &body);
@@ -114,7 +121,7 @@
 }
 
 #[test]
-fn a_deadline_is_a_number_of_milliseconds() {
+fn an_invalid_deadline_is_refused() {
     let fleet = fleet();
     let body = chat(json!("hello"), json!({}));
     for (deadline, status) in [("30000", 200), ("0", 400), ("-1", 400), ("soon", 400)] {
@@ -125,7 +132,7 @@
 }
 
 #[test]
-fn answers_tell_the_teams_rate() {
+fn responses_carry_the_teams_rate() {
     let fleet = fleet();
     let body = chat(json!("hello"), json!({ "stream": true }));
     let answer = post(&fleet, "/v1/chat/completions", &[], &body);
@@ -155,14 +162,14 @@
 /// requests that fail. It must reach no engine, no service, no log line and
 /// no error.
 #[test]
-fn the_key_goes_no_further() {
+fn an_api_key_is_never_forwarded_or_logged() {
     let fleet = fleet();
     let body = chat(json!("hello"), json!({ "stream": true }));
-    let mut told = String::new();
+    let mut responses = String::new();
     for path in ["/v1/chat/completions", "/v1/services/orders/book", "/none"] {
         let headers = [("Idempotency-Key", "order-1"), ("x-request-id", Fleet::KEY)];
-        told += &post(&fleet, path, &headers, &body).body;
-        told += &post(&fleet, path, &[], &json!("broken")).body;
+        responses += &post(&fleet, path, &headers, &body).body;
+        responses += &post(&fleet, path, &[], &json!("broken")).body;
     }
     let sent = fleet.engines[0].headers().into_iter();
     let sent = sent.chain(fleet.service.headers());
@@ -172,6 +179,6 @@
     assert!(!sent.is_empty());
     assert!(!sent.join("\n").contains(Fleet::KEY));
     assert!(!sent.iter().any(|line| line.starts_with("authorization")));
-    assert!(!told.contains(Fleet::KEY));
+    assert!(!responses.contains(Fleet::KEY));
     assert!(!fleet.routers[0].log().contains(Fleet::KEY));
 }
--- a/crates/mangowalkd/tests/claims.rs
+++ b/crates/mangowalkd/tests/claims.rs
@@ -93,7 +93,7 @@
 /// that the outcome is unknown, and sending again, here or elsewhere, does not
 /// take the deposit a second time.
 #[test]
-fn a_call_whose_answer_was_lost_runs_once() {
+fn a_call_whose_response_was_lost_runs_once() {
     let fleet = fleet();
     fleet.service.set_faults(ServiceFaults {
         lose_replies: 1,
@@ -111,7 +111,7 @@
 /// A call was answered, and its caller, whose connection broke, sends it
 /// again through another router. It gets the same answer whole, of one run.
 #[test]
-fn a_finished_call_is_answered_again_elsewhere() {
+fn a_retry_at_another_router_gets_the_recorded_response() {
     let fleet = fleet();
     let first = book(&fleet, 0, "seat-1", "seat");
     let again = book_until_settled(&fleet, "seat-1", "seat");
@@ -135,7 +135,7 @@
 /// The platform records the claim and its reply is lost. The router reads the
 /// claim back, finds its own nonce, and sends the call once.
 #[test]
-fn a_lost_reply_to_the_claim_is_read_back() {
+fn a_claim_whose_reply_was_lost_is_read_back() {
     let fleet = fleet();
     fleet.platform.set_faults(PlatformFaults {
         lose_replies: 1,
@@ -198,7 +198,7 @@
 /// The service can't be connected to. Nothing was sent, so the claim is
 /// withdrawn, and the same call runs once the service is back.
 #[test]
-fn a_call_that_never_left_may_be_sent_again() {
+fn a_call_that_was_not_sent_can_be_retried() {
     let fleet = fleet();
     let record = |address: SocketAddr| {
         json!({
--- a/crates/mangowalkd/tests/limits.rs
+++ b/crates/mangowalkd/tests/limits.rs
@@ -9,12 +9,12 @@
 };
 
 const SLOTS: usize = 512;
-const RATE: u64 = 2_000;
-const BURST: u64 = 3_000;
+const TOKENS_PER_S: u64 = 2_000;
+const BURST_TOKENS: u64 = 3_000;
 const MAX_TOKENS: u32 = 90;
 
 /// Time in which a full burst is minted from nothing, with some to spare.
-const FILL: Duration = Duration::from_millis(1_800);
+const REFILL_TIME: Duration = Duration::from_millis(1_800);
 
 fn fleet(routers: usize) -> Fleet {
     let fleet = Fleet::start(&FleetSettings {
@@ -26,8 +26,8 @@
             token_us: 0,
             ..EngineSettings::default()
         },
-        tokens_per_s: RATE,
-        burst_tokens: BURST,
+        tokens_per_s: TOKENS_PER_S,
+        burst_tokens: BURST_TOKENS,
         ..FleetSettings::default()
     });
     wait_for_slots(&fleet);
@@ -36,12 +36,12 @@
 
 /// Waits until the routers hold every slot, and none much more than its share.
 fn wait_for_slots(fleet: &Fleet) {
-    let most = SLOTS.div_ceil(fleet.routers.len()) * 9 / 8;
+    let max_slots = SLOTS.div_ceil(fleet.routers.len()) * 9 / 8;
     for _ in 0..300 {
         let held: Vec<usize> = (0..fleet.routers.len())
             .map(|router| slots_of(fleet, router))
             .collect();
-        if held.iter().sum::<usize>() == SLOTS && held.iter().all(|held| *held <= most) {
+        if held.iter().sum::<usize>() == SLOTS && held.iter().all(|held| *held <= max_slots) {
             return;
         }
         thread::sleep(Duration::from_millis(100));
@@ -79,22 +79,29 @@
 }
 
 /// Most tokens that may have been granted since a time.
-fn bound(since: Instant) -> u64 {
-    BURST + RATE * since.elapsed().as_millis() as u64 / 1_000 + RATE / 100
+fn max_granted_tokens(since: Instant) -> u64 {
+    BURST_TOKENS + TOKENS_PER_S * since.elapsed().as_millis() as u64 / 1_000 + TOKENS_PER_S / 100
 }
 
 /// Two routers share one team, and callers send several times the rate, first
 /// to both and then to one. Together they receive no more than rate and
 /// burst, and no less than most of the rate.
 #[test]
-fn two_routers_grant_one_rate_together() {
+fn two_routers_share_one_rate() {
     let fleet = fleet(2);
-    thread::sleep(FILL);
+    thread::sleep(REFILL_TIME);
     let since = Instant::now();
     let tokens = spend(&fleet, &[0, 1], Duration::from_secs(2))
         + spend(&fleet, &[0], Duration::from_secs(2));
-    assert!(tokens <= bound(since), "{tokens} over {}", bound(since));
-    assert!(tokens >= 4 * RATE, "{tokens} are less than the rate");
+    assert!(
+        tokens <= max_granted_tokens(since),
+        "{tokens} over {}",
+        max_granted_tokens(since)
+    );
+    assert!(
+        tokens >= 4 * TOKENS_PER_S,
+        "{tokens} are less than the rate"
+    );
 }
 
 /// All callers use one of two routers and send half of the rate. That is all
@@ -103,13 +110,13 @@
 #[test]
 fn a_skewed_load_within_the_rate_is_not_refused() {
     let fleet = fleet(2);
-    thread::sleep(FILL);
-    for clump in 0..4 {
+    thread::sleep(REFILL_TIME);
+    for burst in 0..4 {
         for i in 0..20 {
             let answer = fleet.chat(0, "Is walnut in stock?", MAX_TOKENS, false);
-            assert_eq!(answer.status, 200, "{clump} {i} {}", answer.body);
+            assert_eq!(answer.status, 200, "{burst} {i} {}", answer.body);
         }
-        thread::sleep(FILL);
+        thread::sleep(REFILL_TIME);
     }
 }
 
@@ -118,9 +125,9 @@
 /// callers are served again soon, but starts with nothing: started full, each
 /// restart would hand the burst out again.
 #[test]
-fn a_herd_of_restarts_hands_out_no_second_burst() {
+fn restarting_every_router_grants_no_second_burst() {
     let mut fleet = fleet(2);
-    thread::sleep(FILL);
+    thread::sleep(REFILL_TIME);
     let since = Instant::now();
     let mut tokens = spend(&fleet, &[0, 1], Duration::from_millis(700));
     for _ in 0..2 {
@@ -131,10 +138,14 @@
             .for_each(|router| router.start_again());
         fleet.routers.iter().for_each(|router| router.wait_ready());
         let after = spend(&fleet, &[0, 1], Duration::from_millis(1_500));
-        assert!(after > RATE / 4, "{after} tokens after a restart");
+        assert!(after > TOKENS_PER_S / 4, "{after} tokens after a restart");
         tokens += after;
     }
-    assert!(tokens <= bound(since), "{tokens} over {}", bound(since));
+    assert!(
+        tokens <= max_granted_tokens(since),
+        "{tokens} over {}",
+        max_granted_tokens(since)
+    );
 }
 
 /// One router stands still while the other serves. Callers of the other get
@@ -143,25 +154,29 @@
 #[test]
 fn a_paused_router_neither_blocks_nor_doubles_tokens() {
     let fleet = fleet(2);
-    thread::sleep(FILL);
+    thread::sleep(REFILL_TIME);
     let since = Instant::now();
     fleet.routers[1].freeze();
     let alone = spend(&fleet, &[0], Duration::from_secs(2));
     fleet.routers[1].thaw();
     let tokens = alone + spend(&fleet, &[0, 1], Duration::from_secs(1));
     assert!(
-        alone >= RATE * 2 / 3,
+        alone >= TOKENS_PER_S * 2 / 3,
         "{alone} tokens beside a paused router"
     );
-    assert!(tokens <= bound(since), "{tokens} over {}", bound(since));
+    assert!(
+        tokens <= max_granted_tokens(since),
+        "{tokens} over {}",
+        max_granted_tokens(since)
+    );
 }
 
 /// The platform is down for a while. Slots are held under long leases, so
 /// callers within the rate notice nothing.
 #[test]
-fn an_outage_of_the_platform_refuses_no_one() {
+fn a_platform_outage_refuses_no_request_within_the_rate() {
     let fleet = fleet(2);
-    thread::sleep(FILL);
+    thread::sleep(REFILL_TIME);
     fleet.platform.set_faults(PlatformFaults {
         down: true,
         ..PlatformFaults::default()
@@ -171,14 +186,14 @@
             let answer = fleet.chat(i % 2, "Is walnut in stock?", MAX_TOKENS, false);
             assert_eq!(answer.status, 200, "{}", answer.body);
         }
-        thread::sleep(FILL);
+        thread::sleep(REFILL_TIME);
     }
 }
 
 /// A router restarts while replies to its writes are lost after they took
 /// effect. It reads the slots back, and holds its share all the same.
 #[test]
-fn lost_replies_cost_no_slots() {
+fn lost_replies_to_slot_writes_lose_no_slots() {
     let mut fleet = fleet(2);
     fleet.routers[0].kill();
     fleet.platform.set_faults(PlatformFaults {
@@ -188,17 +203,21 @@
     fleet.routers[0].start_again();
     fleet.routers[0].wait_ready();
     wait_for_slots(&fleet);
-    thread::sleep(FILL);
+    thread::sleep(REFILL_TIME);
     let since = Instant::now();
     let tokens = spend(&fleet, &[0, 1], Duration::from_secs(1));
-    assert!(tokens >= BURST / 2, "{tokens}");
-    assert!(tokens <= bound(since), "{tokens} over {}", bound(since));
+    assert!(tokens >= BURST_TOKENS / 2, "{tokens}");
+    assert!(
+        tokens <= max_granted_tokens(since),
+        "{tokens} over {}",
+        max_granted_tokens(since)
+    );
 }
 
 /// A router shuts down in good order. It gives its slots back, and the other
 /// takes them long before any lease ends.
 #[test]
-fn a_graceful_shutdown_gives_slots_back() {
+fn a_graceful_shutdown_releases_slots() {
     let mut fleet = fleet(2);
     fleet.routers[1].terminate();
     fleet.routers[1].wait();
@@ -215,7 +234,7 @@
 /// Everything restarts while the platform is down. No one can know what was
 /// granted, so callers are told that nothing ran, and why.
 #[test]
-fn without_slots_a_refusal_says_why() {
+fn a_router_without_slots_refuses_as_not_run() {
     let mut fleet = fleet(1);
     fleet.platform.set_faults(PlatformFaults {
         down: true,
--- a/crates/mangowalkd/tests/outcomes.rs
+++ b/crates/mangowalkd/tests/outcomes.rs
@@ -37,7 +37,7 @@
 /// Every engine refuses before it runs anything. "Not run" is true, and the
 /// caller is told when to come back.
 #[test]
-fn a_request_that_no_engine_took_was_not_run() {
+fn a_request_refused_by_every_engine_is_reported_as_not_run() {
     let fleet = fleet_with(&EngineFaults {
         refuse_status: Some(503),
         ..EngineFaults::default()
@@ -51,7 +51,7 @@
 
 /// The engines state in an event that nothing ran.
 #[test]
-fn an_engine_that_says_not_run_is_believed() {
+fn an_engine_error_of_not_run_is_reported_as_not_run() {
     let fleet = fleet_with(&EngineFaults {
         fail_not_run: Some(true),
         ..EngineFaults::default()
@@ -77,7 +77,7 @@
 /// The caller waits 300 ms for a first token, and no engine has one. It is
 /// told then, and no further engine is given work for nobody.
 #[test]
-fn a_request_past_its_deadline_is_given_up() {
+fn a_request_past_its_deadline_is_not_retried() {
     let fleet = Fleet::start(&FleetSettings {
         program: env!("CARGO_BIN_EXE_mangowalkd").to_owned(),
         router_args: ["request", "first-token", "drain"]
@@ -110,7 +110,7 @@
 
 /// Tokens came and the rest did not. The request ran.
 #[test]
-fn a_request_that_was_cut_ran() {
+fn an_interrupted_request_is_reported_as_ran() {
     let fleet = fleet_with(&EngineFaults {
         cut_after_tokens: Some(2),
         ..EngineFaults::default()
--- a/crates/mangowalkd/tests/outside_input.rs
+++ b/crates/mangowalkd/tests/outside_input.rs
@@ -42,7 +42,7 @@
 /// The caller sends bytes in place of a JSON body. It receives an error of
 /// the protocol, status 400 or another of the 400s, and the router goes on.
 #[test]
-fn any_body_is_answered_in_the_protocol() {
+fn any_invalid_body_gets_a_protocol_error() {
     let fleet = fleet();
     let bearer = format!("Bearer {}", Fleet::KEY);
     let bodies = prop_oneof![
@@ -69,7 +69,7 @@
 /// The caller sends bytes that are no HTTP. Whatever it receives, the router
 /// goes on and serves the next caller.
 #[test]
-fn any_bytes_leave_the_router_serving() {
+fn arbitrary_bytes_do_not_stop_the_router() {
     let fleet = fleet();
     let bytes = prop_oneof![
         prop::collection::vec(any::<u8>(), 0..200),
@@ -97,7 +97,7 @@
 
 /// A peer's message is decoded or refused, whatever its bytes are.
 #[test]
-fn any_peer_message_is_read_or_refused() {
+fn any_peer_message_is_decoded_or_rejected() {
     runner()
         .run(&prop::collection::vec(any::<u8>(), 0..400), |bytes| {
             let _ = postcard::from_bytes::<PeerRequest>(&bytes);
--- a/crates/mangowalkd/tests/placement.rs
+++ b/crates/mangowalkd/tests/placement.rs
@@ -14,7 +14,7 @@
 const COOPER_KEY: &str = "mw-test-key-cooper";
 
 /// Longest time between two reads of an engine's state, with room to spare.
-const NEWS: Duration = Duration::from_millis(1_500);
+const ENGINE_STATE_WAIT: Duration = Duration::from_millis(1_500);
 
 fn fleet(settings: FleetSettings) -> Fleet {
     let fleet = Fleet::start(&FleetSettings {
@@ -87,7 +87,7 @@
 /// answer counts the handbook as found, and so does a third one that comes
 /// through another instance: both compute the same home for the prefix.
 #[test]
-fn a_shared_prefix_is_found_through_every_instance() {
+fn a_shared_prefix_is_cached_for_requests_through_every_instance() {
     let fleet = fleet(FleetSettings {
         routers: 2,
         engines: 5,
@@ -108,7 +108,7 @@
 /// nothing as found, whichever engine runs it: the team is part of every
 /// block's key, so one team can't learn from timing what another has asked.
 #[test]
-fn another_teams_prompt_is_never_found() {
+fn a_prompt_of_another_team_is_never_a_cache_hit() {
     let fleet = fleet(FleetSettings::default());
     let same = prompt("conservation notes", "which glass?");
     for key in [Fleet::KEY, COOPER_KEY] {
@@ -121,7 +121,7 @@
 /// must get its whole answer with nothing counted as found, and the callers
 /// behind it must find the prefix again where that one was sent.
 #[test]
-fn an_engine_that_came_back_empty_is_not_believed() {
+fn a_restarted_engine_is_known_to_have_an_empty_cache() {
     let fleet = fleet(FleetSettings {
         engines: 3,
         ..FleetSettings::default()
@@ -133,7 +133,7 @@
         engine.crash();
         engine.restart();
     }
-    thread::sleep(NEWS);
+    thread::sleep(ENGINE_STATE_WAIT);
     let after = ask(&fleet, 0, Fleet::KEY, &handbook("third"));
     assert_eq!((after.status, cached_tokens(&after)), (200, 0));
     assert!(cached_tokens(&ask(&fleet, 0, Fleet::KEY, &handbook("fourth"))) > 0);
@@ -143,7 +143,7 @@
 /// come later must be served by the others: an engine that shows by its first
 /// tokens that it is slow loses work without failing a single request.
 #[test]
-fn a_slow_engine_loses_work() {
+fn a_slow_engine_gets_fewer_requests() {
     let fleet = fleet(FleetSettings {
         engines: 3,
         ..FleetSettings::default()
@@ -160,15 +160,15 @@
     };
     send("learning", 12);
     send("judged", 30);
-    let judged = started(&fleet.engines, "judged");
-    assert!(judged[0] <= 4, "{judged:?}");
+    let later_requests = started(&fleet.engines, "judged");
+    assert!(later_requests[0] <= 4, "{later_requests:?}");
 }
 
 /// An operator marks an engine as departing while callers ask about a prefix
 /// that it holds. After a few seconds it must get no new work, however much
 /// of the prompt it would find.
 #[test]
-fn a_departing_engine_gets_no_new_work() {
+fn a_departing_engine_gets_no_new_requests() {
     let fleet = fleet(FleetSettings::default());
     let handbook = |question: &str| prompt("placement", question);
     let answer = ask(&fleet, 0, Fleet::KEY, &handbook("before"));
@@ -185,7 +185,7 @@
     fleet
         .platform
         .put("upstream", &format!("engine-{holder}"), upstream);
-    thread::sleep(NEWS);
+    thread::sleep(ENGINE_STATE_WAIT);
     for i in 0..6 {
         let answer = ask(&fleet, 0, Fleet::KEY, &handbook(&format!("after {i}")));
         assert_eq!(answer.status, 200, "{}", answer.body);
--- a/crates/mangowalkd/tests/poison.rs
+++ b/crates/mangowalkd/tests/poison.rs
@@ -9,11 +9,11 @@
 
 const ENGINES: usize = 9;
 const ROUTERS: usize = 3;
-const ANSWER: u32 = 200;
+const ANSWER_TOKENS: u32 = 200;
 const POISON: &str = "a prompt that crashes engines";
 
 /// Time in which routers hear of every engine.
-const SETTLE: Duration = Duration::from_millis(2_500);
+const ENGINE_DISCOVERY_TIME: Duration = Duration::from_millis(2_500);
 
 fn fleet() -> Fleet {
     let fleet = Fleet::start(&FleetSettings {
@@ -29,7 +29,7 @@
         burst_tokens: 10_000_000,
         ..FleetSettings::default()
     });
-    thread::sleep(SETTLE);
+    thread::sleep(ENGINE_DISCOVERY_TIME);
     wait_for_peers(&fleet);
     for engine in &fleet.engines {
         engine.set_faults(EngineFaults {
@@ -81,7 +81,7 @@
 /// routers. Each router counts what the others saw, so that three engines
 /// crash in all, and then every router refuses it at once.
 #[test]
-fn a_poison_request_stops_after_three_crashes() {
+fn a_request_that_crashes_engines_is_refused_after_three_crashes() {
     let fleet = fleet();
     let refused = send_until_refused(&fleet);
     assert_eq!(refused.status, 422, "{}", refused.body);
@@ -99,7 +99,7 @@
 /// whole, and sent again they are served: only the most suspect request is
 /// charged with a crash.
 #[test]
-fn innocent_requests_beside_a_poison_request_complete() {
+fn other_requests_on_crashed_engines_complete() {
     let fleet = fleet();
     let prompts: Vec<String> = (0..18).map(|i| format!("innocent {i}")).collect();
     let answers: Vec<Answer> = thread::scope(|scope| {
@@ -108,7 +108,7 @@
             .enumerate()
             .map(|(i, prompt)| {
                 let fleet = &fleet;
-                scope.spawn(move || fleet.chat(i % ROUTERS, prompt, ANSWER, true))
+                scope.spawn(move || fleet.chat(i % ROUTERS, prompt, ANSWER_TOKENS, true))
             })
             .collect();
         thread::sleep(Duration::from_millis(200));
@@ -124,7 +124,7 @@
         assert!(answer.is_done(), "{prompt}: {end}");
         assert_eq!(
             answer.streamed_text(),
-            Fleet::expected(prompt, u64::from(ANSWER))
+            Fleet::expected(prompt, u64::from(ANSWER_TOKENS))
         );
     }
     assert_eq!(crashes(&fleet), 3);
--- a/crates/mangowalkd/tests/streams.rs
+++ b/crates/mangowalkd/tests/streams.rs
@@ -9,8 +9,8 @@
 };
 
 /// Looks at a condition that must come to hold.
-const LOOKS: u32 = 500;
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const MAX_POLLS: u32 = 500;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 const TOKENS: u32 = 20;
 
@@ -25,11 +25,11 @@
     fleet
 }
 
-fn comes_true(condition: impl Fn() -> bool) -> bool {
-    (0..LOOKS).any(|_| {
+fn becomes_true(condition: impl Fn() -> bool) -> bool {
+    (0..MAX_POLLS).any(|_| {
         let holds = condition();
         if !holds {
-            thread::sleep(LOOK_PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
         holds
     })
@@ -60,17 +60,17 @@
     caller
 }
 
-fn assert_whole(answer: &Answer, prompt: &str) {
+fn assert_complete(answer: &Answer, prompt: &str) {
     let expected = Fleet::expected(prompt, u64::from(TOKENS));
     assert_eq!(answer.streamed_text(), expected, "{}", answer.body);
     assert!(answer.is_done() && answer.ended, "{}", answer.body);
 }
 
 /// Sends several requests, so that each engine gets some, streamed and not.
-fn assert_all_whole(fleet: &Fleet) {
+fn assert_all_complete(fleet: &Fleet) {
     for i in 0..6 {
         let prompt = format!("order {i}");
-        assert_whole(&fleet.chat(0, &prompt, TOKENS, true), &prompt);
+        assert_complete(&fleet.chat(0, &prompt, TOKENS, true), &prompt);
         let answer = fleet.chat(0, &prompt, TOKENS, false);
         let expected = Fleet::expected(&prompt, u64::from(TOKENS));
         assert_eq!(answer.text(), expected, "{}", answer.body);
@@ -82,7 +82,7 @@
 /// while the second does not exist: whatever holds tokens back until more
 /// come would keep it waiting here for ever.
 #[test]
-fn the_first_token_arrives_before_the_second_exists() {
+fn the_first_token_arrives_before_the_second_is_generated() {
     let fleet = fleet(1, &[]);
     fleet.engines[0].set_faults(EngineFaults {
         freeze_after_tokens: Some(1),
@@ -100,33 +100,33 @@
 /// sees a pause and then the rest from the other engine, and the silent one
 /// is told to stop.
 #[test]
-fn a_silent_engine_is_left_behind_its_last_token() {
+fn a_stream_resumes_elsewhere_when_its_engine_stalls() {
     let fleet = fleet(2, &["--token-timeout-ms=300"]);
     fleet.engines[0].set_faults(EngineFaults {
         freeze_after_tokens: Some(3),
         ..EngineFaults::default()
     });
-    assert_all_whole(&fleet);
+    assert_all_complete(&fleet);
     assert!(fleet.engines[0].attempts() > 0);
-    assert!(comes_true(|| fleet.engines[0].state().load.running == 0));
+    assert!(becomes_true(|| fleet.engines[0].state().load.running == 0));
 }
 
 /// An engine takes requests and writes nothing. That wait has a timeout of
 /// its own, longer than between tokens.
 #[test]
-fn an_engine_without_a_first_token_is_left() {
+fn a_request_without_a_first_token_moves_to_another_engine() {
     let fleet = fleet(2, &["--first-token-timeout-ms=300"]);
     fleet.engines[0].set_faults(EngineFaults {
         freeze_after_tokens: Some(0),
         ..EngineFaults::default()
     });
-    assert_all_whole(&fleet);
+    assert_all_complete(&fleet);
 }
 
 /// Each token comes twice, once under the number of another attempt. Only
 /// one of them is the caller's.
 #[test]
-fn crossed_answers_reach_nobody() {
+fn tokens_of_another_attempt_are_dropped() {
     let fleet = fleet(2, &[]);
     for engine in &fleet.engines {
         engine.set_faults(EngineFaults {
@@ -134,19 +134,19 @@
             ..EngineFaults::default()
         });
     }
-    assert_all_whole(&fleet);
+    assert_all_complete(&fleet);
 }
 
 /// An engine leaves a token out. The caller gets it from the other engine,
 /// in its place.
 #[test]
-fn a_token_left_out_is_fetched_elsewhere() {
+fn a_skipped_token_is_generated_elsewhere() {
     let fleet = fleet(2, &[]);
     fleet.engines[0].set_faults(EngineFaults {
         skip_token: Some(4),
         ..EngineFaults::default()
     });
-    assert_all_whole(&fleet);
+    assert_all_complete(&fleet);
 }
 
 /// An engine ends its stream properly but without its final event, as a
@@ -158,13 +158,13 @@
         cut_after_tokens: Some(5),
         ..EngineFaults::default()
     });
-    assert_all_whole(&fleet);
+    assert_all_complete(&fleet);
 }
 
 /// The only engine cuts every stream, so nothing can resume. The caller has
 /// five tokens and an error that says so, and no marker of completeness.
 #[test]
-fn a_cut_stream_never_looks_complete() {
+fn an_interrupted_stream_never_looks_complete() {
     let fleet = fleet(1, &["--token-timeout-ms=300"]);
     fleet.engines[0].set_faults(EngineFaults {
         cut_after_tokens: Some(5),
@@ -182,14 +182,14 @@
 /// The only engine crashes after five tokens and comes back empty. The
 /// stream waits for it and goes on; usage counts each token once.
 #[test]
-fn a_stream_waits_for_its_engine_to_come_back() {
+fn a_stream_waits_for_its_engine_to_restart() {
     let fleet = fleet(1, &["--token-timeout-ms=20000"]);
     fleet.engines[0].set_faults(EngineFaults {
         crash_after_tokens: Some(5),
         ..EngineFaults::default()
     });
     let mut caller = open_stream(&fleet, "back");
-    assert!(comes_true(|| fleet.engines[0].crashes() == 1));
+    assert!(becomes_true(|| fleet.engines[0].crashes() == 1));
     fleet.engines[0].set_faults(EngineFaults::default());
     fleet.engines[0].restart();
     assert!(caller.read_until("data: [DONE]"), "{}", caller.text());
@@ -204,7 +204,7 @@
 /// The answer takes longer than a request may. A shutdown waits for no longer
 /// than that, so the stream ends here, seen to be cut, and frees its engine.
 #[test]
-fn a_stream_over_the_longest_time_is_cut() {
+fn a_stream_over_the_request_timeout_is_cut_off() {
     let fleet = Fleet::start(&FleetSettings {
         program: env!("CARGO_BIN_EXE_mangowalkd").to_owned(),
         engines: 1,
@@ -230,14 +230,14 @@
         "{}",
         answer.body
     );
-    assert!(comes_true(|| fleet.engines[0].state().load.running == 0));
+    assert!(becomes_true(|| fleet.engines[0].state().load.running == 0));
 }
 
 /// The caller hangs up while the engine is silent between two tokens. No
 /// token comes whose writing could fail, so only the lines in between can
 /// show it. The engine must be free again.
 #[test]
-fn a_caller_that_goes_away_frees_a_silent_engine() {
+fn a_disconnected_caller_frees_a_stalled_engine() {
     let fleet = fleet(1, &["--token-timeout-ms=60000"]);
     fleet.engines[0].set_faults(EngineFaults {
         freeze_after_tokens: Some(1),
@@ -247,7 +247,7 @@
     assert!(caller.read_until("w0x"));
     assert_eq!(fleet.engines[0].state().load.running, 1);
     drop(caller);
-    assert!(comes_true(|| fleet.engines[0].state().load.running == 0));
+    assert!(becomes_true(|| fleet.engines[0].state().load.running == 0));
 }
 
 /// The caller stays connected and stops to read, while the engine writes more
@@ -263,7 +263,7 @@
     });
     let mut caller = open_stream_of(&fleet, "stopped", 200);
     assert!(caller.read_until("w0x"));
-    assert!(comes_true(|| fleet.engines[0].state().load.running == 0));
+    assert!(becomes_true(|| fleet.engines[0].state().load.running == 0));
     fleet.engines[0].set_faults(EngineFaults::default());
     assert!(!caller.read_to_end().contains("[DONE]"));
 }
@@ -272,17 +272,17 @@
 /// engine refuses; the router reads its state again and the caller is served,
 /// unless the router found it down in between, which it says as "not run".
 #[test]
-fn an_engine_that_restarted_is_known_again() {
+fn requests_are_served_after_an_engine_restart() {
     let fleet = fleet(1, &[]);
     for i in 0..4 {
         fleet.engines[0].crash();
         fleet.engines[0].restart();
         let prompt = format!("again {i}");
-        let served = comes_true(|| {
+        let served = becomes_true(|| {
             let answer = fleet.chat(0, &prompt, TOKENS, true);
             let is_refused = answer.header("x-mangowalk-outcome") == Some("not_run");
             if !is_refused {
-                assert_whole(&answer, &prompt);
+                assert_complete(&answer, &prompt);
             }
             !is_refused
         });
@@ -293,7 +293,7 @@
 /// One engine refuses all as meant for another incarnation. It is healthy, so
 /// its breaker stays closed, it goes on to be asked, and no caller notices.
 #[test]
-fn a_refusal_of_what_is_stale_is_no_failure() {
+fn a_stale_refusal_does_not_open_the_breaker() {
     let fleet = fleet(2, &[]);
     fleet.engines[0].set_faults(EngineFaults {
         refuse_status: Some(409),
@@ -301,7 +301,7 @@
     });
     let before = fleet.engines[0].attempts();
     for _ in 0..3 {
-        assert_all_whole(&fleet);
+        assert_all_complete(&fleet);
     }
     let asked = fleet.engines[0].attempts() - before;
     assert!(asked > 6, "{asked}");
--- a/crates/mangowalkd/tests/thin_path.rs
+++ b/crates/mangowalkd/tests/thin_path.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_streamed_answer_is_whole() {
+fn a_streamed_answer_is_complete() {
     let fleet = fleet(FleetSettings::default());
     let answer = chat_until_served(&fleet, "Which moulding suits a watercolour?", true);
     let expected = Fleet::expected("Which moulding suits a watercolour?", 20);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_answer_in_one_piece_is_whole_and_counted() {
+fn a_buffered_answer_is_complete_and_counted() {
     let fleet = fleet(FleetSettings::default());
     let answer = chat_until_served(&fleet, "Is walnut in stock?", false);
     assert_eq!(answer.text(), Fleet::expected("Is walnut in stock?", 20));
@@ -44,7 +44,7 @@
 /// without a gap or a repeated token: the router resumes on the other engine
 /// behind the tokens that the caller has.
 #[test]
-fn a_stream_outlives_its_engine() {
+fn a_stream_survives_an_engine_crash() {
     let fleet = fleet(FleetSettings::default());
     chat_until_served(&fleet, "warm", false);
     for engine in &fleet.engines {
--- a/crates/mangowalkd/tests/upstreams.rs
+++ b/crates/mangowalkd/tests/upstreams.rs
@@ -21,7 +21,7 @@
 /// to send, but for one probe after each pause; without the breaker the
 /// engine would get every request and the callers would wait for it.
 #[test]
-fn a_failing_engine_is_left_alone() {
+fn the_breaker_limits_attempts_at_a_failing_engine() {
     let fleet = fleet(1);
     let before = fleet.engines[0].attempts();
     fleet.engines[0].set_faults(EngineFaults {
@@ -41,7 +41,7 @@
 /// and later ones are not sent there. Without that each would wait for the
 /// timeout of the first token, here longer than any caller does.
 #[test]
-fn requests_leave_a_stalled_engine() {
+fn requests_move_away_from_a_stalled_engine() {
     let fleet = Fleet::start(&FleetSettings {
         program: env!("CARGO_BIN_EXE_mangowalkd").to_owned(),
         engine: EngineSettings {
@@ -95,7 +95,7 @@
 
 /// One engine of two is dead. No caller notices, and the other serves all.
 #[test]
-fn a_dead_engine_is_noticed_by_no_caller() {
+fn a_dead_engine_fails_no_request() {
     let fleet = fleet(2);
     fleet.engines[0].crash();
     for i in 0..REQUESTS {
