--- a/crates/mangowalkd/src/shared_state/admission.rs
+++ b/crates/mangowalkd/src/shared_state/admission.rs
@@ -16,15 +16,16 @@
 /// Settings of placement and admission.
 #[derive(Debug, Clone, Default)]
 pub struct DispatchSettings {
-    /// How requests are placed.
+    /// Settings of how requests are assigned to engines.
     pub placement: PlacementSettings,
-    /// How requests are admitted.
+    /// Settings of admission and of the queue.
     pub admission: AdmissionSettings,
-    /// Seed of what is random.
+    /// Seed of the random choices of placement and admission.
     pub seed: u64,
 }
 
-/// Admission, queue and placement of this instance, and who waits for them.
+/// Admission, queue and placement of this instance, and the request threads
+/// that wait for a decision.
 #[derive(Debug)]
 pub struct SharedDispatcher {
     inner: Mutex<Inner>,
@@ -36,14 +37,16 @@
     upstreams: SharedUpstreams,
     waiters: HashMap<u64, Sender<Decision>>,
     next_id: u64,
-    /// View whose engines placement knows.
+    /// View whose engines were last passed to placement; `None` before the first.
     applied_view: Option<Arc<View>>,
+    /// Time of the last submission or dispatch.
     now_ms: u64,
 }
 
 impl SharedDispatcher {
-    /// Returns a board that knows no engine yet. The seed differs between
-    /// instances, so that refused callers of several do not return together.
+    /// Returns a dispatcher without engines. The seed must differ between
+    /// instances, so that callers refused by several do not retry at the same
+    /// time.
     pub fn new(settings: DispatchSettings, upstreams: SharedUpstreams) -> SharedDispatcher {
         let DispatchSettings {
             placement,
@@ -63,12 +66,12 @@
         }
     }
 
-    /// Reads the placement.
+    /// Calls `reader` with the placement while it is locked.
     pub fn read<T>(&self, reader: impl FnOnce(&Placement) -> T) -> T {
         reader(lock(&self.inner).dispatcher.placement())
     }
 
-    /// Returns whether the engines of a view were not taken yet.
+    /// Returns whether the engines of a view were not applied yet.
     pub fn is_new_view(&self, view: &Arc<View>) -> bool {
         let inner = lock(&self.inner);
         !inner
@@ -77,7 +80,7 @@
             .is_some_and(|t| Arc::ptr_eq(t, view))
     }
 
-    /// Takes the engines of a view.
+    /// Replaces the engines that placement uses by those of a view.
     pub fn set_engines(&self, specs: &[EngineSpec], view: &Arc<View>) {
         let mut inner = lock(&self.inner);
         inner.dispatcher.placement_mut().set_engines(specs);
@@ -90,14 +93,15 @@
         inner.dispatcher.placement_mut().set_instances(instances);
     }
 
-    /// Takes an engine's report; none where it did not answer.
+    /// Records the state that an engine reported, `None` if it did not respond,
+    /// and dispatches queued requests.
     pub fn report(&self, engine: &str, state: Option<&EngineState>, now_ms: u64) {
         let mut inner = lock(&self.inner);
         inner.dispatcher.placement_mut().report(engine, state);
         inner.dispatch_queued(now_ms);
     }
 
-    /// Takes cache events of an engine.
+    /// Applies cache events of an engine to the placement.
     pub fn cache_events(&self, engine: &str, events: &CacheEvents) {
         let mut inner = lock(&self.inner);
         inner
@@ -106,7 +110,8 @@
             .cache_events(engine, events);
     }
 
-    /// Takes a new request. Its verdict comes on the channel, maybe at once.
+    /// Submits a new request. The returned channel delivers its decision, in
+    /// some cases before this call returns.
     pub fn submit(&self, job: Job, now_ms: u64) -> Receiver<Decision> {
         let (sender, decision) = flume::bounded(1);
         let mut inner = lock(&self.inner);
@@ -123,13 +128,14 @@
         decision
     }
 
-    /// Sends what has room now, and refuses what can't be served in time.
+    /// Dispatches the queued requests that an engine has capacity for now, and
+    /// refuses those that can't be served in time.
     pub fn dispatch_queued(&self, now_ms: u64) {
         lock(&self.inner).dispatch_queued(now_ms);
     }
 
-    /// Chooses an engine past the queue, for a request that was let in
-    /// already and lost its engine.
+    /// Chooses an engine without queueing, for a request that was admitted
+    /// before and lost its engine. Records the request as sent there.
     pub fn place_retry(&self, ask: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
         let mut inner = lock(&self.inner);
         let placement = inner.dispatcher.placement_mut();
@@ -138,31 +144,33 @@
         Some(choice)
     }
 
-    /// Returns where a request would go now, and sends nothing.
+    /// Returns the engine that a request would be sent to now. Nothing is sent
+    /// or recorded as sent.
     pub fn preview(&self, ask: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
         let mut inner = lock(&self.inner);
         inner.dispatcher.placement_mut().choose(ask, now_ms)
     }
 
-    /// Returns how many requests wait for an engine.
+    /// Returns the number of queued requests.
     pub fn queued(&self) -> usize {
         lock(&self.inner).dispatcher.queued()
     }
 
-    /// Notes a first token.
+    /// Records the first token of an attempt.
     pub fn first_token(&self, choice: &mut Choice, now_ms: u64) {
         let mut inner = lock(&self.inner);
         inner.dispatcher.placement_mut().first_token(choice, now_ms);
     }
 
-    /// Notes the end of an attempt whose request broke off. Its end is taken
-    /// to be the last time that the board was told.
+    /// Records the end of an attempt whose guard was dropped before it ended.
+    /// The time of the last submission or dispatch counts as its end.
     pub(super) fn abandoned(&self, choice: &Choice) {
         let now_ms = lock(&self.inner).now_ms;
         self.ended(choice, None, now_ms);
     }
 
-    /// Notes the end of an attempt, and what the engine found in its cache.
+    /// Records the end of an attempt and the number of blocks that the engine
+    /// found in its cache, `None` if unknown. Dispatches queued requests.
     pub fn ended(&self, choice: &Choice, cached_blocks: Option<usize>, now_ms: u64) {
         let mut inner = lock(&self.inner);
         let placement = inner.dispatcher.placement_mut();
@@ -187,7 +195,7 @@
                 Some(waiter) => waiter.send(decision),
                 None => continue,
             };
-            // The request's thread is gone: its slot must not stay taken.
+            // The request's thread has ended, so its slot is released.
             if let Err(flume::SendError(Decision::Send { choice, .. })) = delivered {
                 let placement = self.dispatcher.placement_mut();
                 placement.ended(&choice, None, now_ms);
--- a/crates/mangowalkd/src/shared_state/burn.rs
+++ b/crates/mangowalkd/src/shared_state/burn.rs
@@ -4,11 +4,12 @@
     std::{collections::BTreeMap, sync::Mutex},
 };
 
-/// First tokens that wait for the metrics daemon. More in one second are left
-/// out: statsd timers are samples, and memory must stay bounded.
+/// First-token times held until the metrics are sent next. Further ones in
+/// the same second are dropped: statsd timers are samples, and memory must
+/// stay bounded.
 const MAX_FIRST_TOKEN_SAMPLES: usize = 1_024;
 
-/// What became of every team's requests.
+/// Counts of the outcomes of every team's requests.
 #[derive(Debug, Default)]
 pub struct SharedBurn {
     inner: Mutex<Inner>,
@@ -20,7 +21,7 @@
     unsent: Option<UnsentCounts>,
 }
 
-/// What was counted since metrics were last sent.
+/// Counts since metrics were last sent.
 #[derive(Debug, Default)]
 pub struct UnsentCounts {
     /// Counts by team.
@@ -30,7 +31,8 @@
 }
 
 impl SharedBurn {
-    /// Counts one request of a team.
+    /// Counts one finished request of a team. `objective_ms` is the team's
+    /// objective for the time to the first token.
     pub fn record(&self, team: &str, observation: &Observation, objective_ms: u64, now_ms: u64) {
         let mut inner = lock(&self.inner);
         inner.ledger.record(team, observation, objective_ms, now_ms);
@@ -39,13 +41,13 @@
         }
     }
 
-    /// Returns the counts of every team over every window.
+    /// Returns the counts of every team over every time window.
     pub fn publish(&self, now_ms: u64) -> Vec<TeamBurn> {
         lock(&self.inner).ledger.publish(now_ms)
     }
 
-    /// Takes what was counted since the last call. Nothing is kept for it
-    /// before the first one, so that an instance without metrics pays nothing.
+    /// Returns the counts since the last call and resets them. Counting starts
+    /// with the first call, so an instance without metrics stores nothing.
     pub fn take_unsent(&self) -> UnsentCounts {
         lock(&self.inner)
             .unsent
--- a/crates/mangowalkd/src/shared_state/claims.rs
+++ b/crates/mangowalkd/src/shared_state/claims.rs
@@ -9,48 +9,49 @@
     std::{sync::Mutex, time::Duration},
 };
 
-/// Writes that may wait for the platform.
+/// Claim writes that may wait for the platform. Further ones are dropped.
 const MAX_PENDING_WRITES: usize = 1_024;
 
-/// Waiting writes above which answers are dropped from them, so that an
-/// outage of the platform does not fill the memory.
+/// Pending writes above which new ones are stored without the service's reply,
+/// so that an outage of the platform does not exhaust memory.
 const MAX_PENDING_WITH_REPLY: usize = 64;
 
-/// Looks for a claim whose write got no answer, a second apart.
+/// Checks for a claim whose write got no reply, one second apart.
 const MAX_NONCE_CHECKS: u32 = 5;
 
-/// A write of a claim that no caller waits for.
+/// A write of a claim, done in the background.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimWrite {
-    /// Write the outcome.
+    /// Writes the outcome of the call.
     Settle {
-        /// Identity of the claim.
+        /// Key of the claim's object.
         key: ObjectKey,
-        /// Condition.
+        /// Version of the object that the write requires.
         expect: Expect,
         /// Body with the outcome.
         body: Value,
     },
-    /// Delete a claim under which nothing was sent.
+    /// Deletes a claim whose call was never sent.
     Withdraw {
-        /// Identity of the claim.
+        /// Key of the claim's object.
         key: ObjectKey,
-        /// Condition.
+        /// Version of the object that the deletion requires.
         expect: Expect,
     },
-    /// Delete a claim under which nothing was sent, if it came to be after
-    /// all.
+    /// Deletes a claim whose call was never sent, if its creation took effect
+    /// although the reply to it was lost.
     WithdrawNonce {
-        /// Identity of the claim.
+        /// Key of the claim's object.
         key: ObjectKey,
-        /// Nonce of the claim.
+        /// Nonce of the claim, which tells it from a claim of another request.
         nonce: u64,
-        /// Looks that are left: the claim's write may still be under way.
+        /// Remaining checks: the write that creates the claim may still be in
+        /// flight.
         checks_left: u32,
     },
 }
 
-/// Claims of this instance whose outcome is still to be written.
+/// Queue of claim writes of this instance, and the current epoch.
 #[derive(Debug)]
 pub struct SharedClaims {
     sender: Sender<ClaimWrite>,
@@ -70,8 +71,8 @@
 }
 
 impl SharedClaims {
-    /// Has an outcome written. One that does not fit any more is dropped:
-    /// later callers are then told that it is unknown, which is true.
+    /// Queues the write of an outcome. It is dropped if the queue is full;
+    /// retries are then told that the outcome is unknown, which is correct.
     pub fn settle(&self, mut claim: Claim<Settled>) {
         if self.sender.len() > MAX_PENDING_WITH_REPLY {
             claim.drop_reply();
@@ -84,7 +85,8 @@
         let _ = self.sender.try_send(write);
     }
 
-    /// Has a claim deleted under which nothing was sent.
+    /// Queues the deletion of a claim whose call was never sent. It is dropped
+    /// if the queue is full.
     pub fn withdraw(&self, claim: &Claim<Claimed>) {
         let write = ClaimWrite::Withdraw {
             key: claim.key(),
@@ -93,7 +95,8 @@
         let _ = self.sender.try_send(write);
     }
 
-    /// Has a claim deleted that may have come to be.
+    /// Queues the deletion of a claim that may exist and whose call was never
+    /// sent. It is dropped if the queue is full.
     pub fn withdraw_nonce(&self, key: ObjectKey, nonce: u64) {
         let write = ClaimWrite::WithdrawNonce {
             key,
@@ -103,32 +106,32 @@
         let _ = self.sender.try_send(write);
     }
 
-    /// Puts a write back that the platform did not take.
+    /// Queues a write again that failed. It is dropped if the queue is full.
     pub fn requeue(&self, write: ClaimWrite) {
         let _ = self.sender.try_send(write);
     }
 
-    /// Waits for the next write.
+    /// Waits up to `wait` for the next write; `None` if there is none.
     pub fn next(&self, wait: Duration) -> Option<ClaimWrite> {
         self.receiver.recv_timeout(wait).ok()
     }
 
-    /// Returns how many writes wait.
+    /// Returns the number of queued writes.
     pub fn pending(&self) -> usize {
         self.receiver.len()
     }
 
-    /// Notes the epoch that the platform holds.
+    /// Records the epoch object that the platform returned.
     pub fn observe_epoch(&self, version: u64, body: EpochBody, now_ms: u64) {
         lock(&self.epoch).observe(version, body, now_ms);
     }
 
-    /// Returns the present epoch, if it is known.
+    /// Returns the current epoch, or `None` if it is unknown.
     pub fn epoch(&self, now_ms: u64) -> Option<u64> {
         lock(&self.epoch).current_epoch(now_ms)
     }
 
-    /// Returns a copy of what is known of epochs.
+    /// Returns a copy of the tracker of epochs.
     pub fn epoch_tracker(&self) -> EpochTracker {
         lock(&self.epoch).clone()
     }
--- a/crates/mangowalkd/src/shared_state/config.rs
+++ b/crates/mangowalkd/src/shared_state/config.rs
@@ -5,7 +5,7 @@
     std::sync::{Arc, Mutex},
 };
 
-/// Records in force.
+/// Configuration records in force.
 #[derive(Debug, Default)]
 pub struct SharedConfig {
     store: Mutex<Store>,
@@ -14,17 +14,17 @@
 }
 
 impl SharedConfig {
-    /// Returns the view that requests use.
+    /// Returns the current view of the records.
     pub fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
 
-    /// Reads the store.
+    /// Calls `reader` with the store while it is locked.
     pub fn read<T>(&self, reader: impl FnOnce(&Store) -> T) -> T {
         reader(&lock(&self.store))
     }
 
-    /// Changes the store and publishes the view that follows from it.
+    /// Changes the store and publishes a new view of it.
     pub fn update<T>(&self, writer: impl FnOnce(&mut Store) -> T) -> T {
         let mut store = lock(&self.store);
         let result = writer(&mut store);
@@ -32,17 +32,18 @@
         result
     }
 
-    /// Sets for how long the records may be used without a confirmation.
+    /// Sets how long the records may be used without a confirmation, in
+    /// milliseconds.
     pub fn set_stale_after(&self, limit_ms: u64) {
         lock(&self.freshness).limit_ms = limit_ms;
     }
 
-    /// Notes that the platform, or enough peers, answered.
+    /// Records that the platform, or enough peers, confirmed the records.
     pub fn confirm(&self, now_ms: u64) {
         lock(&self.freshness).confirm(now_ms);
     }
 
-    /// Returns how long the records may be relied on.
+    /// Returns when the records were confirmed and how long they may be used.
     pub fn freshness(&self) -> Freshness {
         *lock(&self.freshness)
     }
--- a/crates/mangowalkd/src/shared_state/engines.rs
+++ b/crates/mangowalkd/src/shared_state/engines.rs
@@ -7,41 +7,41 @@
     },
 };
 
-/// An engine as last seen.
+/// The last known state of one engine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct KnownEngine {
-    /// What it reported last; none if it did not answer.
+    /// State that it reported to the last poll; `None` if it did not respond.
     pub state: Option<EngineState>,
-    /// When it reported.
+    /// Time of the last poll, in milliseconds; 0 before the first.
     pub seen_ms: u64,
-    /// Attempts that this instance runs on it now.
+    /// Attempts that this instance has in flight on it.
     pub in_flight: u32,
 }
 
-/// Engines as last seen, by name of record.
+/// The last known state of each engine, by the name of its record.
 #[derive(Debug, Clone, Default)]
 pub struct SharedEngines {
     engines: Arc<Mutex<BTreeMap<String, KnownEngine>>>,
 }
 
 impl SharedEngines {
-    /// Returns a copy of every sight.
+    /// Returns a copy of the state of every engine.
     pub fn snapshot(&self) -> BTreeMap<String, KnownEngine> {
         lock(&self.engines).clone()
     }
 
-    /// Reads the sights without copying them.
+    /// Calls `reader` with the state of every engine, without a copy.
     pub fn read<T>(&self, reader: impl FnOnce(&BTreeMap<String, KnownEngine>) -> T) -> T {
         reader(&lock(&self.engines))
     }
 
-    /// Changes one engine's sight.
+    /// Changes the state of one engine, which is added if it is new.
     pub fn update(&self, name: &str, writer: impl FnOnce(&mut KnownEngine)) {
         let mut engines = lock(&self.engines);
         writer(engines.entry(name.to_owned()).or_default());
     }
 
-    /// Forgets engines whose records are gone.
+    /// Removes the engines for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         lock(&self.engines).retain(|name, _| keep(name));
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// An attempt that is counted on its engine while this guard lives.
+/// Counts an attempt as in flight on its engine until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     shared: SharedEngines,
--- a/crates/mangowalkd/src/shared_state/identity.rs
+++ b/crates/mangowalkd/src/shared_state/identity.rs
@@ -1,15 +1,15 @@
 use std::net::SocketAddr;
 
-/// Who this instance is.
+/// Identity of this instance towards callers, peers and the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
-    /// Address towards callers.
+    /// Address on which it listens to callers.
     pub caller_address: SocketAddr,
-    /// Address towards peers.
+    /// Address on which it listens to peers.
     pub peer_address: SocketAddr,
-    /// Failure domain.
+    /// Failure domain in which it runs.
     pub failure_domain: String,
-    /// Number drawn at start; it tells this process from the ones before it
-    /// on the same address.
+    /// Random number drawn at start. It distinguishes this process from
+    /// earlier ones on the same address.
     pub incarnation: u64,
 }
--- a/crates/mangowalkd/src/shared_state/lifecycle.rs
+++ b/crates/mangowalkd/src/shared_state/lifecycle.rs
@@ -7,7 +7,7 @@
     },
 };
 
-/// Phase of the instance, as the board shows it.
+/// Phase of the instance.
 #[derive(Debug, Clone, Copy)]
 enum Phase {
     Starting(Instance<Starting>),
@@ -16,7 +16,7 @@
     Stopped(#[expect(dead_code, reason = "shown in debug output")] Instance<Stopped>),
 }
 
-/// Phase of the process and its open requests.
+/// Phase of the process, and the number of its open requests.
 #[derive(Debug)]
 pub struct Lifecycle {
     phase: Mutex<Phase>,
@@ -35,7 +35,8 @@
 }
 
 impl Lifecycle {
-    /// Becomes ready if the facts allow it, and returns whether it did now.
+    /// Changes from starting to ready if the facts allow it. Returns whether
+    /// the phase changed.
     pub fn try_ready(&self, facts: StartingFacts, now_ms: u64) -> bool {
         let mut phase = lock(&self.phase);
         let Phase::Starting(starting) = *phase else {
@@ -48,7 +49,8 @@
         true
     }
 
-    /// Notes that the instance leaves: callers are sent elsewhere.
+    /// Starts to drain: the instance is no longer ready, and callers are sent
+    /// to other instances.
     pub fn depart(&self, now_ms: u64) {
         let mut phase = lock(&self.phase);
         *phase = match *phase {
@@ -58,8 +60,9 @@
         };
     }
 
-    /// Stops if callers had time to learn of the leave and no request is
-    /// open. Returns whether it has stopped.
+    /// Stops a draining instance if no request is open and `grace_ms`, the time
+    /// in which callers learn of the departure, is over. Returns whether the
+    /// phase is stopped.
     pub fn try_stop(&self, grace_ms: u64, now_ms: u64) -> bool {
         let mut phase = lock(&self.phase);
         let Phase::Draining(draining) = *phase else {
@@ -72,7 +75,7 @@
         true
     }
 
-    /// Returns whether the instance takes new callers.
+    /// Returns whether the instance accepts new callers.
     pub fn is_ready(&self) -> bool {
         matches!(*lock(&self.phase), Phase::Ready(_))
     }
@@ -82,17 +85,17 @@
         matches!(*lock(&self.phase), Phase::Starting(_))
     }
 
-    /// Returns whether the instance leaves.
+    /// Returns whether the instance drains or has stopped.
     pub fn is_departing(&self) -> bool {
         matches!(*lock(&self.phase), Phase::Draining(_) | Phase::Stopped(_))
     }
 
-    /// Tells controllers to end.
+    /// Signals all controllers and servers to end.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
     }
 
-    /// Returns whether controllers shall end.
+    /// Returns whether controllers and servers must end.
     pub fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::SeqCst)
     }
@@ -102,8 +105,8 @@
         self.open_requests.load(Ordering::SeqCst)
     }
 
-    /// Counts a request as open until the guard is dropped, unless as many
-    /// are open already.
+    /// Counts a request as open until the guard is dropped. Returns `None` if
+    /// `max_open_requests` are open already.
     pub fn try_open(&self, max_open_requests: usize) -> Option<OpenRequestGuard> {
         let open_before = self.open_requests.fetch_add(1, Ordering::SeqCst);
         let guard = OpenRequestGuard {
@@ -113,7 +116,7 @@
     }
 }
 
-/// A request that is counted as open while this guard lives.
+/// Counts a request as open until it is dropped.
 #[derive(Debug)]
 pub struct OpenRequestGuard {
     open_requests: Arc<AtomicUsize>,
--- a/crates/mangowalkd/src/shared_state/limits.rs
+++ b/crates/mangowalkd/src/shared_state/limits.rs
@@ -11,8 +11,8 @@
     std::{net::SocketAddr, ops::ControlFlow, sync::Mutex},
 };
 
-/// Tokens of every team that this instance may spend, and the slots from
-/// which they come.
+/// Tokens that this instance may spend for each team, and the slots whose
+/// refill provides them.
 #[derive(Debug)]
 pub struct SharedLimits {
     inner: Mutex<Inner>,
@@ -26,7 +26,7 @@
 }
 
 impl SharedLimits {
-    /// Returns the board of an instance that holds nothing yet.
+    /// Returns the limits of an instance that holds no slot yet.
     pub fn new(identity: &Identity) -> SharedLimits {
         let inner = Inner {
             limits: InstanceLimits::new(identity.caller_address, identity.incarnation),
@@ -38,24 +38,25 @@
         }
     }
 
-    /// Returns the next writes for the slots.
+    /// Returns the next writes of slots, at most `max_writes`.
     pub fn plan(&self, live_instances: u32, max_writes: usize, now_ms: u64) -> Vec<SlotWrite> {
         lock(&self.inner)
             .limits
             .plan(live_instances, max_writes, now_ms)
     }
 
-    /// Returns what this instance writes into a slot.
+    /// Returns the body that this instance writes to claim or renew a slot.
     pub fn body(&self, slot: u32, nonce: u64) -> SlotBody {
         lock(&self.inner).limits.body(slot, nonce)
     }
 
-    /// Takes a list of every slot.
+    /// Applies a list of all slots, as read from the platform.
     pub fn apply_list(&self, list: &SlotList, now_ms: u64) {
         lock(&self.inner).limits.apply_list(list, now_ms);
     }
 
-    /// Takes the result of writing a slot in a call begun at `begun_ms`.
+    /// Applies the result of writing a slot in a call that began at
+    /// `begun_ms`. `Break` means that the round of writes should stop.
     pub fn apply_write_result(
         &self,
         slot: u32,
@@ -69,12 +70,13 @@
             .apply_write_result(slot, begun_ms, result, now_ms)
     }
 
-    /// Stops to mint on a slot, before its release is sent.
+    /// Stops the refill from a slot, before its release is sent.
     pub fn stop_refill(&self, slot: u32, now_ms: u64) {
         lock(&self.inner).limits.stop_refill(slot, now_ms);
     }
 
-    /// Takes the result of releasing a slot.
+    /// Applies the result of releasing a slot. `Break` means that the round of
+    /// writes should stop.
     pub fn apply_release_result(
         &self,
         slot: u32,
@@ -86,75 +88,78 @@
             .apply_release_result(slot, result, now_ms)
     }
 
-    /// Gives everything up for good, and returns the writes that let others
-    /// take the slots at once.
+    /// Gives up all slots for good. Returns the writes that release them, so
+    /// that other instances can take them immediately.
     pub fn close(&self) -> Vec<SlotWrite> {
         lock(&self.inner).limits.close()
     }
 
-    /// Returns whether everything was given up.
+    /// Returns whether all slots were given up by `close`.
     pub fn is_closed(&self) -> bool {
         lock(&self.inner).limits.is_closed()
     }
 
-    /// Forgets teams whose rates are withdrawn.
+    /// Removes the teams for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         lock(&self.inner).limits.ledger().retain(keep);
     }
 
-    /// Returns how many slots are held at a time.
+    /// Returns the number of slots that are held at a time.
     pub fn slots(&self, now_ms: u64) -> u32 {
         lock(&self.inner).limits.slots(now_ms)
     }
 
-    /// Returns the tokens of a team that are here.
+    /// Returns the tokens of a team that this instance holds.
     pub fn tokens(&self, team: &str, rate: &Rate, now_ms: u64) -> u64 {
         lock(&self.inner).limits.ledger().tokens(team, rate, now_ms)
     }
 
-    /// Takes tokens of a team, all or none.
+    /// Reserves tokens of a team. Returns `None`, and takes nothing, if fewer
+    /// are held.
     pub fn take(&self, team: &str, rate: &Rate, tokens: u64, now_ms: u64) -> Option<Reservation> {
         let mut inner = lock(&self.inner);
         inner.limits.ledger().take(team, rate, tokens, now_ms)
     }
 
-    /// Adds up to so many tokens to a reservation, which asks peers for the
-    /// rest.
+    /// Adds up to `tokens` tokens that are held here to a reservation. The
+    /// caller asks peers for the rest.
     pub fn take_up_to(&self, reservation: &mut Reservation, rate: &Rate, tokens: u64, now_ms: u64) {
         let mut inner = lock(&self.inner);
         let ledger = inner.limits.ledger();
         ledger.take_up_to(reservation, rate, tokens, now_ms);
     }
 
-    /// Takes tokens out for a peer that asks, all or none.
+    /// Takes tokens for a peer that asks for them, all or none.
     pub fn grant(&self, team: &str, rate: &Rate, tokens: u64, now_ms: u64) -> Grant {
         let mut inner = lock(&self.inner);
         inner.limits.ledger().grant(team, rate, tokens, now_ms)
     }
 
-    /// Returns who else holds a team's homes, as far as the last list tells.
+    /// Returns the other instances that hold slots of a team, according to the
+    /// last list.
     pub fn holders(&self, team: &str) -> Vec<SocketAddr> {
         lock(&self.inner).limits.holders(team)
     }
 
-    /// Takes unused tokens of a grant back.
+    /// Refunds the unused tokens of a grant to a peer.
     pub fn take_back(&self, team: &str, grant_id: u64, tokens: u64) {
         let mut inner = lock(&self.inner);
         inner.limits.ledger().take_back(team, grant_id, tokens);
     }
 
-    /// Ends a reservation, and returns what is to go back to peers.
+    /// Ends a reservation of which `used_tokens` were used. Returns the grants
+    /// of peers that must be refunded.
     pub fn settle(&self, reservation: &Reservation, used_tokens: u64) -> Vec<PeerGrant> {
         let mut inner = lock(&self.inner);
         inner.limits.ledger().settle(reservation, used_tokens)
     }
 
-    /// Reads or changes what is known of teams that are short of tokens.
+    /// Calls `access` with the tracker of teams that are short of tokens.
     pub fn shortages<T>(&self, access: impl FnOnce(&mut ShortageTracker) -> T) -> T {
         access(&mut lock(&self.inner).shortages)
     }
 
-    /// Returns when a refused caller's tokens will be there.
+    /// Returns after how many milliseconds a refused caller should retry.
     pub fn retry_ms(&self, team: &str, rate: &Rate, request: &RefusedRequest, now_ms: u64) -> u64 {
         let mut inner = lock(&self.inner);
         inner.retry_schedule.retry_ms(team, rate, request, now_ms)
--- a/crates/mangowalkd/src/shared_state/mod.rs
+++ b/crates/mangowalkd/src/shared_state/mod.rs
@@ -1,7 +1,8 @@
-//! The blackboard: everything that controllers and requests share.
+//! State that controllers and request handlers share.
 //!
-//! Controllers read and write it, one part each; requests read it and note
-//! what they saw. No part calls another, so each can be tested alone.
+//! Each controller reads it and writes one part of it. Request handlers read
+//! it and record what they observe. No controller calls another, so each can
+//! be tested alone.
 
 mod admission;
 mod burn;
@@ -35,8 +36,8 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a part of the board. A panic of another holder leaves the state
-/// usable: every part is written in one step.
+/// Locks a part of the state and ignores poisoning: every part is written in
+/// one step, so it is consistent after a panic of another holder.
 pub(crate) fn lock<T>(part: &Mutex<T>) -> MutexGuard<'_, T> {
     part.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/mangowalkd/src/shared_state/placed_attempt.rs
+++ b/crates/mangowalkd/src/shared_state/placed_attempt.rs
@@ -7,10 +7,11 @@
     std::{cell::RefCell, sync::Arc},
 };
 
+/// Tokens of one block of a prompt.
 const BLOCK_TOKENS: u64 = (BLOCK_BYTES / TOKEN_BYTES) as u64;
 
-/// An attempt that counts on the engine where it was placed, until it ends or
-/// this guard is dropped.
+/// Counts an attempt on the engine where it was placed, until it ends or this
+/// guard is dropped.
 #[derive(Debug)]
 pub struct PlacedAttempt {
     shared: Arc<SharedState>,
@@ -19,7 +20,7 @@
 }
 
 impl PlacedAttempt {
-    /// Returns the guard of an attempt that was noted as sent.
+    /// Returns the guard of an attempt that placement recorded as sent.
     pub fn new(shared: Arc<SharedState>, choice: Choice) -> PlacedAttempt {
         PlacedAttempt {
             shared,
@@ -28,13 +29,14 @@
         }
     }
 
-    /// Notes the first token.
+    /// Records the first token.
     pub fn first_token(&self, now_ms: u64) {
         let mut choice = self.choice.borrow_mut();
         self.shared.dispatch.first_token(&mut choice, now_ms);
     }
 
-    /// Notes the end, with the engine's own counts if the answer is complete.
+    /// Records the end, with the engine's usage counts if the answer is
+    /// complete.
     pub fn end(mut self, usage: Option<&Usage>, now_ms: u64) {
         self.ended = true;
         let cached_blocks = usage.map(|u| (u.cached_tokens / BLOCK_TOKENS) as usize);
--- a/crates/mangowalkd/src/shared_state/poison.rs
+++ b/crates/mangowalkd/src/shared_state/poison.rs
@@ -7,7 +7,7 @@
     },
 };
 
-/// Requests that crash upstreams, and which run on which upstream now.
+/// Crashes attributed to requests, and the requests that run on each upstream.
 #[derive(Debug, Clone, Default)]
 pub struct SharedPoison {
     inner: Arc<Mutex<Inner>>,
@@ -17,7 +17,7 @@
 struct Inner {
     ledger: PoisonLedger,
     running: HashMap<String, HashMap<u64, u32>>,
-    /// Crashes that were charged, and until when they are remembered.
+    /// Crashes that were attributed, with the time at which each entry expires.
     recorded_crashes: HashMap<u64, u64>,
 }
 
@@ -34,10 +34,11 @@
         }
     }
 
-    /// Notes a crash of an upstream, and returns whether it is a new one.
+    /// Attributes a crash of an upstream to the most suspect requests that run
+    /// there. Returns whether the crash is a new one.
     ///
-    /// Each request that ran there meets the same crash on its own thread.
-    /// The first to come decides for all, while all of them still count as
+    /// Each request that ran there detects the same crash on its own thread.
+    /// Only the first call has an effect, while all of them still count as
     /// running.
     pub fn record_crash(&self, upstream: &str, crash: u64, now_ms: u64) -> bool {
         let mut inner = lock(&self.inner);
@@ -61,19 +62,19 @@
         true
     }
 
-    /// Returns how many crashes a request is charged with.
+    /// Returns the number of crashes that are attributed to a request.
     pub fn crashes(&self, request: u64, now_ms: u64) -> usize {
         lock(&self.inner).ledger.crashes(request, now_ms)
     }
 
-    /// Clears a request that completed.
+    /// Clears the crashes of a request that completed.
     pub fn completed(&self, request: u64) {
         lock(&self.inner).ledger.clear(request);
     }
 
-    /// Returns the upstreams on which another suspect request runs. A suspect
-    /// is kept from them: beside another one its crash could not be told from
-    /// the other's.
+    /// Returns the upstreams on which a suspect request other than `except`
+    /// runs. Suspects are not placed together, because a crash could then not
+    /// be attributed to one of them.
     pub fn upstreams_with_suspects(&self, except: u64, now_ms: u64) -> Vec<String> {
         let inner = lock(&self.inner);
         let is_suspect = |request: &u64| inner.ledger.crashes(*request, now_ms) > 0;
@@ -85,16 +86,19 @@
             .collect()
     }
 
-    /// Returns what to tell a peer.
+    /// Returns the crash reports to send to a peer.
     pub fn reports(&self, now_ms: u64) -> Vec<CrashReport> {
         lock(&self.inner).ledger.reports(now_ms)
     }
 
-    /// Takes what a peer told. A crash that a peer has charged is charged here
-    /// too, by what runs here: the peer knows only its own requests on the
-    /// engine, which may all be innocent. Were it not, the one to blame would
-    /// go free whenever a peer was faster. The ledger lets only the most
-    /// suspect of all those charged with a crash answer for it.
+    /// Merges the crash reports of a peer.
+    ///
+    /// A report does not count as attributed here, so the crash is still
+    /// attributed to the requests that run here: the peer knows only its own
+    /// requests on the engine, which may not have caused it. Otherwise the
+    /// request that did would be missed whenever a peer was faster. The ledger
+    /// counts a crash only for the most suspect of all requests that it is
+    /// attributed to.
     pub fn merge(&self, reports: &[CrashReport], now_ms: u64) {
         if !reports.is_empty() {
             lock(&self.inner).ledger.merge(reports, now_ms);
@@ -102,7 +106,7 @@
     }
 }
 
-/// A request that counts as running on an upstream while this guard lives.
+/// Counts a request as running on an upstream until it is dropped.
 #[derive(Debug)]
 pub struct RunningRequest {
     shared: SharedPoison,
--- a/crates/mangowalkd/src/shared_state/state.rs
+++ b/crates/mangowalkd/src/shared_state/state.rs
@@ -11,36 +11,37 @@
 /// The state of one instance.
 #[derive(Debug)]
 pub struct SharedState {
-    /// Address towards operators, if there is one.
+    /// Address on which the instance listens to operators; `None` if it does
+    /// not.
     pub operator_address: Option<SocketAddr>,
-    /// What became of every team's requests.
+    /// Counts of the outcomes of every team's requests.
     pub burn: SharedBurn,
-    /// Who the instance is.
+    /// Identity of the instance.
     pub identity: Identity,
-    /// Claims whose outcome is still to be written.
+    /// Claim writes that are still to be done, and the current epoch.
     pub claims: SharedClaims,
-    /// Requests that crash upstreams.
+    /// Crashes of upstreams, attributed to requests.
     pub poison: SharedPoison,
-    /// Records in force.
+    /// Configuration records in force.
     pub config: SharedConfig,
-    /// Engines as last seen.
+    /// The last known state of each engine.
     pub engines: SharedEngines,
     /// Admission, queue and placement.
     pub dispatch: SharedDispatcher,
-    /// What each upstream can take, and the budget of retries.
+    /// Health of each upstream, and the retry budget.
     pub upstreams: SharedUpstreams,
-    /// Other instances as last heard of.
+    /// The known other instances.
     pub peers: SharedPeers,
-    /// Tokens of every team.
+    /// Tokens and slots of the teams' rates.
     pub limits: SharedLimits,
-    /// What is spent on control.
+    /// Control traffic of this instance.
     pub traffic: Arc<Traffic>,
-    /// Phase of the process and its open requests.
+    /// Phase of the process, and the number of its open requests.
     pub lifecycle: Lifecycle,
 }
 
 impl SharedState {
-    /// Returns the board of an instance that starts.
+    /// Returns the state of an instance that starts.
     pub fn new(identity: Identity, settings: DispatchSettings) -> SharedState {
         let upstreams = SharedUpstreams::default();
         SharedState {
@@ -60,11 +61,11 @@
         }
     }
 
-    /// Tells placement of the engines in force, once for each view.
+    /// Passes the engines of a view to placement, once for each view.
     ///
-    /// A request asks for this before it is placed. Were only the poll to tell
-    /// placement, requests in between would be sent to an engine that drains
-    /// or departs, and refused when that is found out.
+    /// Every request calls this before it is placed, not only the poll of the
+    /// engines. Otherwise requests between two polls would be placed on an
+    /// engine that drains or departs, and refused afterwards.
     pub fn apply_engines(&self, view: &Arc<View>) {
         if !self.dispatch.is_new_view(view) {
             return;
--- a/crates/mangowalkd/src/shared_state/upstreams.rs
+++ b/crates/mangowalkd/src/shared_state/upstreams.rs
@@ -11,12 +11,13 @@
     },
 };
 
-/// What each upstream can take, judged from this instance's own attempts.
+/// Health of each upstream, derived from this instance's own attempts, and the
+/// retry budget.
 ///
-/// Placement asks [`SharedUpstreams::usable`] for each engine that it weighs
-/// and leaves out those that are not. Where nothing is usable, an engine that
-/// [`SharedUpstreams::allows`] an attempt is better than a refusal, unless the
-/// request can wait.
+/// Placement excludes the engines for which [`SharedUpstreams::usable`] is
+/// false. If none is left and the request can't wait, an engine that
+/// [`SharedUpstreams::allows`] an attempt is used rather than refusing the
+/// request.
 #[derive(Debug, Clone, Default)]
 pub struct SharedUpstreams {
     inner: Arc<Mutex<Inner>>,
@@ -31,48 +32,52 @@
 #[derive(Debug, Default)]
 struct Entry {
     health: Health,
+    /// Model that the upstream serves.
     serves: String,
 }
 
 impl SharedUpstreams {
-    /// Returns whether an upstream may get one more attempt: its breaker is
-    /// closed or due for a probe, and it is below its limit.
+    /// Returns whether an upstream may get one more attempt: its circuit
+    /// breaker is closed or due for a probe, it is below its concurrency
+    /// limit, and it is not stalled.
     pub fn usable(&self, name: &str, now_ms: u64) -> bool {
         self.read(name, |health| health.usable(now_ms))
     }
 
-    /// Returns whether an upstream's breaker lets an attempt through.
+    /// Returns whether an upstream's circuit breaker allows an attempt.
     pub fn allows(&self, name: &str, now_ms: u64) -> bool {
         self.read(name, |health| health.allows(now_ms))
     }
 
-    /// Returns whether an upstream has fallen silent to all of its streams.
+    /// Returns whether an upstream has stalled: none of its streams receives
+    /// tokens.
     pub fn is_stalled(&self, name: &str, now_ms: u64) -> bool {
         self.read(name, |health| health.is_stalled(now_ms))
     }
 
-    /// Forgets upstreams whose records are gone.
+    /// Removes the upstreams for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         lock(&self.inner).upstreams.retain(|name, _| keep(name));
     }
 
-    /// Notes a request that is tried for the first time.
+    /// Records a request's first attempt in the retry budget.
     pub fn record_first_attempt(&self) {
         lock(&self.inner).budget.record_first_attempt();
     }
 
-    /// Takes a retry out of the budget, if one is left.
+    /// Takes a retry from the budget. Returns whether one was left.
     pub fn try_retry(&self) -> bool {
         lock(&self.inner).budget.try_retry()
     }
 
-    /// Charges a stream that is resumed.
+    /// Charges the resumption of a stream to the retry budget.
     pub fn charge_resume(&self) {
         lock(&self.inner).budget.charge_resume();
     }
 
-    /// Counts an attempt on an upstream, unless its breaker holds it back.
-    /// Upstreams that serve the same are each other's measure.
+    /// Counts an attempt on an upstream. Returns `None` if its breaker does not
+    /// allow it. The latency of an upstream is compared with that of others
+    /// that have the same `serves`.
     pub fn start(&self, name: &str, serves: &str, now_ms: u64) -> Option<UpstreamAttempt> {
         let mut inner = lock(&self.inner);
         let entry = inner.upstreams.entry(name.to_owned()).or_default();
@@ -96,7 +101,8 @@
 }
 
 impl Inner {
-    /// Returns the middle of the times that the peers of an upstream need.
+    /// Returns the median of the recent times, in milliseconds, of the other
+    /// upstreams that serve the same as this one.
     fn peers_median_ms(&self, name: &str) -> Option<f64> {
         let serves = &self.upstreams.get(name)?.serves;
         let mut times: Vec<f64> = self
@@ -110,7 +116,7 @@
     }
 }
 
-/// An attempt that is counted on its upstream while this guard lives.
+/// Counts an attempt on its upstream until it ends or is dropped.
 #[derive(Debug)]
 pub struct UpstreamAttempt {
     shared: SharedUpstreams,
@@ -119,7 +125,7 @@
 }
 
 impl UpstreamAttempt {
-    /// Notes the time to first token.
+    /// Records the first token, which took `took_ms`.
     pub fn first_token(&self, took_ms: u64, now_ms: u64) {
         self.is_waiting.set(false);
         let mut inner = lock(&self.shared.inner);
@@ -129,12 +135,12 @@
         }
     }
 
-    /// Notes a token behind the first.
+    /// Records a token after the first.
     pub fn record_token(&self, now_ms: u64) {
         self.update(|health| health.record_token(now_ms));
     }
 
-    /// Notes that a stream listened and heard nothing.
+    /// Records that a stream waited and received nothing.
     pub fn record_silence(&self, now_ms: u64) {
         self.update(|health| health.record_silence(now_ms));
     }
@@ -146,7 +152,7 @@
         }
     }
 
-    /// Notes how the attempt ended.
+    /// Records how the attempt ended.
     pub fn end(self, ended: &EndedAttempt, now_ms: u64) {
         self.is_waiting.set(false);
         let mut inner = lock(&self.shared.inner);
@@ -157,7 +163,8 @@
 }
 
 impl Drop for UpstreamAttempt {
-    /// A request's thread that panics must not hold its place for ever.
+    /// Releases the attempt's place if its thread panicked before the first
+    /// token.
     fn drop(&mut self) {
         if !self.is_waiting.get() {
             return;
