--- a/crates/mangowalkd/src/serve/admit.rs
+++ b/crates/mangowalkd/src/serve/admit.rs
@@ -11,22 +11,24 @@
     std::{collections::HashSet, time::Duration},
 };
 
-/// Pause after which a waiting request looks at the queue itself. Answers and
-/// reports move the queue; this is for when neither comes.
+/// Interval at which a waiting request triggers a dispatch itself. Finished
+/// attempts and engine reports do so too; this covers the case that neither
+/// occurs.
 const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// When a caller should come back if no engine serves the model.
+/// When a caller should retry if no engine serves the model.
 const NO_ENGINE_RETRY_MS: u64 = 1_000;
 
-/// Versions that a request asks for in turn while weights change.
+/// Weights versions that a request may wait for in turn during a rollout.
 const MAX_VERSION_ATTEMPTS: u32 = 3;
 
 impl<E: Edges> Router<E> {
-    /// Waits for a request's turn.
+    /// Waits in the queue until the request is placed on an engine.
     ///
     /// # Errors
     ///
-    /// Refuses at once what would not be served in time.
+    /// Refuses a request that would not be served in time, without waiting for
+    /// that time to pass.
     pub(super) fn admit(&self, request: &ChatRequest) -> Result<Target, Refusal> {
         let mut version = self.current_version(request)?;
         for _ in 1..MAX_VERSION_ATTEMPTS {
@@ -34,9 +36,9 @@
                 Err(refusal @ Refusal::Unavailable { .. }) => refusal,
                 other => return other,
             };
-            // While weights change, the last engine of a version may be
-            // drained under the requests that wait for it. They ask anew for
-            // the other version; refused, they would pay for the rollout.
+            // During a rollout, the last engine of a version may be drained
+            // while requests wait for it. They queue again for the other
+            // version; otherwise the rollout would cause refusals.
             let current = self.current_version(request)?;
             if current == version {
                 return Err(refusal);
@@ -47,6 +49,10 @@
     }
 
     /// Returns the weights version for a request that arrives now.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no engine serves the model.
     fn current_version(&self, request: &ChatRequest) -> Result<String, Refusal> {
         self.shared.apply_engines(&self.shared.config.view());
         self.version_for(request).ok_or(Refusal::Unavailable {
@@ -55,7 +61,8 @@
         })
     }
 
-    /// Waits for a request's turn on an engine that serves a version.
+    /// Waits in the queue until the request is placed on an engine that serves
+    /// `version`.
     fn wait_for_version(&self, request: &ChatRequest, version: &str) -> Result<Target, Refusal> {
         let job = self.job(request, &self.shared.config.view(), version);
         match self.wait_for_decision(job) {
@@ -73,19 +80,20 @@
         }
     }
 
-    /// Checks what may have changed while the request waited, and returns
-    /// where its first attempt goes.
+    /// Checks what may have changed while the request was queued, and returns
+    /// the target of its first attempt.
     ///
-    /// The key may have been withdrawn, and without this look a long queue
-    /// would serve it for as long as it is. The engine may have been drained;
-    /// another one takes the request then.
+    /// The key may have been withdrawn: without this check, a withdrawn key
+    /// would be served for as long as the queue is. The engine may have been
+    /// drained: the request is then placed on another one.
     fn dispatch(
         &self,
         request: &ChatRequest,
         version: &str,
         choice: Choice,
     ) -> Result<Target, Refusal> {
-        // Read anew: an engine withdrawn meanwhile gets no work.
+        // The view is loaded again, so that an engine withdrawn meanwhile gets no
+        // request.
         let view = self.shared.config.view();
         let target = self.target(&view, version, choice);
         if !self.still_authorized(&request.team, &request.key_digest) {
--- a/crates/mangowalkd/src/serve/answer.rs
+++ b/crates/mangowalkd/src/serve/answer.rs
@@ -1,20 +1,20 @@
 use {mangowalk_core::engine::Usage, std::io};
 
-/// Where an answer goes, token by token.
+/// Receives an answer, token by token.
 pub trait AnswerSink {
-    /// Takes one token. An error means that the caller has gone.
+    /// Writes one token.
     ///
     /// # Errors
     ///
-    /// Fails where the caller can't be written to.
+    /// Fails if the caller has disconnected or can't be written to.
     fn token(&mut self, text: &str) -> io::Result<()>;
 
-    /// Is told that the engine has been silent for a while. A sink that can
-    /// find out whether its caller is still there does so.
+    /// Called when the engine has sent nothing for a while. A sink that can
+    /// check whether its caller is still connected does so.
     ///
     /// # Errors
     ///
-    /// Fails where the caller can't be written to.
+    /// Fails if the caller has disconnected or can't be written to.
     fn silence(&mut self) -> io::Result<()>;
 }
 
--- a/crates/mangowalkd/src/serve/attempt.rs
+++ b/crates/mangowalkd/src/serve/attempt.rs
@@ -13,16 +13,16 @@
     },
 };
 
-/// Longest silence in which a stream's caller is not written to.
+/// Maximum time in which nothing is written to the caller of a stream.
 ///
-/// A caller that goes away shows only when it is written to. Without a sign
-/// in between, a slow engine would work on for it until its next token.
+/// A disconnected caller is detected only by a write. Without keepalive
+/// comments, a slow engine would keep working for it until its next token.
 const KEEPALIVE_INTERVAL_MS: u64 = 1_000;
 
-/// Priority of a team whose record names none.
+/// Priority of a team that has no record.
 const DEFAULT_PRIORITY: u8 = 5;
 
-/// An engine that can take an attempt now.
+/// The engine for the next attempt.
 pub(super) struct Target {
     pub(super) engine: EngineRecord,
     pub(super) incarnation: u64,
@@ -30,12 +30,12 @@
     pub(super) placed: PlacedAttempt,
 }
 
-/// What one wait brought.
+/// Result of one wait for an event of the engine.
 enum WaitResult {
     Token,
-    /// An event that is nothing to the caller.
+    /// An event that the caller doesn't get.
     Ignored,
-    /// Nothing came.
+    /// No event within the wait.
     Silence,
     End(End),
 }
@@ -52,8 +52,8 @@
 }
 
 impl<E: Edges> Router<E> {
-    /// Runs one attempt and writes its tokens to the sink. A complete answer
-    /// comes with how it finished.
+    /// Runs one attempt and writes its tokens to the sink. Returns how the
+    /// attempt ended and, if the answer is complete, how it finished.
     pub(super) fn attempt(
         &self,
         request: &ChatRequest,
@@ -115,7 +115,9 @@
         }
     }
 
-    /// Writes down how an attempt ended, and acts on what that tells.
+    /// Logs how an attempt ended, and reacts to it: cancels it on the engine if
+    /// it may still run there, and reads the engine's state again if the known
+    /// one was stale.
     fn record_end(
         &self,
         request: &ChatRequest,
@@ -133,7 +135,10 @@
             self.edges.engines().cancel(engine.address, &cancel);
         }
         if ended.is_stale() {
-            info!("serve: {} changed; its state is read again.", engine.name);
+            info!(
+                "serve: The known state of {} is stale; it is read again.",
+                engine.name
+            );
             self.refresh_state(engine);
         }
         if ended.is_failure() {
@@ -145,7 +150,8 @@
         }
     }
 
-    /// Returns whether another engine could take the request of a target.
+    /// Returns whether another engine serves the target's model and version and
+    /// may get an attempt now.
     fn has_alternative(&self, target: &Target, now_ms: u64) -> bool {
         let engines = self.shared.engines.snapshot();
         let serves = |name: &str| {
@@ -161,8 +167,8 @@
         })
     }
 
-    /// Reads an engine's state again, so that the next placement does not
-    /// meet the same refusal.
+    /// Reads an engine's state again, so that the next placement does not lead
+    /// to the same refusal.
     fn refresh_state(&self, engine: &EngineRecord) {
         let state = self.edges.engines().state(engine.address).ok();
         let seen_ms = self.edges.clock().now_ms();
@@ -226,8 +232,9 @@
         }
     }
 
-    /// Returns whether the request may leave its engine before the timeout: it
-    /// is stalled, another one is free, and the budget pays for it.
+    /// Returns whether the request may move to another engine before the
+    /// timeout: its engine is stalled, another one is usable, and the retry
+    /// budget allows it. In that case the retry is charged.
     fn may_switch_engine(&self) -> bool {
         let now_ms = self.now_ms();
         let upstreams = &self.router.shared.upstreams;
--- a/crates/mangowalkd/src/serve/attempts.rs
+++ b/crates/mangowalkd/src/serve/attempts.rs
@@ -15,29 +15,30 @@
     },
 };
 
-/// Attempts that one request may use. Three engines that fail in turn are no
-/// accident any more: either the fleet is down or the request is to blame.
+/// Attempts per request. If three engines fail in turn, either the whole fleet
+/// is down or the request causes the failures.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Engines whose state may turn out to be old, for one request.
+/// Refusals per request by engines whose known state was stale.
 const MAX_STALE_REFUSALS: u32 = 8;
 
-/// When a caller should come back at the earliest if no engine can take its
+/// Minimum time after which a caller should retry if no engine can take its
 /// request.
 const MIN_RETRY_MS: u64 = 1_000;
 
-/// Pause between two looks for an engine that can resume a stream.
+/// Interval at which an engine is looked for that can resume a stream.
 const RESUME_POLL_INTERVAL_MS: u64 = 100;
 
-/// What the attempts of one request have come to.
+/// The attempts of one request so far, and their result.
 struct AttemptHistory {
     sequencer: Sequencer,
-    /// Engines tried, with the incarnation that was tried. One that restarted
-    /// since may be tried again.
+    /// Engines tried, with the incarnation that was tried. An engine that
+    /// restarted since may be tried again.
     tried: HashMap<String, u64>,
     attempts: u32,
     stale_refusals: u32,
-    /// Whether the next attempt was charged when the last one gave up.
+    /// Whether the next attempt was charged to the retry budget when the last
+    /// one ended because its engine stalled.
     is_retry_charged: bool,
     outcome: Outcome,
 }
@@ -74,7 +75,7 @@
         self.attempts >= MAX_ATTEMPTS || self.stale_refusals >= MAX_STALE_REFUSALS
     }
 
-    /// Returns what the caller is told where no attempt completed.
+    /// Returns the refusal for the caller if no attempt completed.
     fn refusal(&self, reason: &'static str) -> Refusal {
         match self.outcome {
             Outcome::NotRun => Refusal::Unavailable {
@@ -89,14 +90,14 @@
     }
 }
 
-/// Returns a time up to twice as long, drawn anew. Callers refused together
-/// would otherwise come back together and be refused again.
+/// Returns a random time from `min_ms` to twice that. Without jitter, callers
+/// that are refused together would retry together and be refused again.
 pub(crate) fn jittered_ms(min_ms: u64) -> u64 {
     rand::random_range(min_ms..=min_ms * 2)
 }
 
-/// Returns what is known after two attempts: that one ran is known whatever
-/// became of the other, and a doubt is not removed by a refusal elsewhere.
+/// Returns the outcome of a request after two attempts. If one ran, the request
+/// ran; an unknown outcome stays unknown if the other attempt did not run.
 fn combine_outcomes(a: Outcome, b: Outcome) -> Outcome {
     match (a, b) {
         (Outcome::Ran, _) | (_, Outcome::Ran) => Outcome::Ran,
@@ -106,8 +107,12 @@
 }
 
 impl<E: Edges> Router<E> {
-    /// Tries engines one after another until one completes the answer. Only
-    /// one attempt is out at a time, so two never write.
+    /// Tries engines one after another until one completes the answer. Only one
+    /// attempt runs at a time, so two never write to the sink.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal for the caller if no attempt completed the answer.
     pub(super) fn attempts(
         &self,
         request: &ChatRequest,
@@ -121,7 +126,7 @@
                 break;
             };
             if !self.charge_retry(&history) {
-                return Err(history.refusal("Too many requests had to be sent again"));
+                return Err(history.refusal("Too many requests had to be retried"));
             }
             let now_ms = self.edges.clock().now_ms();
             let name = &target.engine.name;
@@ -162,8 +167,8 @@
         Err(history.refusal("No engine can take the request"))
     }
 
-    /// Returns whether the caller no longer waits for a first token. Another
-    /// attempt would be work for nobody.
+    /// Returns whether the caller's deadline for the first token has passed, so
+    /// that no caller would receive the result of another attempt.
     fn is_past_deadline(&self, request: &ChatRequest, started_ms: u64) -> bool {
         let spent_ms = self.edges.clock().now_ms().saturating_sub(started_ms);
         request
@@ -184,8 +189,9 @@
         }
     }
 
-    /// Asks the budget for what is no first attempt. One behind a stale
-    /// refusal is free: nothing ran, and the engine's state is known now.
+    /// Charges an attempt to the retry budget unless it is the first. Returns
+    /// whether it may be sent. An attempt after a stale refusal is free:
+    /// nothing ran, and the engine's state is known now.
     fn charge_retry(&self, history: &AttemptHistory) -> bool {
         if history.has_begun() {
             self.shared.upstreams.charge_resume();
@@ -194,9 +200,11 @@
         history.attempts == 0 || history.is_retry_charged || self.shared.upstreams.try_retry()
     }
 
-    /// Chooses an engine. For a stream that has begun it waits for one to
-    /// come: an engine that restarts is back within seconds, and its caller
-    /// has half a sentence.
+    /// Chooses the target of the next attempt; `None` if there is none.
+    ///
+    /// For a stream that has begun, it waits up to the token timeout for an
+    /// engine: one that restarts is available within seconds, and the caller
+    /// has already received a part of the answer.
     fn next_target(
         &self,
         request: &ChatRequest,
@@ -223,10 +231,12 @@
         }
     }
 
-    /// Prefers engines below their limits. Where there is none, one whose
-    /// breaker is closed is better than a refusal.
+    /// Prefers usable engines without other suspect requests, then usable ones,
+    /// which are below their limits. If there is none, an engine whose breaker
+    /// allows an attempt is used rather than refusing the request.
     fn choose(&self, request: &ChatRequest, history: &AttemptHistory) -> Option<Target> {
-        // Read anew for each attempt: an engine withdrawn meanwhile gets none.
+        // The view is loaded for each attempt, so that an engine withdrawn
+        // meanwhile gets none.
         let view = self.shared.config.view();
         let now_ms = self.edges.clock().now_ms();
         let upstreams = &self.shared.upstreams;
@@ -241,7 +251,7 @@
             .or_else(|| self.place_retry(request, &view, version, &tried, &allowed))
     }
 
-    /// Returns the tried engines that have not restarted since.
+    /// Returns the tried engines that are not known to have restarted since.
     fn tried_engines(&self, history: &AttemptHistory) -> HashSet<String> {
         self.shared.engines.read(|engines| {
             history
--- a/crates/mangowalkd/src/serve/claim.rs
+++ b/crates/mangowalkd/src/serve/claim.rs
@@ -11,22 +11,23 @@
     },
 };
 
-/// Writes of one claim whose replies may be lost before it is given up.
+/// Attempts to create a claim whose replies are lost, before it is given up.
 const MAX_CLAIM_WRITES: u32 = 2;
 
-/// What became of an attempt to claim a request.
+/// Result of an attempt to create a claim.
 pub(super) enum ClaimResult {
-    /// This request may be sent.
+    /// The claim exists and the request may be sent.
     Created(Claim<Claimed>),
-    /// It may not; the caller gets this.
+    /// The request may not be sent; the caller gets this response.
     NotCreated(DuplicateResponse),
 }
 
 impl<E: Edges> Router<E> {
     /// Claims a request that may run at most once, before it is sent.
     ///
-    /// Without the claim a caller that sends again through another instance,
-    /// after this one died, would have its deposit taken twice.
+    /// Without the claim, a call that its caller retries through another
+    /// instance after this one died would run twice: a deposit would be taken
+    /// twice.
     pub(super) fn claim(&self, request: &ServiceRequest) -> ClaimResult {
         let Some(key) = &request.idempotency_key else {
             return ClaimResult::NotCreated(DuplicateResponse::Refuse(Refusal::Malformed {
@@ -57,9 +58,9 @@
         }
     }
 
-    /// Creates the claim. A write whose reply was lost is read back, and
-    /// written again where it is not there: whichever of both takes effect,
-    /// it is this claim.
+    /// Creates the claim's object on the platform. If the reply to the write is
+    /// lost, the object is read back, and written again if it does not exist:
+    /// whichever write takes effect, the object holds this claim.
     fn create(&self, claim: Claim<Unclaimed>) -> ClaimResult {
         let begun_ms = self.edges.clock().now_ms();
         let key = claim.key();
@@ -78,8 +79,8 @@
                 Err(_) => break,
             }
         }
-        // The claim may be there or still come. Nothing was sent under it, so
-        // it is taken back once the platform answers.
+        // The object may exist or still be created. The call was not sent, so
+        // the claim is withdrawn once the platform responds.
         self.shared.claims.withdraw_nonce(key, claim.body().nonce);
         ClaimResult::NotCreated(not_recorded())
     }
--- a/crates/mangowalkd/src/serve/counted.rs
+++ b/crates/mangowalkd/src/serve/counted.rs
@@ -9,11 +9,12 @@
     std::io,
 };
 
-/// Objective of a team whose record is gone: a request that was let in before
-/// is still counted.
+/// First-token objective of a team whose record was withdrawn: a request that
+/// was admitted before is still counted.
 const DEFAULT_FIRST_TOKEN_MS: u64 = 600;
 
-/// Notes when the first token passes, and whether the caller still takes it.
+/// Records the time of the first token, and whether the caller has
+/// disconnected.
 struct TimedSink<'a, C: Clock> {
     sink: &'a mut dyn AnswerSink,
     clock: &'a C,
@@ -37,11 +38,12 @@
 }
 
 impl<E: Edges> Router<E> {
-    /// Serves a request for generated text and counts what became of it.
+    /// Serves a request for generated text and counts its outcome for the team.
     ///
     /// # Errors
     ///
-    /// Returns what the caller is told, and what is known of the outcome.
+    /// Returns the refusal for the caller, with the known outcome of the
+    /// request.
     pub fn generate_counted(
         &self,
         request: &ChatRequest,
@@ -77,11 +79,11 @@
         result
     }
 
-    /// Serves one call of a plain service and counts what became of it.
+    /// Serves one call of a plain service and counts its outcome for the team.
     ///
     /// # Errors
     ///
-    /// Returns what the caller is told, and what is known of the outcome.
+    /// Returns the refusal for the caller, with the known outcome of the call.
     pub fn call_service_counted(&self, request: &ServiceRequest) -> Result<ServiceReply, Refusal> {
         let result = self.call_service(request);
         let end = match &result {
--- a/crates/mangowalkd/src/serve/generate.rs
+++ b/crates/mangowalkd/src/serve/generate.rs
@@ -12,7 +12,8 @@
     ///
     /// # Errors
     ///
-    /// Returns what the caller is told, and what is known of the outcome.
+    /// Returns the refusal for the caller, with the known outcome of the
+    /// request.
     pub fn generate(
         &self,
         request: &ChatRequest,
--- a/crates/mangowalkd/src/serve/mod.rs
+++ b/crates/mangowalkd/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! The way of one request: limit, place, attempt, answer.
+//! Serving of requests: rate limit, admission, placement, attempts, response.
 
 mod admit;
 mod answer;
--- a/crates/mangowalkd/src/serve/place.rs
+++ b/crates/mangowalkd/src/serve/place.rs
@@ -10,13 +10,15 @@
     std::collections::HashSet,
 };
 
-/// Returns the salt under which an engine caches a prompt's blocks.
+/// Returns the salt that is part of the keys under which an engine caches a
+/// prompt's blocks.
 pub(crate) fn cache_salt(team: &str, model: &str, version: &str) -> String {
     format!("{team}/{model}/{version}")
 }
 
-/// Returns the weights version for a new request. A prefix keeps to one
-/// version while the share of engines that serve it stays the same.
+/// Returns the weights version for a new request, `None` if no engine serves
+/// the model. Prompts with the same first block get the same version while the
+/// share of engines that serve it stays the same.
 pub(crate) fn version_of(
     shared: &SharedState,
     team: &str,
@@ -33,8 +35,8 @@
 }
 
 impl<E: Edges> Router<E> {
-    /// Returns a target of a decision; none where the engine's record is
-    /// gone, departing or draining by now.
+    /// Returns the target for a choice of placement; `None` if the engine was
+    /// withdrawn, is departing or is draining.
     pub(super) fn target(&self, view: &View, version: &str, choice: Choice) -> Option<Target> {
         let (name, incarnation) = (choice.engine.clone(), choice.incarnation);
         let placed = PlacedAttempt::new(self.shared.clone(), choice);
@@ -50,14 +52,16 @@
         })
     }
 
-    /// Returns the weights version for a new request.
+    /// Returns the weights version for a new request, `None` if no engine
+    /// serves the model.
     pub(super) fn version_for(&self, request: &ChatRequest) -> Option<String> {
         version_of(&self.shared, &request.team, &request.model, &request.prompt)
     }
 
-    /// Places a request that was let in already and lost its engine. It does
-    /// not queue again: its caller holds a part of the answer or waited once.
-    /// A stream that has begun is bound to its weights version.
+    /// Places a request that was admitted before and lost its engine. It is not
+    /// queued again, because its caller has received a part of the answer or
+    /// has already waited. A stream that has begun is bound to its weights
+    /// version.
     pub(super) fn place_retry(
         &self,
         request: &ChatRequest,
--- a/crates/mangowalkd/src/serve/poison.rs
+++ b/crates/mangowalkd/src/serve/poison.rs
@@ -12,10 +12,11 @@
     std::collections::HashSet,
 };
 
-/// Digits of a digest that make a request's or a crash's identity.
+/// Hexadecimal digits of a digest that form the identity of a request or a
+/// crash.
 const IDENTITY_HEX_DIGITS: usize = 16;
 
-/// Returns the identity of a chat request, the same for each copy of it.
+/// Returns the identity of a chat request. Retries of it have the same one.
 pub(super) fn chat_identity(request: &ChatRequest) -> u64 {
     identity(&[
         request.team.as_bytes(),
@@ -25,7 +26,7 @@
     ])
 }
 
-/// Returns the identity of a call, the same for each copy of it.
+/// Returns the identity of a service call. Retries of it have the same one.
 pub(super) fn call_identity(request: &ServiceRequest) -> u64 {
     identity(&[
         request.team.as_bytes(),
@@ -45,7 +46,8 @@
 }
 
 impl<E: Edges> Router<E> {
-    /// Refuses a request that crashed several upstreams, here or elsewhere.
+    /// Refuses a request to which `MAX_CRASHES` crashes of upstreams are
+    /// attributed, by this instance or by others.
     pub(super) fn refuse_poisonous(&self, request: u64, outcome: Outcome) -> Result<(), Refusal> {
         let now_ms = self.edges.clock().now_ms();
         let crashes = self.shared.poison.crashes(request, now_ms);
@@ -55,7 +57,8 @@
         Err(Refusal::Poisonous { crashes, outcome })
     }
 
-    /// Notes what the end of an attempt tells of its request.
+    /// Clears the crashes of a request that completed, and records a crash of
+    /// the engine if the attempt's connection was lost.
     pub(super) fn record_run(&self, request: &ChatRequest, target: &Target, ended: &EndedAttempt) {
         match ended.end() {
             End::Complete => self.shared.poison.completed(chat_identity(request)),
@@ -64,8 +67,9 @@
         }
     }
 
-    /// Charges the requests on an engine with its crash, and tells peers
-    /// before any of them is sent again.
+    /// Attributes the crash of an engine to the requests on it, unless the
+    /// engine still runs. The crash is reported to peers before any of the
+    /// requests is retried.
     fn record_engine_crash(&self, target: &Target) {
         let engine = &target.engine;
         if self.is_still_running(target) {
@@ -75,24 +79,27 @@
         self.record_crash_of(&engine.name, crash);
     }
 
-    /// Charges the calls on a service's instance that closed a connection.
-    /// Services state no incarnation, so each instance counts once in the time
-    /// for which crashes count.
+    /// Attributes a closed connection to the calls on the service's instance.
+    /// Services report no incarnation, so each instance counts as crashed at
+    /// most once within the retention time of crashes.
     pub(super) fn record_lost_call(&self, service: &str) {
         self.record_crash_of(service, identity(&[b"service", service.as_bytes()]));
     }
 
-    /// Charges the requests on an upstream with a crash.
+    /// Attributes a crash to the requests on an upstream and reports it to
+    /// peers, unless the crash is already recorded.
     fn record_crash_of(&self, upstream: &str, crash: u64) {
         let now_ms = self.edges.clock().now_ms();
         if self.shared.poison.record_crash(upstream, crash, now_ms) {
-            warn!("poison: {upstream} crashed; the most suspect of its requests are charged.");
+            warn!(
+                "poison: {upstream} crashed; the crash is attributed to the most suspect of its requests."
+            );
             tell_crashes(&*self.edges, &self.shared);
         }
     }
 
-    /// Returns the engines that a suspect request is to be kept from: those
-    /// that run another suspect. None, if the request is no suspect.
+    /// Returns the upstreams that a suspect request must avoid because they run
+    /// another suspect. Empty if the request is not a suspect.
     pub(super) fn upstreams_with_other_suspects(&self, request: &ChatRequest) -> HashSet<String> {
         let identity = chat_identity(request);
         let now_ms = self.edges.clock().now_ms();
@@ -106,16 +113,17 @@
             .collect()
     }
 
-    /// Returns whether an engine whose stream was cut is still the same
-    /// process. Then only the connection was lost, and no one is to blame.
+    /// Returns whether an engine whose stream was interrupted is still the same
+    /// process. Only the connection was lost then, and no crash is recorded.
     fn is_still_running(&self, target: &Target) -> bool {
         let state = self.edges.engines().state(target.engine.address);
         let incarnation = state.map_or(0, |state| state.incarnation);
         incarnation != 0 && incarnation == target.incarnation
     }
 
-    /// Tells an engine's crash from its others. One that states no
-    /// incarnation counts as crashed once in a second.
+    /// Returns a number that distinguishes the crashes of one engine: its
+    /// incarnation. An engine that reports none counts as crashed at most once
+    /// per second.
     fn crash_discriminator(&self, target: &Target) -> [u8; 8] {
         const MS_PER_S: u64 = 1_000;
         let number = match target.incarnation {
--- a/crates/mangowalkd/src/serve/request.rs
+++ b/crates/mangowalkd/src/serve/request.rs
@@ -1,34 +1,33 @@
 use mangowalk_core::placement::TOKEN_BYTES;
 
-/// A request for generated text, after its edge has read it.
+/// A request for generated text, read and checked by the callers' edge.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChatRequest {
-    /// Identity of the request.
+    /// Identity of the request towards upstreams and in logs.
     pub request_id: String,
-    /// Team whose key came with it.
+    /// Team that its API key authenticates.
     pub team: String,
-    /// Digest of the key that came with it. The key itself is dropped at the
-    /// edge.
+    /// Digest of its API key. The key itself is dropped at the edge.
     pub key_digest: String,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// Prompt as text.
+    /// Prompt, for a chat with its messages joined into one text.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Longest time to the first token that the caller will wait, counted
-    /// from its arrival; none if it did not say.
+    /// Maximum time to the first token, in milliseconds from the request's
+    /// arrival; `None` if the caller set no deadline.
     pub deadline_ms: Option<u64>,
 }
 
-/// A call of a plain service, after its edge has read it.
+/// A call of a plain service, read by the callers' edge.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceRequest {
-    /// Identity of the request.
+    /// Identity of the request towards upstreams and in logs.
     pub request_id: String,
-    /// Team whose key came with it.
+    /// Team that its API key authenticates.
     pub team: String,
-    /// Service asked for.
+    /// Requested service.
     pub service: String,
     /// Path on the service, with its query.
     pub path: String,
@@ -36,16 +35,17 @@
     pub method: String,
     /// Media type of the body.
     pub content_type: String,
-    /// Whether the caller marked it as not repeatable.
+    /// Whether the caller marked the call as not repeatable.
     pub marked_not_repeatable: bool,
-    /// Idempotency key, if the caller sent one.
+    /// Idempotency key; `None` if the caller sent none.
     pub idempotency_key: Option<String>,
-    /// Body.
+    /// Body as received.
     pub body: Vec<u8>,
 }
 
 impl ServiceRequest {
-    /// Returns the tokens that the call counts as.
+    /// Returns the number of tokens of the team's rate that the call uses: the
+    /// length of its body in tokens, at least 1.
     pub(super) fn tokens(&self) -> u64 {
         (self.body.len().div_ceil(TOKEN_BYTES) as u64).max(1)
     }
--- a/crates/mangowalkd/src/serve/reserve.rs
+++ b/crates/mangowalkd/src/serve/reserve.rs
@@ -11,29 +11,29 @@
     std::{cmp::Reverse, net::SocketAddr, thread, time::Duration},
 };
 
-/// Time that a peer has to answer a request for tokens.
+/// Timeout of a peer's reply to a request for tokens.
 const GRANT_TIMEOUT_MS: u64 = 100;
 
-/// Time that gathering may take in all. A grant older than that is dropped:
-/// after a pause the tokens belong to a moment long gone.
+/// Maximum total time of one round of gathering tokens. A grant that arrives
+/// later, for example after the process was paused, is dropped as out of date.
 const MAX_GATHER_MS: u64 = 300;
 
-/// Added to a wait for tokens, so that rounding does not end it too soon.
+/// Added to a wait for tokens, so that rounding does not end it too early.
 const WAIT_MARGIN_MS: u64 = 2;
 
-/// When a caller should come back to an instance that holds no slot.
+/// When a caller should retry if this instance holds no slot.
 const NO_SLOT_RETRY_MS: u64 = 1_000;
 
-/// When a caller should come back whose team has no rate.
+/// When a caller should retry if its team has no rate.
 const NO_RATE_RETRY_MS: u64 = 60_000;
 
 impl<E: Edges> Router<E> {
-    /// Takes tokens of the team's rate, here or from peers.
+    /// Reserves tokens of the team's rate, from this instance or from peers.
     ///
     /// # Errors
     ///
-    /// A request that can't have its tokens within the longest wait is
-    /// refused at once.
+    /// Fails without waiting if the tokens won't be available within the maximum
+    /// wait, if the team has no rate, or if the request exceeds the burst.
     pub(super) fn reserve(&self, team: &str, tokens: u64) -> Result<Reservation, Refusal> {
         let view = self.shared.config.view();
         let rate = view.rates.get(team).ok_or(Refusal::RateLimited {
@@ -57,8 +57,9 @@
         }
     }
 
-    /// Ends a reservation and puts back what it did not use, here and at the
-    /// peers that granted it. A message that is lost loses tokens.
+    /// Ends a reservation and refunds the tokens that were not used, to this
+    /// instance and to the peers that granted them. If a message to a peer is
+    /// lost, its tokens are lost.
     pub(super) fn settle(&self, reservation: &Reservation, used_tokens: u64) {
         for peer_grant in self.shared.limits.settle(reservation, used_tokens) {
             let request = PeerRequest::GiveBack {
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Gathers a request's tokens from here and from peers, and waits once if
-    /// the rest will be minted soon.
+    /// Gathers a request's tokens from this instance and from peers, and waits
+    /// once if the refill will soon provide the rest.
     fn gather(&self, team: &str, rate: &Rate, tokens: u64) -> Result<Reservation, Refusal> {
         let limits = &self.shared.limits;
         let mut gathered = Reservation::empty(team);
@@ -94,7 +95,7 @@
         self.settle(&gathered, 0);
         if available_tokens == 0 && limits.slots(now_ms) == 0 {
             return Err(Refusal::Unavailable {
-                reason: "This instance holds no share of the rates yet, and no peer gave of its own",
+                reason: "This instance holds no share of the rates yet, and no peer granted tokens",
                 retry_ms: NO_SLOT_RETRY_MS,
             });
         }
@@ -103,12 +104,13 @@
         Err(self.refuse_short(team, rate, tokens, short_tokens))
     }
 
-    /// Adds what is missing to a reservation, and returns how many tokens
-    /// peers have left.
+    /// Adds the missing tokens to a reservation, as far as possible. Returns
+    /// how many tokens peers have left.
     ///
-    /// Each peer is first asked for all that is missing. Only if none has
-    /// that, but all together do, are parts taken: parts taken for a request
-    /// that is refused after all would be missing to smaller ones meanwhile.
+    /// Each peer is first asked for all missing tokens. Smaller amounts are
+    /// taken only if no peer has enough but all together do: taken for a
+    /// request that is refused in the end, they would be unavailable to smaller
+    /// requests meanwhile.
     fn gather_once(&self, rate: &Rate, tokens: u64, gathered: &mut Reservation) -> u64 {
         let begun_ms = self.edges.clock().now_ms();
         let missing = tokens - gathered.tokens;
@@ -138,9 +140,9 @@
         total(&left)
     }
 
-    /// Asks one peer for what a reservation lacks up to so many tokens. The
-    /// peer has deducted what it grants before it answers, so a lost answer
-    /// loses tokens and can't double them.
+    /// Asks one peer for the tokens that a reservation lacks to `up_to`. The
+    /// peer deducts what it grants before it replies, so a lost reply loses
+    /// tokens and can't duplicate them.
     fn ask_peer(
         &self,
         peer: SocketAddr,
@@ -177,9 +179,9 @@
         }
     }
 
-    /// Returns the peers to ask: those that mint the team's tokens, or any
-    /// while they are not known. The order is drawn anew, so that no peer is
-    /// emptied by all others.
+    /// Returns the peers to ask: those that hold slots of the team, or any peer
+    /// if none of them is known. The order is random, so that not every
+    /// instance takes the tokens of the same peer.
     fn peers_to_ask(&self, team: &str) -> Vec<SocketAddr> {
         let holders = self.shared.limits.holders(team);
         let live = self.shared.peers.reachable();
--- a/crates/mangowalkd/src/serve/router.rs
+++ b/crates/mangowalkd/src/serve/router.rs
@@ -7,10 +7,10 @@
     std::sync::Arc,
 };
 
-/// When a caller should come back to an instance without usable records.
+/// When a caller should retry if this instance has no usable records.
 const NO_RECORDS_RETRY_MS: u64 = 1_000;
 
-/// Serves requests with what the board knows.
+/// Serves the requests of callers, using the shared state and the edges.
 pub struct Router<E: Edges> {
     pub(crate) edges: Arc<E>,
     pub(super) shared: Arc<SharedState>,
@@ -18,7 +18,7 @@
 }
 
 impl<E: Edges> Router<E> {
-    /// Returns a router over a board.
+    /// Returns a router that uses the given edges, shared state and settings.
     pub fn new(edges: Arc<E>, shared: Arc<SharedState>, settings: Settings) -> Router<E> {
         Router {
             edges,
@@ -27,21 +27,22 @@
         }
     }
 
-    /// Returns the board.
+    /// Returns the state that is shared with controllers.
     pub fn shared(&self) -> &SharedState {
         &self.shared
     }
 
-    /// Returns the settings.
+    /// Returns the settings of the process.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Returns the team that a key authenticates.
+    /// Returns the team that an API key authenticates.
     ///
     /// # Errors
     ///
-    /// Fails where the key is wrong or withdrawn, or no record is held yet.
+    /// Fails if the key is missing, wrong or withdrawn, or if the records of
+    /// this instance are not usable.
     pub fn authenticate(&self, key: Option<&str>) -> Result<String, Refusal> {
         self.check_records()?;
         let view = self.shared.config.view();
@@ -50,19 +51,25 @@
             .ok_or(Refusal::Unauthorized)
     }
 
-    /// Returns the present time.
+    /// Returns the current time, in milliseconds.
     pub(crate) fn now_ms(&self) -> u64 {
         self.edges.clock().now_ms()
     }
 
-    /// Returns whether a key still authenticates a team. A request that waited
-    /// asks again right before it is sent: the key may be withdrawn by now.
+    /// Returns whether a key still authenticates a team. Called again right
+    /// before a queued request is sent, as the key may have been withdrawn
+    /// meanwhile.
     pub fn still_authorized(&self, team: &str, key_digest: &str) -> bool {
         let view = self.shared.config.view();
         view.team_of_digest(key_digest) == Some(team)
     }
 
-    /// Refuses while the records held can't be relied on.
+    /// Checks that the configuration records may be used.
+    ///
+    /// # Errors
+    ///
+    /// Fails while there are no records, while they are compared with those of
+    /// peers after the start, and while they were not confirmed for too long.
     fn check_records(&self) -> Result<(), Refusal> {
         let now_ms = self.now_ms();
         let reason = if self.shared.config.view().revision == 0 {
@@ -70,7 +77,7 @@
         } else if self.shared.lifecycle.is_starting() {
             "This instance compares its configuration with its peers"
         } else if !self.shared.config.freshness().is_usable(now_ms) {
-            "This instance is cut off, and can't tell which keys are withdrawn"
+            "This instance has lost contact with the platform and its peers, and can't tell which keys are withdrawn"
         } else {
             return Ok(());
         };
--- a/crates/mangowalkd/src/serve/service.rs
+++ b/crates/mangowalkd/src/serve/service.rs
@@ -8,7 +8,7 @@
     },
 };
 
-/// When a caller should come back if the service can't be reached.
+/// When a caller should retry if the service can't be reached.
 const UNREACHABLE_RETRY_MS: u64 = 1_000;
 
 impl<E: Edges> Router<E> {
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what the caller is told, and what is known of the outcome.
+    /// Returns the refusal for the caller, with the known outcome of the call.
     pub fn call_service(&self, request: &ServiceRequest) -> Result<ServiceReply, Refusal> {
         let view = self.shared.config.view();
         let instances: Vec<&ServiceRecord> = view
@@ -46,7 +46,8 @@
         result
     }
 
-    /// Sends a call until one instance of the service answers.
+    /// Sends a repeatable call to each instance of the service in turn until
+    /// one responds.
     fn call_repeatable(
         &self,
         request: &ServiceRequest,
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Goes on to the next instance only where it is sure that nothing left.
+    /// Sends a claimed call to the instances of the service in turn. The next
+    /// one is tried only if it is certain that the call did not run.
     fn send_claimed(
         &self,
         request: &ServiceRequest,
@@ -143,7 +145,7 @@
     }
 }
 
-/// Returns whether an error states that nothing ran.
+/// Returns whether an error means that the call did not run.
 fn states_not_run(error: SendError) -> bool {
     matches!(error, SendError::NotConnected | SendError::Refused { .. })
 }
