--- a/crates/mangowalkd/src/caller/addresses.rs
+++ b/crates/mangowalkd/src/caller/addresses.rs
@@ -9,14 +9,17 @@
     std::net::SocketAddr,
 };
 
+/// Body of the response to `GET /v1/addresses`.
 #[derive(Debug, Serialize)]
 struct Addresses {
+    /// Addresses of instances, in the order in which a caller should try them.
     addresses: Vec<SocketAddr>,
+    /// Time for which the caller may cache the response.
     keep_ms: u64,
 }
 
-/// Returns the instances that a caller may use, in the order in which it
-/// should try them.
+/// Returns the JSON body with the instances that a caller may use, this one
+/// included.
 pub(super) fn body<E: Edges>(router: &Router<E>) -> Vec<u8> {
     let shared = router.shared();
     let id = &shared.identity;
--- a/crates/mangowalkd/src/caller/body.rs
+++ b/crates/mangowalkd/src/caller/body.rs
@@ -7,10 +7,11 @@
     serde_json::{Map, Value},
 };
 
-/// Tokens generated where the caller gives no limit.
+/// Maximum number of generated tokens if the caller sets none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// The two forms of request and answer.
+/// The endpoints for generated text. They differ in the shape of requests and
+/// responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Endpoint {
     /// `/v1/chat/completions`
@@ -19,7 +20,7 @@
     Completion,
 }
 
-/// A request for generated text, read and checked.
+/// The parsed and validated body of a request for generated text.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Body {
     pub(super) model: String,
@@ -27,15 +28,20 @@
     pub(super) max_tokens: u32,
     pub(super) stream: bool,
     pub(super) include_usage: bool,
-    /// Parameters that engines can't be told.
+    /// Parameters that were ignored because engines have no field for them.
     pub(super) ignored: Vec<&'static str>,
 }
 
-/// Reads and checks a body.
+/// Parses and validates a body.
+///
+/// # Errors
+///
+/// Fails on invalid JSON, and on fields that are missing, invalid or not
+/// supported.
 pub(super) fn read(bytes: &[u8], endpoint: Endpoint) -> Result<Body, Refusal> {
     let fields: Map<String, Value> = serde_json::from_slice(bytes).map_err(|error| {
         malformed(format!(
-            "The body is no JSON object: {error}; correct it there."
+            "The body is not a JSON object: {error}; correct it there."
         ))
     })?;
     let Parameters { ignored } = parameters::check(&fields, endpoint)?;
@@ -78,7 +84,7 @@
     match text {
         Some(text) if !text.is_empty() => Ok(text.clone()),
         _ => Err(malformed(
-            "`prompt` must be a text that is not empty, or a list of one; send a request for each text."
+            "`prompt` must be a non-empty string or a list of one; send one request per prompt."
                 .to_owned(),
         )),
     }
--- a/crates/mangowalkd/src/caller/chat.rs
+++ b/crates/mangowalkd/src/caller/chat.rs
@@ -16,7 +16,7 @@
     tiny_http::{HTTPVersion, Request},
 };
 
-/// Longest time to the first token for which the caller will wait.
+/// Header with the maximum time to the first token, in milliseconds.
 const DEADLINE_HEADER: &str = "x-mangowalk-deadline-ms";
 
 const MS_PER_S: u64 = 1_000;
@@ -64,8 +64,8 @@
     }
 }
 
-/// Refuses a stream to a caller that reads no chunks: HTTP/1.0 has none, and
-/// without them the end of a stream looks like a lost connection.
+/// Refuses a stream over HTTP/1.0. That version has no chunked encoding,
+/// without which the end of a stream looks like a lost connection.
 fn check_version(request: &Request, body: Body) -> Result<Body, Refusal> {
     if body.stream && *request.http_version() < HTTPVersion(1, 1) {
         return Err(body::malformed(
@@ -75,6 +75,7 @@
     Ok(body)
 }
 
+/// Returns the caller's deadline in milliseconds, `None` if it set none.
 fn deadline_of(request: &Request) -> Result<Option<u64>, Refusal> {
     let Some(text) = header(request, DEADLINE_HEADER) else {
         return Ok(None);
@@ -85,11 +86,12 @@
         .map(Some)
         .ok_or_else(|| {
             body::malformed(format!(
-                "`{DEADLINE_HEADER}` is no number of milliseconds above 0; correct it or leave it out."
+                "`{DEADLINE_HEADER}` must be a number of milliseconds above 0; correct it or leave it out."
             ))
         })
 }
 
+/// Sends the complete answer in one response.
 fn respond_whole<E: Edges>(
     handler: &Handler<'_, E>,
     request: Request,
@@ -111,8 +113,8 @@
     }
 }
 
-/// Streams the answer. The head is written with the first token, so that a
-/// refusal before it still has its own status.
+/// Streams the answer. The response head is written with the first token, so
+/// that a refusal before it is sent with its own status.
 fn respond_streamed<E: Edges>(
     handler: &Handler<'_, E>,
     request: Request,
@@ -128,6 +130,7 @@
     }
 }
 
+/// Collects the tokens of an answer that is not streamed.
 #[derive(Default)]
 struct CollectSink {
     text: String,
@@ -139,8 +142,8 @@
         Ok(())
     }
 
-    /// Nothing is written before the answer is whole, so nothing tells whether
-    /// the caller is still there.
+    /// Does nothing: no byte is written before the answer is complete, so a
+    /// disconnected caller can't be detected.
     fn silence(&mut self) -> io::Result<()> {
         Ok(())
     }
--- a/crates/mangowalkd/src/caller/error.rs
+++ b/crates/mangowalkd/src/caller/error.rs
@@ -1,6 +1,6 @@
 use {mangowalk_core::refusal::Refusal, serde::Serialize};
 
-/// The protocol's error body.
+/// Error body of the OpenAI-compatible protocol.
 #[derive(Debug, Serialize)]
 pub(super) struct ErrorBody<'a> {
     error: ErrorDetail<'a>,
@@ -12,7 +12,7 @@
     r#type: &'a str,
     code: &'a str,
     param: Option<&'a str>,
-    /// What is known of the request: `not_run`, `unknown` or `ran`.
+    /// Known outcome of the request: `not_run`, `unknown` or `ran`.
     outcome: String,
 }
 
--- a/crates/mangowalkd/src/caller/framing.rs
+++ b/crates/mangowalkd/src/caller/framing.rs
@@ -1,6 +1,7 @@
 use {super::body::malformed, mangowalk_core::refusal::Refusal, tiny_http::Request};
 
-/// Headers of which a second one would leave open which counts.
+/// Headers that may occur only once, because it is ambiguous which of two
+/// counts.
 const SINGLE_HEADERS: [&str; 4] = [
     "Content-Length",
     "Transfer-Encoding",
@@ -8,31 +9,34 @@
     "Idempotency-Key",
 ];
 
-/// Checks that there is one way to tell where a request ends.
+/// Checks that the end of a request is unambiguous.
 ///
-/// Where two readers of one connection disagree on that, the rest of one
-/// request is read as the next (request smuggling). Whatever is doubtful is
-/// refused, and nothing more is read from its connection.
+/// If two readers of one connection disagree about it, the rest of one request
+/// is read as the next (request smuggling). A request with ambiguous framing is
+/// refused, and no further request on its connection is served.
 ///
 /// # Errors
 ///
-/// Returns what is doubtful.
+/// Returns a refusal that names the ambiguous or unsupported header.
 pub(super) fn check(request: &Request) -> Result<(), Refusal> {
     for name in SINGLE_HEADERS {
         if count(request, name) > 1 {
-            return Err(malformed(format!("`{name}` came twice; send it once.")));
+            return Err(malformed(format!(
+                "`{name}` was sent more than once; send it once."
+            )));
         }
     }
     let length = value(request, "Content-Length");
     let encoding = value(request, "Transfer-Encoding");
     if length.is_some() && encoding.is_some() {
         return Err(malformed(
-            "`Content-Length` and `Transfer-Encoding` came together; send one of them.".to_owned(),
+            "`Content-Length` and `Transfer-Encoding` were sent together; send one of them."
+                .to_owned(),
         ));
     }
     if length.is_some_and(|text| !is_length(text)) {
         return Err(malformed(
-            "`Content-Length` is no number of bytes; send decimal digits.".to_owned(),
+            "`Content-Length` is not a number of bytes; send decimal digits.".to_owned(),
         ));
     }
     if encoding.is_some_and(|text| !text.eq_ignore_ascii_case("chunked")) {
@@ -50,7 +54,8 @@
     Ok(())
 }
 
-/// Signs and blanks would pass the parser of a number.
+/// Returns whether a text is a length in decimal digits. Rust's integer parser
+/// alone would accept a sign.
 fn is_length(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit()) && text.parse::<usize>().is_ok()
 }
--- a/crates/mangowalkd/src/caller/handler.rs
+++ b/crates/mangowalkd/src/caller/handler.rs
@@ -14,21 +14,22 @@
     tiny_http::{Method, Request},
 };
 
-/// Bytes of a body that are read at once, between two looks at the time.
+/// Bytes of a body that are read in one call, between two checks of the
+/// timeout.
 const READ_BYTES: usize = 16 << 10;
 
-/// Declared length above which a body is not even thrown away. The server
-/// reserves memory for what is left of a body when it drops the request, and
-/// a length that no memory can hold would end the process.
+/// Maximum declared length of a body that is discarded with its request. When
+/// the server drops a request, it allocates memory for the unread rest of the
+/// body; a length beyond the available memory would abort the process.
 const MAX_DISCARDED_BODY_BYTES: usize = 1 << 30;
 
-/// Serves one request of a caller.
+/// Serves one HTTP request of a caller.
 pub(super) struct Handler<'a, E: Edges> {
     pub(super) router: &'a Router<E>,
     untrusted: &'a UntrustedConnections,
-    /// Identity between router and upstreams.
+    /// Identity of the request towards upstreams, always generated here.
     pub(super) request_id: String,
-    /// What every response to this request says.
+    /// Headers of every response to this request.
     pub(super) head: Head,
 }
 
@@ -49,7 +50,8 @@
         }
     }
 
-    /// Serves the request, unless a check of its framing refused it.
+    /// Serves the request, or sends the refusal if the check of its framing
+    /// returned one.
     pub(super) fn handle(&self, request: Request, refused: Option<Refusal>) {
         if let Some(refusal) = refused {
             return self.refuse(request, &refusal);
@@ -115,9 +117,9 @@
         self.head.refuse(request, refusal);
     }
 
-    /// Refuses a request whose body was not read. The server passes over a
-    /// body of known length; of a chunked one it would take the rest for the
-    /// next request.
+    /// Refuses a request whose body was not read. The server skips a body of
+    /// known length, but would read the rest of a chunked one as the next
+    /// request, so that connection becomes untrusted.
     fn refuse_unread(&self, request: Request, refusal: &Refusal) {
         if header(&request, "Transfer-Encoding").is_some() {
             self.mark_untrusted(&request);
@@ -125,10 +127,10 @@
         self.refuse(request, refusal);
     }
 
-    /// Refuses a request without dropping what the server holds of it: that
-    /// would reserve memory for the whole declared length. The connection is
-    /// lost for good, which costs a descriptor and a thread for a length that
-    /// no honest caller declares.
+    /// Refuses a request without dropping the server's reader of its body,
+    /// which would allocate memory for the whole declared length. The
+    /// connection is leaked. That costs a file descriptor and a thread, for a
+    /// length that no well-behaved caller declares.
     fn refuse_oversized(&self, request: Request) {
         info!("callers: A caller declared a body of over {MAX_DISCARDED_BODY_BYTES} bytes.");
         let refusal = Refusal::TooLarge {
@@ -143,10 +145,11 @@
         self.untrusted.add(request.remote_addr(), now_ms);
     }
 
-    /// Adds the team's rate to a head: its burst, the tokens that are here,
-    /// and when the whole rate would have filled the burst again. Others may
-    /// hold more of the team's tokens, so a request over what remains here is
-    /// not refused for that alone.
+    /// Adds the team's rate to the response headers: its burst, the remaining
+    /// tokens at this instance, and the time in which the full rate would
+    /// refill the burst. Other instances may hold more of the team's tokens, so
+    /// a request that exceeds the remaining tokens is not refused for that
+    /// alone.
     pub(super) fn add_rate(&self, head: &mut Head, team: &str) {
         let shared = self.router.shared();
         let view = shared.config.view();
@@ -163,16 +166,22 @@
 
     /// Reads the body, up to the limits of length and time.
     ///
-    /// The read timeout bounds each wait; a caller that sends one byte before
-    /// each would still hold a thread for hours, so the sum is bounded too.
+    /// The read timeout bounds each read. A caller that sends one byte within
+    /// each timeout would still occupy a thread for hours, so the total time is
+    /// bounded too.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the body is too large, too slow or incomplete. The connection
+    /// becomes untrusted if the rest of the body would be read as a request.
     pub(super) fn body(&self, request: &mut Request) -> Result<Vec<u8>, Refusal> {
         let body = self.read_body(request);
         let is_counted = request.body_length().is_some();
         match &body {
-            // The server passes over the rest of a body of known length.
+            // The server skips the rest of a body of known length.
             Err(Refusal::TooLarge { .. }) if is_counted => {}
             Ok(_) => {}
-            // What comes next is the rest of this body.
+            // The next bytes are the rest of this body, not a request.
             Err(_) => self.mark_untrusted(request),
         }
         body
@@ -214,7 +223,7 @@
 }
 
 fn broken_body() -> Refusal {
-    malformed("The body ended early or its chunks are broken; send it whole.".to_owned())
+    malformed("The body ended early or its chunks are invalid; send it completely.".to_owned())
 }
 
 fn is_timeout(error: &std::io::Error) -> bool {
@@ -222,7 +231,7 @@
     matches!(error.kind(), TimedOut | WouldBlock)
 }
 
-/// Returns a header's value.
+/// Returns the value of a header, `None` if it is missing.
 pub(super) fn header<'a>(request: &'a Request, name: &'static str) -> Option<&'a str> {
     request
         .headers()
@@ -231,7 +240,7 @@
         .map(|h| h.value.as_str())
 }
 
-/// Returns the key that came with a request.
+/// Returns the API key of the `Authorization` header.
 pub(super) fn bearer(request: &Request) -> Option<&str> {
     let (scheme, key) = header(request, "Authorization")?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("Bearer").then_some(key.trim())
--- a/crates/mangowalkd/src/caller/listener.rs
+++ b/crates/mangowalkd/src/caller/listener.rs
@@ -7,26 +7,27 @@
     },
 };
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
-/// Shortest keepalive that the system accepts.
+/// Minimum TCP keepalive time that the operating system accepts.
 const MIN_KEEPALIVE: Duration = Duration::from_secs(1);
 
-/// Longest time that the listener's own connection may take.
+/// Timeout of the connection that wakes `accept`.
 const WAKE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Listens to callers with bounds on what a slow one may hold.
+/// Listens to callers, with timeouts on slow connections.
 ///
-/// The server sets no timeouts, and offers no way to reach an accepted
-/// socket. On Linux an accepted socket inherits those of its listener, so
-/// they are set here:
+/// The server sets no timeouts and gives no access to an accepted socket. On
+/// Linux, an accepted socket inherits the options of its listener, so they are
+/// set here:
 ///
-/// - the read timeout ends a connection on which nothing comes, within a
-///   head, within a body or between two requests;
-/// - the write timeout ends a stream whose caller stopped reading;
-/// - the user timeout and keepalive end one whose machine is gone;
-/// - no delay: a token must not wait for the receipt of the one before it.
+/// - The read timeout closes a connection that receives nothing, within a head,
+///   within a body or between two requests.
+/// - The write timeout ends a stream whose caller stopped reading.
+/// - The user timeout and keepalive close a connection whose peer machine is gone.
+/// - `TCP_NODELAY`: a token must not wait for the acknowledgement of the previous
+///   one.
 ///
 /// The read timeout also ends an idle `accept`; see [`wake_accept`].
 pub(super) fn listen(address: SocketAddr, timeout: Duration) -> io::Result<TcpListener> {
@@ -47,9 +48,9 @@
     Ok(socket.into())
 }
 
-/// Makes a connection of its own, so that `accept` returns before its timeout
-/// however rarely callers come. It is closed at once and served nothing.
+/// Connects to the listener and closes the connection immediately, so that
+/// `accept` returns before its timeout even if no caller connects.
 pub(super) fn wake_accept(address: SocketAddr) {
-    // A knock that fails is made good by the next, or by a new server.
+    // A failed connection is made up for by the next one, or by a new server.
     let _ = TcpStream::connect_timeout(&address, WAKE_TIMEOUT);
 }
--- a/crates/mangowalkd/src/caller/mod.rs
+++ b/crates/mangowalkd/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! The edge towards callers: OpenAI-compatible HTTP.
+//! The edge towards callers: an OpenAI-compatible HTTP server.
 
 mod addresses;
 mod body;
--- a/crates/mangowalkd/src/caller/models.rs
+++ b/crates/mangowalkd/src/caller/models.rs
@@ -8,7 +8,7 @@
     json!({ "id": id, "object": "model", "created": 0, "owned_by": "mangowalk" })
 }
 
-/// Returns the list of offered models.
+/// Returns the JSON list of offered models.
 pub(super) fn list<E: Edges>(router: &Router<E>) -> Vec<u8> {
     let view = router.shared().config.view();
     let data: Vec<Value> = view.models.keys().map(|id| model(id)).collect();
@@ -17,7 +17,11 @@
         .into_bytes()
 }
 
-/// Returns one offered model.
+/// Returns one offered model as JSON.
+///
+/// # Errors
+///
+/// Fails if the model is not offered.
 pub(super) fn one<E: Edges>(router: &Router<E>, id: &str) -> Result<Vec<u8>, Refusal> {
     if !router.shared().config.view().models.contains_key(id) {
         return Err(Refusal::NotFound {
--- a/crates/mangowalkd/src/caller/parameters.rs
+++ b/crates/mangowalkd/src/caller/parameters.rs
@@ -4,7 +4,7 @@
     serde_json::{Map, Value, json},
 };
 
-/// Fields that are read elsewhere.
+/// Fields that `body` reads.
 const HANDLED_ELSEWHERE: [&str; 5] = [
     "model",
     "max_tokens",
@@ -13,7 +13,7 @@
     "stream_options",
 ];
 
-/// Parameters that change nothing in the answer.
+/// Parameters that have no effect on the answer.
 const NO_EFFECT: [&str; 6] = [
     "user",
     "metadata",
@@ -23,21 +23,24 @@
     "parallel_tool_calls",
 ];
 
-/// Parameters of sampling. Engines sample with their own settings, and their
-/// protocol has no field for these; the answer's head names what was passed
-/// over, so that nobody takes it for followed.
+/// Sampling parameters. Engines sample with their own settings, and their
+/// protocol has no field for these. A response header names the ignored ones,
+/// so that callers don't assume that they were applied.
 const IGNORED: [&str; 3] = ["temperature", "top_p", "seed"];
 
-/// What follows from the parameters of a request.
+/// Result of the check of a request's parameters.
 pub(super) struct Parameters {
+    /// Parameters that were sent and are ignored.
     pub(super) ignored: Vec<&'static str>,
 }
 
-/// Checks every parameter.
+/// Checks every parameter of a request.
 ///
-/// One that would change the answer and can't be followed is refused unless
-/// it asks for what happens anyway. Ignored silently, it would give a caller
-/// an answer to another request.
+/// # Errors
+///
+/// Refuses a parameter that would change the answer and is not supported,
+/// unless its value asks for the default behaviour. Ignoring it silently would
+/// give the caller an answer to a different request.
 pub(super) fn check(
     fields: &Map<String, Value>,
     endpoint: Endpoint,
@@ -75,26 +78,27 @@
         return Ok(());
     }
     Err(malformed(format!(
-        "`{name}` is {value}, out of its range; correct it or leave it out."
+        "`{name}` is {value}, which is out of range; correct it or leave it out."
     )))
 }
 
 fn check_neutral(name: &str, value: &Value) -> Result<(), Refusal> {
     let neutral_values = neutral_values(name).ok_or_else(|| {
         malformed(format!(
-            "`{name}` is no known parameter; leave it out. docs/api.md lists all."
+            "`{name}` is not a known parameter; leave it out. docs/api.md lists all."
         ))
     })?;
     if neutral_values.contains(value) {
         return Ok(());
     }
     Err(malformed(format!(
-        "`{name}` can't be followed by the engines here; leave it out or send {}.",
+        "`{name}` is not supported by the engines; leave it out or send {}.",
         neutral_values[0]
     )))
 }
 
-/// Returns the values of a parameter that ask for what happens anyway.
+/// Returns the values of a parameter that ask for the default behaviour; `None`
+/// if the parameter is unknown.
 fn neutral_values(name: &str) -> Option<Vec<Value>> {
     Some(match name {
         "n" | "best_of" => vec![json!(1)],
--- a/crates/mangowalkd/src/caller/reply.rs
+++ b/crates/mangowalkd/src/caller/reply.rs
@@ -7,20 +7,21 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// Who wrote a response: a service's own error looks like one of the router's.
+/// Header that names the sender of a response, `router` or `service`. The error
+/// of a service looks like one of the router.
 pub(super) const SOURCE_HEADER: &str = "x-mangowalk-source";
 
-/// A response whose body is held whole.
+/// A response whose complete body is in memory.
 pub(super) type BufferedResponse = Response<Cursor<Vec<u8>>>;
 
-/// Headers that every response to one request carries.
+/// Headers of every response to one request.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Head {
     headers: Vec<(&'static str, String)>,
 }
 
 impl Head {
-    /// Returns the head of a response that names its request.
+    /// Returns a head with the request's identity.
     pub(super) fn of(request_id: &str) -> Head {
         let mut head = Head::default();
         head.add("x-request-id", request_id.to_owned());
@@ -37,17 +38,17 @@
         &self.headers
     }
 
-    /// Answers with JSON.
+    /// Responds with JSON.
     pub(super) fn json(&self, request: Request, status: u16, body: Vec<u8>) {
         let _ = request.respond(self.response(status, body));
     }
 
-    /// Answers with a refusal.
+    /// Responds with a refusal.
     pub(super) fn refuse(&self, request: Request, refusal: &Refusal) {
         let _ = request.respond(self.refusal(refusal));
     }
 
-    /// Returns the response that tells a refusal.
+    /// Returns the response for a refusal.
     pub(super) fn refusal(&self, refusal: &Refusal) -> BufferedResponse {
         let body = serde_json::to_vec(&ErrorBody::of(refusal)).unwrap_or_default();
         let mut response = self.response(refusal.status(), body);
@@ -74,8 +75,9 @@
     }
 }
 
-/// Tells clients whether to send again by themselves. They would otherwise
-/// repeat after every 409 and 5xx, also where the request may have run.
+/// Returns whether client libraries should retry automatically, as the value of
+/// `x-should-retry`. Without it they retry after every 409 and 5xx, even if the
+/// request may have run.
 fn should_retry(refusal: &Refusal) -> &'static str {
     let is_retryable = refusal.retry_ms().is_some() || refusal.status() == 408;
     if is_retryable && refusal.outcome() == Outcome::NotRun {
@@ -84,7 +86,7 @@
     "false"
 }
 
-/// Adds a header. A value that no header can hold is left out.
+/// Adds a header. A value that is invalid in a header is left out.
 fn with_header(response: BufferedResponse, name: &str, value: &str) -> BufferedResponse {
     match Header::from_bytes(name, value) {
         Ok(header) => response.with_header(header),
--- a/crates/mangowalkd/src/caller/request_id.rs
+++ b/crates/mangowalkd/src/caller/request_id.rs
@@ -1,12 +1,12 @@
-/// Longest identity that is taken over from a caller.
+/// Maximum length of a caller's request ID that is echoed.
 const MAX_BYTES: usize = 64;
 
-/// Returns the caller's identity of a request if it can be repeated in a
-/// header and a log line as it is.
+/// Returns the caller's request ID if it can be echoed unchanged in a header
+/// and a log line.
 ///
-/// It is only shown. Between router and engines each request has an identity
-/// drawn here: two callers may send the same one, and the answer of one would
-/// then be taken for the other's.
+/// It is only echoed. Between router and engines, each request has an ID that
+/// is generated here: two callers may send the same ID, and the answer to one
+/// would then be taken for the answer to the other.
 pub(super) fn accepted(text: &str) -> Option<&str> {
     let is_valid = !text.is_empty()
         && text.len() <= MAX_BYTES
@@ -16,7 +16,7 @@
     is_valid.then_some(text)
 }
 
-/// Draws an identity.
+/// Generates a random request ID.
 pub(super) fn generate() -> String {
     format!("req-{:016x}", rand::random::<u64>())
 }
--- a/crates/mangowalkd/src/caller/response_format.rs
+++ b/crates/mangowalkd/src/caller/response_format.rs
@@ -5,11 +5,12 @@
     serde_json::{Value, json},
 };
 
-/// Writes the protocol's objects for one answer.
+/// Builds the JSON objects of the protocol for one answer.
 pub(super) struct ResponseFormat {
     pub(super) endpoint: Endpoint,
     pub(super) id: String,
     pub(super) model: String,
+    /// Time of the request, in seconds since the Unix epoch.
     pub(super) created_s: u64,
     pub(super) include_usage: bool,
 }
@@ -29,7 +30,7 @@
         })
     }
 
-    /// Returns the event that opens a stream, if the form has one.
+    /// Returns the first event of a stream, `None` if the endpoint has none.
     pub(super) fn opening(&self) -> Option<Value> {
         (self.endpoint == Endpoint::Chat).then(|| {
             self.object(json!([{
@@ -40,7 +41,7 @@
         })
     }
 
-    /// Returns the event of one token.
+    /// Returns the event for one token.
     pub(super) fn delta(&self, text: &str) -> Value {
         self.object(match self.endpoint {
             Endpoint::Chat => json!([{
@@ -52,7 +53,8 @@
         })
     }
 
-    /// Returns the events that close a complete stream.
+    /// Returns the last events of a complete stream: the finish reason and, if
+    /// requested, the usage.
     pub(super) fn closing(&self, finished: &FinishedAnswer) -> Vec<Value> {
         let reason = &finished.finish_reason;
         let last = self.object(match self.endpoint {
@@ -69,7 +71,7 @@
         vec![last, usage]
     }
 
-    /// Returns the body of an answer that is not streamed.
+    /// Returns the response body of an answer that is not streamed.
     pub(super) fn whole(&self, text: &str, finished: &FinishedAnswer) -> Value {
         let reason = &finished.finish_reason;
         let choices = match self.endpoint {
--- a/crates/mangowalkd/src/caller/server.rs
+++ b/crates/mangowalkd/src/caller/server.rs
@@ -16,38 +16,39 @@
     tiny_http::Request,
 };
 
-/// Stack of a thread that serves one request.
+/// Stack size of a thread that serves one request.
 const REQUEST_STACK_BYTES: usize = 512 << 10;
 
-/// Stack of a thread that refuses one request.
+/// Stack size of a thread that refuses one request.
 const REFUSAL_STACK_BYTES: usize = 64 << 10;
 
-/// When a caller should come back at the earliest if every thread is taken.
+/// Minimum time after which a caller should retry if the limit of open requests
+/// is reached.
 const MIN_OVERLOAD_RETRY_MS: u64 = 1_000;
 
-/// Pause between two looks at whether to stop.
+/// Interval at which a server checks whether to stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Knocks within one read timeout.
+/// Connections that wake `accept` within one read timeout.
 const WAKES_PER_TIMEOUT: u32 = 4;
 
-/// Read timeouts for which a condemned connection is remembered.
+/// Read timeouts after which an untrusted connection is forgotten.
 const UNTRUSTED_TIMEOUTS: u64 = 3;
 
-/// Looks without a request after which a server that was replaced ends.
+/// Polls without a request after which a replaced server ends.
 const MAX_IDLE_POLLS: u32 = 6_000;
 
-/// Listens to callers and serves each request on a thread of its own.
+/// HTTP server for callers. It serves each request on its own thread.
 pub struct CallerServer {
     address: SocketAddr,
 }
 
 impl CallerServer {
-    /// Starts to listen.
+    /// Starts to listen on the callers' address of the settings.
     ///
     /// # Errors
     ///
-    /// Fails where the address is in use.
+    /// Fails if the address is in use or a thread can't be started.
     pub fn start<E: Edges>(router: Arc<Router<E>>) -> io::Result<CallerServer> {
         let settings = router.settings();
         let timeout = Duration::from_millis(settings.caller_timeout_ms);
@@ -67,7 +68,7 @@
         Ok(CallerServer { address })
     }
 
-    /// Returns the address listened on.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -98,13 +99,12 @@
         self.router.shared().lifecycle.is_stopped()
     }
 
-    /// Hands out requests until the instance stops.
+    /// Dispatches the requests of one server until the instance stops.
     ///
-    /// A server that meets an error in `accept` (no descriptor left, or no
-    /// connection within the read timeout) accepts no more for good. Another
-    /// takes its place on the same listener, and the connections that wait
-    /// there are kept. The old one still brings the requests of its open
-    /// connections.
+    /// After an error in `accept` (no file descriptor left, or no connection
+    /// within the read timeout), a server never accepts again. A new one
+    /// replaces it on the same listener, so the connections that wait there are
+    /// kept. The old one still delivers the requests of its open connections.
     fn serve(self: &Arc<Self>, server: &tiny_http::Server) {
         let mut is_ended = false;
         let mut is_replaced = false;
@@ -117,7 +117,9 @@
                 }
                 Ok(None) => idle_polls += u32::from(is_replaced),
                 Err(error) => {
-                    info!("callers: Accepting ended and begins anew. {error}.");
+                    info!(
+                        "callers: A server stopped accepting connections and is replaced. {error}."
+                    );
                     is_ended = true;
                 }
             }
@@ -130,7 +132,9 @@
     fn replace(self: &Arc<Self>) -> bool {
         let replaced = self.server().and_then(|server| self.spawn(server));
         if let Err(error) = &replaced {
-            warn!("callers: No new server yet. {error}; raise the limit of open files.");
+            warn!(
+                "callers: The server could not be replaced yet. {error}; raise the limit of open files."
+            );
         }
         replaced.is_ok()
     }
@@ -144,23 +148,24 @@
 
     /// Checks the framing of a request.
     ///
-    /// This happens here, in the order in which one connection's requests
-    /// came: on threads of their own, a hidden request might be served before
-    /// the doubtful one in front of it is refused.
+    /// This runs on the server's thread, in the order in which the requests of
+    /// one connection arrive. On separate threads, a smuggled request might be
+    /// served before the ambiguous one in front of it is refused.
     fn check(&self, request: &Request) -> Result<(), Refusal> {
         let now_ms = self.router.now_ms();
         let retention_ms = self.router.settings().caller_timeout_ms * UNTRUSTED_TIMEOUTS;
         let caller = request.remote_addr();
         if self.untrusted.contains(caller, retention_ms, now_ms) {
             return Err(malformed(
-                "This connection sent a doubtful length; open another.".to_owned(),
+                "An earlier request on this connection had an ambiguous length; open another."
+                    .to_owned(),
             ));
         }
         framing::check(request).inspect_err(|_| self.untrusted.add(caller, now_ms))
     }
 
-    /// Serves or refuses a request on a thread of its own. Neither happens
-    /// here: a caller that reads or sends slowly would hold up every other.
+    /// Serves or refuses a request on its own thread. On the server's thread, a
+    /// caller that reads or sends slowly would block all others.
     fn dispatch(self: &Arc<Self>, request: Request) {
         let refused = self.check(&request).err();
         let callers = self.clone();
@@ -180,14 +185,16 @@
                 .spawn(move || refuse_overload(request)),
         };
         if let Err(error) = spawned {
-            warn!("callers: No thread for a request. {error}; raise the limit of threads.");
+            warn!(
+                "callers: No thread could be started for a request. {error}; raise the limit of threads."
+            );
         }
     }
 }
 
 fn refuse_overload(request: Request) {
     let refusal = Refusal::Unavailable {
-        reason: "This instance serves as many requests as it may",
+        reason: "This instance has reached its limit of open requests",
         retry_ms: jittered_ms(MIN_OVERLOAD_RETRY_MS),
     };
     Head::of(&request_id::generate()).refuse(request, &refusal);
--- a/crates/mangowalkd/src/caller/service.rs
+++ b/crates/mangowalkd/src/caller/service.rs
@@ -8,10 +8,10 @@
     tiny_http::{Header, Request, Response},
 };
 
-/// Paths below which plain services are reached: `/v1/services/NAME/PATH`.
+/// Path prefix of calls to plain services: `/v1/services/NAME/PATH`.
 pub(super) const PREFIX: &str = "/v1/services/";
 
-/// Serves one call of a plain service.
+/// Serves one call of a plain service and sends its response.
 pub(super) fn serve<E: Edges>(handler: &Handler<'_, E>, mut request: Request, team: &str) {
     let body = match handler.body(&mut request) {
         Ok(body) => body,
--- a/crates/mangowalkd/src/caller/sse.rs
+++ b/crates/mangowalkd/src/caller/sse.rs
@@ -6,20 +6,20 @@
     tiny_http::Request,
 };
 
-/// A line that every reader of server-sent events passes over.
+/// A comment line, which every reader of server-sent events ignores.
 const COMMENT: &str = ": waiting\n\n";
 
-/// Writes server-sent events, each at once.
+/// Writes server-sent events and flushes each one.
 ///
-/// Two buffers hold a token back until the tokens behind it fill them. The
-/// encoder's own is sent after each write; that of the server below it holds
-/// a kilobyte, and the encoder never flushes it.
+/// Two buffers would otherwise delay a token until later tokens fill them. The
+/// encoder flushes its own after each write, but never the one of the server
+/// below it, which holds one kilobyte.
 pub(super) struct SseWriter {
     encoder: Option<Encoder<Box<dyn Write + Send>>>,
 }
 
 impl SseWriter {
-    /// Writes the head of the response.
+    /// Writes the head of the response and returns the writer of its events.
     pub(super) fn start(request: Request, head: &Head) -> io::Result<SseWriter> {
         let mut writer = request.into_writer();
         write!(
@@ -42,13 +42,12 @@
         self.write(&format!("data: {text}\n\n"))
     }
 
-    /// Writes a line that means nothing, to find out whether the caller is
-    /// still there.
+    /// Writes a comment, which fails if the caller has disconnected.
     pub(super) fn comment(&mut self) -> io::Result<()> {
         self.write(COMMENT)
     }
 
-    /// Writes the marker that the answer is complete, and ends the body.
+    /// Writes the `[DONE]` event of a complete answer, and ends the body.
     pub(super) fn done(&mut self) -> io::Result<()> {
         self.write("data: [DONE]\n\n")?;
         self.end();
--- a/crates/mangowalkd/src/caller/stream.rs
+++ b/crates/mangowalkd/src/caller/stream.rs
@@ -7,12 +7,12 @@
     tiny_http::Request,
 };
 
-/// A streamed answer on its way to the caller.
+/// Streams an answer to a caller.
 ///
-/// The head leaves with the first token. Until then a refusal has a status of
-/// its own, and a caller that goes away is not noticed: the protocol has
-/// nothing that could be written to find out. That time is bounded by the
-/// timeout of the first token.
+/// The head of the response is written with the first token. Until then, a
+/// refusal is sent with its own status, and a disconnected caller is not
+/// detected, because the protocol has nothing that could be written. That time
+/// is bounded by the first-token timeout.
 pub(super) struct StreamSink {
     request: Option<Request>,
     writer: Option<SseWriter>,
@@ -30,6 +30,7 @@
         }
     }
 
+    /// Returns the writer. The first call writes the head of the response.
     fn writer(&mut self) -> io::Result<&mut SseWriter> {
         if let Some(request) = self.request.take() {
             let mut writer = SseWriter::start(request, &self.head)?;
@@ -47,7 +48,7 @@
     pub(super) fn finish(&mut self, finished: &FinishedAnswer) {
         if let Err(error) = self.write_end(finished) {
             info!(
-                "callers: The end of {} was not taken. {error}.",
+                "callers: The end of the answer to {} could not be written. {error}.",
                 self.response_format.id
             );
         }
@@ -62,11 +63,10 @@
         writer.done()
     }
 
-    /// Refuses the request, with its own status while no token was written.
+    /// Refuses the request, with the refusal's status if no token was written.
     ///
-    /// Behind a token only an error event is left. Neither the closing marker
-    /// nor a finish reason follows it, so that half an answer never looks
-    /// whole.
+    /// After a token, only an error event can be sent. Neither `[DONE]` nor a
+    /// finish reason follows it, so that a partial answer never looks complete.
     pub(super) fn refuse(mut self, refusal: &Refusal) {
         if let Some(request) = self.request.take() {
             return self.head.refuse(request, refusal);
--- a/crates/mangowalkd/src/caller/untrusted.rs
+++ b/crates/mangowalkd/src/caller/untrusted.rs
@@ -4,21 +4,22 @@
     sync::{Mutex, PoisonError},
 };
 
-/// Connections that are remembered at once.
+/// Maximum number of stored connections. All are dropped when it is reached.
 const MAX_CONNECTIONS: usize = 4_096;
 
-/// Connections whose bytes can't be trusted any more, by the caller's address.
+/// Connections whose further requests are refused, by the caller's address.
 ///
-/// The server goes on to read a connection behind a refused request, and
-/// offers no way to close it. After a doubtful length those bytes may be the
-/// rest of a body made to look like a request, so none of them is served.
+/// The server keeps reading a connection after a refused request and offers no
+/// way to close it. After an ambiguous request length, those bytes may be the
+/// rest of a body that looks like a request (request smuggling), so no further
+/// request on that connection is served.
 #[derive(Debug, Default)]
 pub(super) struct UntrustedConnections {
     since_ms: Mutex<HashMap<SocketAddr, u64>>,
 }
 
 impl UntrustedConnections {
-    /// Serves nothing more from a connection.
+    /// Marks a connection as untrusted.
     pub(super) fn add(&self, caller: Option<&SocketAddr>, now_ms: u64) {
         let Some(caller) = caller else { return };
         let mut since_ms = self.since_ms.lock().unwrap_or_else(PoisonError::into_inner);
@@ -28,9 +29,9 @@
         since_ms.insert(*caller, now_ms);
     }
 
-    /// Returns whether a connection is condemned. A port that another caller
-    /// uses later is free again after `retention_ms`: a silent connection is closed
-    /// before that.
+    /// Returns whether a connection is untrusted. An entry expires after
+    /// `retention_ms`, as another caller may use the port later. Idle
+    /// connections are closed before that.
     pub(super) fn contains(
         &self,
         caller: Option<&SocketAddr>,
--- a/crates/mangowalkd/src/serve/admit.rs
+++ b/crates/mangowalkd/src/serve/admit.rs
@@ -92,8 +92,8 @@
         version: &str,
         choice: Choice,
     ) -> Result<Target, Refusal> {
-        // The view is loaded again, so that an engine withdrawn meanwhile gets no
-        // request.
+        // The view is loaded again, so that an engine withdrawn meanwhile gets
+        // no request.
         let view = self.shared.config.view();
         let target = self.target(&view, version, choice);
         if !self.still_authorized(&request.team, &request.key_digest) {
--- a/crates/mangowalkd/src/serve/reserve.rs
+++ b/crates/mangowalkd/src/serve/reserve.rs
@@ -32,8 +32,9 @@
     ///
     /// # Errors
     ///
-    /// Fails without waiting if the tokens won't be available within the maximum
-    /// wait, if the team has no rate, or if the request exceeds the burst.
+    /// Fails if the team has no rate, if the request exceeds the burst, or if
+    /// its tokens are not available. If they can't be available within the
+    /// maximum wait, it fails without waiting.
     pub(super) fn reserve(&self, team: &str, tokens: u64) -> Result<Reservation, Refusal> {
         let view = self.shared.config.view();
         let rate = view.rates.get(team).ok_or(Refusal::RateLimited {
--- a/crates/mangowalkd/src/shared_state/admission.rs
+++ b/crates/mangowalkd/src/shared_state/admission.rs
@@ -37,7 +37,8 @@
     upstreams: SharedUpstreams,
     waiters: HashMap<u64, Sender<Decision>>,
     next_id: u64,
-    /// View whose engines were last passed to placement; `None` before the first.
+    /// View whose engines were last passed to placement; `None` before the
+    /// first.
     applied_view: Option<Arc<View>>,
     /// Time of the last submission or dispatch.
     now_ms: u64,
