--- a/crates/mangowalkd/tests/admission.rs
+++ b/crates/mangowalkd/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who waits and who is refused when every engine is full.
+//! Queueing and refusal of requests while every engine is full.
 
 use {
     mangowalk_standins::{Answer, EngineSettings, Fleet, FleetSettings},
@@ -21,7 +21,7 @@
     fleet
 }
 
-/// Sends requests at once and returns what their callers got.
+/// Sends requests concurrently and returns their responses.
 fn send_concurrently(fleet: &Fleet, count: usize, tokens: u32) -> Vec<Answer> {
     thread::scope(|scope| {
         let callers: Vec<_> = (0..count)
@@ -34,9 +34,9 @@
     })
 }
 
-/// Twelve callers come at once to an engine that runs two at a time. All are
-/// served, for the work is there to be done in time; those who wait do so in
-/// the router, so the engine never holds more than it can run.
+/// Twelve requests arrive at the same time at an engine that runs two at a
+/// time. All can be served in time, so all are: the others wait in the router's
+/// queue, and the engine never holds more requests than it can run.
 #[test]
 fn a_burst_is_queued_and_served() {
     let fleet = fleet_with_two_slots("worst-team");
@@ -44,10 +44,10 @@
     assert!(answers.iter().all(|a| a.status == 200));
 }
 
-/// Forty callers come at once with answers of a second each, four seconds of
-/// work a caller may wait for at most. Whom the router can't serve in time is
-/// told so as not run, with a time to come back, and the engine never sees
-/// the request; the rest are served in full.
+/// Forty requests with answers of one second each arrive at the same time, and
+/// a request may wait for at most four seconds of work. Those that can't be
+/// served in time are refused as not run, with a retry time, and never reach
+/// the engine. The others are served completely.
 #[test]
 fn a_request_that_cannot_be_served_in_time_is_refused_as_not_run() {
     let fleet = fleet_with_two_slots("first-token");
--- a/crates/mangowalkd/tests/bad_input.rs
+++ b/crates/mangowalkd/tests/bad_input.rs
@@ -1,11 +1,11 @@
-//! Bad input: a clear error in the protocol's form, and the router serves on.
+//! Invalid input gets a protocol error, and the router keeps serving.
 
 use {
     mangowalk_standins::{Answer, Fleet, FleetSettings, RawCaller},
     std::{fmt::Write, thread, time::Duration},
 };
 
-/// Pause between two bytes of a slow caller, within its read timeout.
+/// Pause between two bytes of a slow caller, below the read timeout.
 const SLOW_PAUSE: Duration = Duration::from_millis(100);
 
 fn fleet(args: &[&str]) -> Fleet {
@@ -25,7 +25,8 @@
     Answer::post(address, path, &[("Authorization", &bearer)], body)
 }
 
-/// Sends a head with a good key and the given lines, and bytes behind it.
+/// Sends a request head with a valid key and the given header lines, followed
+/// by a body.
 fn send_raw(fleet: &Fleet, lines: &str, body: &str) -> RawCaller {
     let mut caller = RawCaller::connect(fleet.routers[0].address());
     let head = format!(
@@ -47,8 +48,8 @@
     );
 }
 
-/// Every body that can't be served, and what its caller is told. Nothing of
-/// it reaches an engine.
+/// Each invalid or unsupported body is refused as not run, with an error that
+/// says what to correct, and does not reach an engine.
 #[test]
 fn a_bad_body_is_refused_with_its_remedy() {
     let fleet = fleet(&[]);
@@ -127,9 +128,9 @@
     assert_still_serves(&fleet);
 }
 
-/// A caller declares more bytes than any memory holds. The server below
-/// reserves memory for a body that it throws away, which would end the
-/// process and every stream in it.
+/// A caller declares a body that is larger than any memory. The HTTP server
+/// allocates memory for a body that it discards, which would abort the process
+/// and every stream in it.
 #[test]
 fn a_huge_content_length_does_not_crash_the_process() {
     let fleet = fleet(&[]);
@@ -140,9 +141,9 @@
     assert_still_serves(&fleet);
 }
 
-/// The length of a request is told in two ways that differ. Behind it, hidden
-/// from a reader who believes the other way, stands a second request. The
-/// first is refused and the second never served.
+/// The framing of a request is ambiguous, and its body contains a second
+/// request (request smuggling). The first is refused and the second is never
+/// served.
 #[test]
 fn a_request_smuggled_behind_an_ambiguous_length_is_not_served() {
     let fleet = fleet(&[]);
@@ -168,8 +169,9 @@
     assert_still_serves(&fleet);
 }
 
-/// A caller of HTTP/1.0 asks for a stream, which it could not tell from a cut
-/// one. It is refused, and served without a stream.
+/// HTTP/1.0 has no chunked encoding, so a caller could not tell a complete
+/// stream from an interrupted one. A stream is refused, a response without
+/// streaming is served.
 #[test]
 fn a_stream_over_http_1_0_is_refused() {
     let fleet = fleet(&[]);
@@ -188,8 +190,8 @@
     }
 }
 
-/// Callers who stop in the middle of a head or a body. Each is let go, and
-/// none keeps another from being served.
+/// Callers stop sending in the middle of a head or a body. Their connections
+/// time out, and meanwhile other callers are served.
 #[test]
 fn callers_that_stop_sending_are_timed_out() {
     let fleet = fleet(&["--caller-timeout-ms=400"]);
@@ -203,8 +205,9 @@
     assert_still_serves(&fleet);
 }
 
-/// A caller sends a byte before each read timeout, and its body in the end.
-/// Each wait is short and their sum is not, so it is refused all the same.
+/// A caller sends one byte within each read timeout, and the rest of its body
+/// at the end. No single read times out, but the total time is over the limit,
+/// so the request is refused.
 #[test]
 fn a_caller_that_sends_slowly_is_timed_out() {
     let fleet = fleet(&["--caller-timeout-ms=400"]);
@@ -219,8 +222,9 @@
     assert_still_serves(&fleet);
 }
 
-/// No caller comes for several read timeouts, which end an idle `accept`.
-/// The next caller is served all the same.
+/// No caller connects for several read timeouts, each of which would end an
+/// idle
+/// `accept`. The next caller is still served.
 #[test]
 fn an_idle_router_keeps_accepting() {
     let fleet = fleet(&["--caller-timeout-ms=100"]);
@@ -228,8 +232,8 @@
     assert_still_serves(&fleet);
 }
 
-/// As many requests are open as may be. One more is refused at once and told
-/// when to come back; a freed place serves again.
+/// The limit of open requests is reached. One more is refused immediately, with
+/// a retry time. When a request ends, the next one is served.
 #[test]
 fn a_request_over_the_limit_is_refused_as_not_run() {
     let fleet = fleet(&["--max-open-requests=1"]);
@@ -251,7 +255,8 @@
     fleet.until_served();
 }
 
-/// A withdrawn key is refused like a wrong one, within seconds.
+/// A missing or wrong key is refused. A withdrawn key is refused in the same
+/// way within seconds.
 #[test]
 fn a_missing_wrong_or_withdrawn_key_is_refused() {
     let fleet = fleet(&[]);
--- a/crates/mangowalkd/tests/callers.rs
+++ b/crates/mangowalkd/tests/callers.rs
@@ -1,4 +1,4 @@
-//! The protocol towards callers.
+//! The OpenAI-compatible protocol towards callers.
 
 use {
     mangowalk_standins::{Answer, Fleet, FleetSettings},
@@ -29,7 +29,7 @@
     Answer::get(address, path, &[("Authorization", &bearer)])
 }
 
-/// Replaces what differs from run to run.
+/// Replaces the fields that differ from run to run.
 fn without_varying_fields(mut body: Value) -> String {
     for field in ["id", "created"] {
         if !body[field].is_null() {
@@ -92,8 +92,8 @@
     assert_eq!(answer.text(), Fleet::expected("hello", 3));
 }
 
-/// The engines can't be told a temperature. The answer says so, since the
-/// caller would otherwise take it for followed.
+/// Engines have no field for a temperature. A response header says that it was
+/// ignored; the caller would otherwise assume that it was applied.
 #[test]
 fn ignored_parameters_are_named_in_the_response() {
     let fleet = fleet();
@@ -145,8 +145,8 @@
     assert!(reset.ends_with("ms"), "{reset}");
 }
 
-/// An error of the service looks like one of the router's. The head tells who
-/// wrote it: only the router's says anything of what ran.
+/// The error of a service can look like one of the router's. A header names the
+/// source, because only the router's errors report whether the call ran.
 #[test]
 fn a_response_names_its_source() {
     let fleet = fleet();
@@ -158,9 +158,9 @@
     assert_eq!(refused.header("x-mangowalk-source"), Some("router"));
 }
 
-/// Callers present their key in every way that the protocol knows, also with
-/// requests that fail. It must reach no engine, no service, no log line and
-/// no error.
+/// Callers send their key with requests of every kind, including ones that
+/// fail. It must not appear in a request to an engine or a service, in the log
+/// or in an error.
 #[test]
 fn an_api_key_is_never_forwarded_or_logged() {
     let fleet = fleet();
--- a/crates/mangowalkd/tests/claims.rs
+++ b/crates/mangowalkd/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Calls that are not repeatable, sent again under faults.
+//! Retries of calls that are not repeatable, under faults.
 
 use {
     mangowalk_standins::{
@@ -53,8 +53,8 @@
     });
 }
 
-/// Sends through the second router until it no longer says that the call
-/// runs: outcomes are written behind the answer.
+/// Retries through the second router until it no longer responds that the call
+/// is still running: outcomes are written after the response is sent.
 fn book_until_settled(fleet: &Fleet, key: &str, body: &str) -> Answer {
     let mut answer = Answer::default();
     for _ in 0..50 {
@@ -67,9 +67,9 @@
     answer
 }
 
-/// The caller's router is killed while the service works on a deposit. The
-/// caller sends it again through another router, which finds the claim. The
-/// deposit may have been taken, so the answer is "unknown" and it is not run
+/// The caller's router is killed while the service processes a deposit. The
+/// caller retries through another router, which finds the claim. The deposit
+/// may have been taken, so the outcome is `unknown` and the call does not run
 /// again.
 #[test]
 fn a_call_sent_again_after_its_router_died_runs_once() {
@@ -89,9 +89,9 @@
     assert_eq!(runs(&fleet, "deposit"), 1);
 }
 
-/// The service takes a deposit and its answer is lost. The caller is told
-/// that the outcome is unknown, and sending again, here or elsewhere, does not
-/// take the deposit a second time.
+/// The service takes a deposit and its response is lost. The outcome is
+/// `unknown`, and a retry through either router does not take the deposit a
+/// second time.
 #[test]
 fn a_call_whose_response_was_lost_runs_once() {
     let fleet = fleet();
@@ -108,8 +108,9 @@
     assert_eq!(runs(&fleet, "deposit"), 1);
 }
 
-/// A call was answered, and its caller, whose connection broke, sends it
-/// again through another router. It gets the same answer whole, of one run.
+/// A call has completed, but the caller's connection broke, so it retries
+/// through another router. It gets the same complete response, and the call ran
+/// once.
 #[test]
 fn a_retry_at_another_router_gets_the_recorded_response() {
     let fleet = fleet();
@@ -120,9 +121,9 @@
     assert_eq!(runs(&fleet, "seat"), 1);
 }
 
-/// Two different calls come with one key. The second is not taken for the
-/// first: answering it with the first one's booking would be wrong, and so
-/// would running it under a claim that is not its own.
+/// Two different calls have the same idempotency key. The second is refused:
+/// the response to the first would be wrong for it, and so would running it
+/// under the claim of the first.
 #[test]
 fn a_key_used_for_another_call_is_refused() {
     let fleet = fleet();
@@ -132,7 +133,7 @@
     assert_eq!(runs(&fleet, "other seat"), 0);
 }
 
-/// The platform records the claim and its reply is lost. The router reads the
+/// The platform stores the claim and its reply is lost. The router reads the
 /// claim back, finds its own nonce, and sends the call once.
 #[test]
 fn a_claim_whose_reply_was_lost_is_read_back() {
@@ -147,9 +148,9 @@
     assert_eq!(runs(&fleet, "seat"), 1);
 }
 
-/// The platform is down, so no one can tell whether another router runs the
-/// call. It is refused as not run, and that is true: sent again after the
-/// outage it runs, once.
+/// The platform is down, so the router can't know whether another one runs the
+/// call. It refuses the call as not run, and the call has not run: a retry
+/// after the outage runs it once.
 #[test]
 fn an_outage_refuses_a_call_as_not_run() {
     let fleet = fleet();
@@ -168,9 +169,9 @@
     assert_eq!(runs(&fleet, "deposit"), 1);
 }
 
-/// The platform records the claim, its reply is lost, and the claim can't be
-/// read back either. Nothing was sent, so the call is refused as not run, and
-/// the claim is withdrawn later; left there, it would say for a day that the
+/// The platform stores the claim, its reply is lost, and the claim can't be
+/// read back either. The call was not sent, so it is refused as not run and the
+/// claim is withdrawn later. Otherwise retries would be told for a day that the
 /// call may have run.
 #[test]
 fn a_claim_that_can_not_be_read_back_is_withdrawn() {
@@ -195,8 +196,8 @@
     assert_eq!(runs(&fleet, "deposit"), 1);
 }
 
-/// The service can't be connected to. Nothing was sent, so the claim is
-/// withdrawn, and the same call runs once the service is back.
+/// The connection to the service fails. The call was not sent, so its claim is
+/// withdrawn, and a retry runs once the service is reachable.
 #[test]
 fn a_call_that_was_not_sent_can_be_retried() {
     let fleet = fleet();
@@ -228,8 +229,9 @@
     assert_eq!(runs(&fleet, "deposit"), 1);
 }
 
-/// One call arrives at both routers at the same time. The platform creates
-/// its claim once, so one runs it and the other says that it runs.
+/// The same call arrives at both routers at the same time. The platform creates
+/// its claim only once, so one router runs the call and the other responds that
+/// it is already running.
 #[test]
 fn a_call_sent_to_two_routers_at_once_runs_once() {
     let fleet = fleet();
--- a/crates/mangowalkd/tests/limits.rs
+++ b/crates/mangowalkd/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Rate and burst over several router processes, under faults.
+//! Rates and bursts that several router processes share, under faults.
 
 use {
     mangowalk_standins::{Answer, EngineSettings, Fleet, FleetSettings, PlatformFaults},
@@ -13,7 +13,7 @@
 const BURST_TOKENS: u64 = 3_000;
 const MAX_TOKENS: u32 = 90;
 
-/// Time in which a full burst is minted from nothing, with some to spare.
+/// Time in which an empty bucket refills to the full burst, with a margin.
 const REFILL_TIME: Duration = Duration::from_millis(1_800);
 
 fn fleet(routers: usize) -> Fleet {
@@ -34,7 +34,8 @@
     fleet
 }
 
-/// Waits until the routers hold every slot, and none much more than its share.
+/// Waits until the routers hold all slots, none of them more than 9/8 of its
+/// share.
 fn wait_for_slots(fleet: &Fleet) {
     let max_slots = SLOTS.div_ceil(fleet.routers.len()) * 9 / 8;
     for _ in 0..300 {
@@ -58,7 +59,7 @@
         .count()
 }
 
-/// Sends to the routers in turn until the time is over, and returns the
+/// Sends requests to the routers in turn for the given time, and returns the
 /// tokens of all answers.
 fn spend(fleet: &Fleet, routers: &[usize], time: Duration) -> u64 {
     let started = Instant::now();
@@ -78,14 +79,15 @@
         .unwrap_or_default()
 }
 
-/// Most tokens that may have been granted since a time.
+/// Returns the maximum number of tokens that may have been granted since a
+/// time.
 fn max_granted_tokens(since: Instant) -> u64 {
     BURST_TOKENS + TOKENS_PER_S * since.elapsed().as_millis() as u64 / 1_000 + TOKENS_PER_S / 100
 }
 
-/// Two routers share one team, and callers send several times the rate, first
-/// to both and then to one. Together they receive no more than rate and
-/// burst, and no less than most of the rate.
+/// Callers of one team send several times its rate, first to both routers and
+/// then to one. In total they get no more tokens than rate and burst allow, and
+/// no less than most of the rate.
 #[test]
 fn two_routers_share_one_rate() {
     let fleet = fleet(2);
@@ -104,9 +106,9 @@
     );
 }
 
-/// All callers use one of two routers and send half of the rate. That is all
-/// that this router mints; without tokens from its peer some would be
-/// refused as soon as they send in a clump. None is refused.
+/// All callers use one of two routers and send half of the rate, in bursts.
+/// That router refills only half of the rate itself, so without tokens from its
+/// peer some requests of a burst would be refused. None is refused.
 #[test]
 fn a_skewed_load_within_the_rate_is_not_refused() {
     let fleet = fleet(2);
@@ -120,10 +122,10 @@
     }
 }
 
-/// Every router is killed just after its callers used the burst, and starts
-/// again at once. A new process takes its predecessor's slots over, so that
-/// callers are served again soon, but starts with nothing: started full, each
-/// restart would hand the burst out again.
+/// Every router is killed right after its callers used the burst, and restarted
+/// immediately. The new process takes over the slots of the old one, so callers
+/// are served again soon. It starts with an empty bucket: with a full one, each
+/// restart would grant the burst again.
 #[test]
 fn restarting_every_router_grants_no_second_burst() {
     let mut fleet = fleet(2);
@@ -148,9 +150,9 @@
     );
 }
 
-/// One router stands still while the other serves. Callers of the other get
-/// its share at least, none waits for the one that stands still for long, and
-/// after it goes on both together keep to rate and burst.
+/// One router is paused while the other serves. Callers of the other one get at
+/// least its share and don't wait long for the paused one. After it resumes,
+/// both together stay within rate and burst.
 #[test]
 fn a_paused_router_neither_blocks_nor_doubles_tokens() {
     let fleet = fleet(2);
@@ -172,7 +174,7 @@
 }
 
 /// The platform is down for a while. Slots are held under long leases, so
-/// callers within the rate notice nothing.
+/// callers within the rate are not affected.
 #[test]
 fn a_platform_outage_refuses_no_request_within_the_rate() {
     let fleet = fleet(2);
@@ -190,8 +192,8 @@
     }
 }
 
-/// A router restarts while replies to its writes are lost after they took
-/// effect. It reads the slots back, and holds its share all the same.
+/// A router restarts while the replies to its writes are lost after the writes
+/// took effect. It reads the slots back and still gets its share.
 #[test]
 fn lost_replies_to_slot_writes_lose_no_slots() {
     let mut fleet = fleet(2);
@@ -214,8 +216,8 @@
     );
 }
 
-/// A router shuts down in good order. It gives its slots back, and the other
-/// takes them long before any lease ends.
+/// A router shuts down gracefully. It releases its slots, and the other one
+/// takes them long before their leases expire.
 #[test]
 fn a_graceful_shutdown_releases_slots() {
     let mut fleet = fleet(2);
@@ -231,8 +233,8 @@
     panic!("the other router holds {} slots", slots_of(&fleet, 0));
 }
 
-/// Everything restarts while the platform is down. No one can know what was
-/// granted, so callers are told that nothing ran, and why.
+/// The only router restarts while the platform is down. It can't know which
+/// tokens were granted before, so it refuses requests as not run.
 #[test]
 fn a_router_without_slots_refuses_as_not_run() {
     let mut fleet = fleet(1);
--- a/crates/mangowalkd/tests/outcomes.rs
+++ b/crates/mangowalkd/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! What a refusal says of the request is true.
+//! The outcome that a refusal reports matches what happened to the request.
 
 use {
     mangowalk_standins::{Answer, EngineFaults, Fleet, FleetSettings},
@@ -34,8 +34,8 @@
         .sum()
 }
 
-/// Every engine refuses before it runs anything. "Not run" is true, and the
-/// caller is told when to come back.
+/// Every engine refuses the request before it runs. The outcome is `not_run`,
+/// and the response says when to retry.
 #[test]
 fn a_request_refused_by_every_engine_is_reported_as_not_run() {
     let fleet = fleet_with(&EngineFaults {
@@ -49,7 +49,7 @@
     assert_eq!(runs(&fleet, "nobody"), 0);
 }
 
-/// The engines state in an event that nothing ran.
+/// The engines report in an event that the request did not run.
 #[test]
 fn an_engine_error_of_not_run_is_reported_as_not_run() {
     let fleet = fleet_with(&EngineFaults {
@@ -60,8 +60,9 @@
     assert_eq!(outcome(&answer), (503, "not_run"));
 }
 
-/// Every engine takes the request and says nothing. Whether it ran is not
-/// known, so "not run" would be a lie, and nobody is told to send it again.
+/// Every engine accepts the request and sends nothing. It is not known whether
+/// the request ran, so the outcome is `unknown` and the caller is not told to
+/// retry.
 #[test]
 fn a_request_without_an_answer_has_an_unknown_outcome() {
     let fleet = fleet_with(&EngineFaults {
@@ -74,8 +75,9 @@
     assert!(runs(&fleet, "silence") > 0);
 }
 
-/// The caller waits 300 ms for a first token, and no engine has one. It is
-/// told then, and no further engine is given work for nobody.
+/// The caller's deadline for the first token is 300 ms, and no engine sends
+/// one. The request fails then, and is not sent to another engine whose answer
+/// nobody would receive.
 #[test]
 fn a_request_past_its_deadline_is_not_retried() {
     let fleet = Fleet::start(&FleetSettings {
@@ -108,14 +110,14 @@
     assert!(!log().contains("Attempt 2 of"), "{}", log());
 }
 
-/// Tokens came and the rest did not. The request ran.
+/// Every attempt is interrupted after some tokens, so the outcome is `ran`.
 #[test]
 fn an_interrupted_request_is_reported_as_ran() {
     let fleet = fleet_with(&EngineFaults {
         cut_after_tokens: Some(2),
         ..EngineFaults::default()
     });
-    // Each attempt brings two tokens more: four of them bring eight.
+    // Each attempt yields two more tokens: four of them yield eight.
     let answer = fleet.chat(0, "half", 50, false);
     assert_eq!(outcome(&answer), (502, "ran"));
 }
--- a/crates/mangowalkd/tests/outside_input.rs
+++ b/crates/mangowalkd/tests/outside_input.rs
@@ -1,4 +1,4 @@
-//! Bytes from callers and peers that no honest one sends.
+//! Arbitrary bytes from callers and peers.
 
 use {
     mangowalk_core::peer::{PeerReply, PeerRequest},
@@ -11,10 +11,10 @@
     },
 };
 
-/// Generated inputs that are sent to one running router.
+/// Number of generated inputs that are sent to one running router.
 const CASES: u32 = 64;
 
-/// Time that the router has to answer bytes that are no request.
+/// Timeout of the router's response to bytes that are not a request.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn runner() -> TestRunner {
@@ -39,8 +39,8 @@
     );
 }
 
-/// The caller sends bytes in place of a JSON body. It receives an error of
-/// the protocol, status 400 or another of the 400s, and the router goes on.
+/// The caller sends a body that is not a valid request. The response is a
+/// protocol error with a 4xx status, and the router keeps serving.
 #[test]
 fn any_invalid_body_gets_a_protocol_error() {
     let fleet = fleet();
@@ -66,8 +66,8 @@
     still_serves(&fleet);
 }
 
-/// The caller sends bytes that are no HTTP. Whatever it receives, the router
-/// goes on and serves the next caller.
+/// The caller sends bytes that are not valid HTTP. Whatever it receives, the
+/// router keeps serving.
 #[test]
 fn arbitrary_bytes_do_not_stop_the_router() {
     let fleet = fleet();
@@ -95,7 +95,7 @@
     let _ = stream.read_to_end(&mut Vec::new());
 }
 
-/// A peer's message is decoded or refused, whatever its bytes are.
+/// A peer message of arbitrary bytes is decoded or rejected without a panic.
 #[test]
 fn any_peer_message_is_decoded_or_rejected() {
     runner()
--- a/crates/mangowalkd/tests/placement.rs
+++ b/crates/mangowalkd/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go, judged by what callers receive.
+//! Placement of requests, observed by what callers receive.
 
 use {
     mangowalk_core::record::digest_of,
@@ -7,13 +7,13 @@
     std::{thread, time::Duration},
 };
 
-/// Rate of each team: so high that no prompt here meets it, also right after
-/// the start, when a router has minted for a moment only.
+/// Rate of each team. It is so high that no request here is limited, not even
+/// right after the start, when the buckets have refilled only briefly.
 const TOKENS_PER_S: u64 = 20_000_000;
 
 const COOPER_KEY: &str = "mw-test-key-cooper";
 
-/// Longest time between two reads of an engine's state, with room to spare.
+/// Time after which a router has read a changed engine state, with a margin.
 const ENGINE_STATE_WAIT: Duration = Duration::from_millis(1_500);
 
 fn fleet(settings: FleetSettings) -> Fleet {
@@ -34,7 +34,8 @@
     fleet
 }
 
-/// A new fleet mints its first tokens a moment after it is ready.
+/// Waits until requests of both teams are served. The buckets of a new fleet
+/// are refilled only shortly after it is ready.
 fn until_served(fleet: &Fleet, router: usize) {
     for _ in 0..100 {
         let both = [Fleet::KEY, COOPER_KEY].map(|key| ask(fleet, router, key, "warm up").status);
@@ -65,12 +66,12 @@
     usage.as_u64().unwrap_or_else(|| panic!("{}", answer.body))
 }
 
-/// A handbook of a hundred blocks, and a question behind it.
+/// Returns a prompt of a handbook of a hundred blocks, followed by a question.
 fn prompt(handbook: &str, question: &str) -> String {
     format!("{}{question}", format!("{handbook:.<64}").repeat(400))
 }
 
-/// Returns how many prompts with a text each engine started.
+/// Returns how many prompts that contain a text each engine started.
 fn started(engines: &[EngineStandIn], text: &str) -> Vec<u64> {
     let count = |engine: &EngineStandIn| {
         let prompts = engine.prompts();
@@ -83,9 +84,9 @@
     engines.iter().map(count).collect()
 }
 
-/// A caller asks about a handbook that another caller asked about before. Its
-/// answer counts the handbook as found, and so does a third one that comes
-/// through another instance: both compute the same home for the prefix.
+/// Two callers ask about the same handbook. The usage of the second answer
+/// counts the handbook as cached, and so does a third one through another
+/// instance: both instances compute the same preferred engine for the prefix.
 #[test]
 fn a_shared_prefix_is_cached_for_requests_through_every_instance() {
     let fleet = fleet(FleetSettings {
@@ -104,9 +105,9 @@
     }
 }
 
-/// Two teams send the very same prompt. The second one's answer must count
-/// nothing as found, whichever engine runs it: the team is part of every
-/// block's key, so one team can't learn from timing what another has asked.
+/// Two teams send the same prompt. The second answer must not count anything as
+/// cached, whichever engine runs it: the team is part of every block's key, so
+/// that one team can't learn from timing what another has asked.
 #[test]
 fn a_prompt_of_another_team_is_never_a_cache_hit() {
     let fleet = fleet(FleetSettings::default());
@@ -117,9 +118,10 @@
     }
 }
 
-/// Every engine restarts empty on its old address. The first caller after it
-/// must get its whole answer with nothing counted as found, and the callers
-/// behind it must find the prefix again where that one was sent.
+/// Every engine restarts on its old address with an empty cache. The next
+/// request must get a complete answer with nothing counted as cached. The one
+/// after it must find the prefix cached at the engine that served its
+/// predecessor.
 #[test]
 fn a_restarted_engine_is_known_to_have_an_empty_cache() {
     let fleet = fleet(FleetSettings {
@@ -139,9 +141,9 @@
     assert!(cached_tokens(&ask(&fleet, 0, Fleet::KEY, &handbook("fourth"))) > 0);
 }
 
-/// One engine becomes forty times slower while it still answers. Callers who
-/// come later must be served by the others: an engine that shows by its first
-/// tokens that it is slow loses work without failing a single request.
+/// One engine becomes forty times slower but still responds. Later requests
+/// must be placed on the others: an engine whose first tokens are slow gets
+/// fewer requests although none of its requests fails.
 #[test]
 fn a_slow_engine_gets_fewer_requests() {
     let fleet = fleet(FleetSettings {
@@ -165,8 +167,8 @@
 }
 
 /// An operator marks an engine as departing while callers ask about a prefix
-/// that it holds. After a few seconds it must get no new work, however much
-/// of the prompt it would find.
+/// that it has cached. After a few seconds it must get no new requests, however
+/// much of the prompt is in its cache.
 #[test]
 fn a_departing_engine_gets_no_new_requests() {
     let fleet = fleet(FleetSettings::default());
--- a/crates/mangowalkd/tests/poison.rs
+++ b/crates/mangowalkd/tests/poison.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each engine that runs it, sent again and again.
+//! A request that crashes each engine that runs it, and that is retried.
 
 use {
     mangowalk_standins::{
@@ -12,7 +12,7 @@
 const ANSWER_TOKENS: u32 = 200;
 const POISON: &str = "a prompt that crashes engines";
 
-/// Time in which routers hear of every engine.
+/// Time in which routers discover all engines.
 const ENGINE_DISCOVERY_TIME: Duration = Duration::from_millis(2_500);
 
 fn fleet() -> Fleet {
@@ -40,7 +40,7 @@
     fleet
 }
 
-/// Waits until each router names all of them to callers.
+/// Waits until each router lists the addresses of all routers to callers.
 fn wait_for_peers(fleet: &Fleet) {
     let knows_all = |router: &RouterProcess| {
         let named = Answer::get(router.address(), "/v1/addresses", &[]).body;
@@ -64,7 +64,8 @@
     fleet.chat(router, POISON, 20, false)
 }
 
-/// Sends the request to each router in turn until one calls it poisonous.
+/// Sends the request to each router in turn until one refuses it as the cause
+/// of crashes.
 fn send_until_refused(fleet: &Fleet) -> Answer {
     let mut answer = Answer::default();
     for i in 0..12 {
@@ -77,9 +78,10 @@
     answer
 }
 
-/// A caller sends a request that crashes engines, and sends it again to other
-/// routers. Each router counts what the others saw, so that three engines
-/// crash in all, and then every router refuses it at once.
+/// A caller sends a request that crashes engines, and retries it at other
+/// routers. Each router also counts the crashes that the others report, so only
+/// three engines crash in total, and then every router refuses the request
+/// immediately.
 #[test]
 fn a_request_that_crashes_engines_is_refused_after_three_crashes() {
     let fleet = fleet();
@@ -94,10 +96,10 @@
     assert_eq!(crashes(&fleet), 3);
 }
 
-/// Callers stream long answers from all engines while one sends a request
-/// that crashes three of them. Their answers are resumed elsewhere and come
-/// whole, and sent again they are served: only the most suspect request is
-/// charged with a crash.
+/// Callers stream long answers from all engines while one sends a request that
+/// crashes three of them. The interrupted answers resume on other engines and
+/// complete, and retries of these requests are served: a crash is attributed
+/// only to the most suspect request.
 #[test]
 fn other_requests_on_crashed_engines_complete() {
     let fleet = fleet();
--- a/crates/mangowalkd/tests/streams.rs
+++ b/crates/mangowalkd/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams reach their callers complete and in order, or are seen to be cut.
+//! Streams reach their callers complete and in order, or visibly incomplete.
 
 use {
     mangowalk_standins::{
@@ -8,7 +8,7 @@
     std::{thread, time::Duration},
 };
 
-/// Looks at a condition that must come to hold.
+/// Polls of a condition that must become true.
 const MAX_POLLS: u32 = 500;
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -25,6 +25,7 @@
     fleet
 }
 
+/// Polls a condition and returns whether it became true in time.
 fn becomes_true(condition: impl Fn() -> bool) -> bool {
     (0..MAX_POLLS).any(|_| {
         let holds = condition();
@@ -66,7 +67,8 @@
     assert!(answer.is_done() && answer.ended, "{}", answer.body);
 }
 
-/// Sends several requests, so that each engine gets some, streamed and not.
+/// Sends several streamed and not streamed requests, so that each engine gets
+/// some, and checks that every answer is complete.
 fn assert_all_complete(fleet: &Fleet) {
     for i in 0..6 {
         let prompt = format!("order {i}");
@@ -78,9 +80,9 @@
     }
 }
 
-/// The engine writes one token and stops. The caller must read that token
-/// while the second does not exist: whatever holds tokens back until more
-/// come would keep it waiting here for ever.
+/// The engine writes one token and pauses. The caller must receive that token
+/// before the second is generated: a buffer that holds tokens until more arrive
+/// would block this test.
 #[test]
 fn the_first_token_arrives_before_the_second_is_generated() {
     let fleet = fleet(1, &[]);
@@ -96,9 +98,9 @@
     assert!(caller.read_until("data: [DONE]"), "{}", caller.text());
 }
 
-/// An engine stops in the middle of an answer, without a word. The caller
-/// sees a pause and then the rest from the other engine, and the silent one
-/// is told to stop.
+/// An engine stops sending in the middle of an answer, without an error. After
+/// the timeout, the caller gets the rest from the other engine, and the attempt
+/// on the stalled one is cancelled.
 #[test]
 fn a_stream_resumes_elsewhere_when_its_engine_stalls() {
     let fleet = fleet(2, &["--token-timeout-ms=300"]);
@@ -111,8 +113,8 @@
     assert!(becomes_true(|| fleet.engines[0].state().load.running == 0));
 }
 
-/// An engine takes requests and writes nothing. That wait has a timeout of
-/// its own, longer than between tokens.
+/// An engine accepts requests and writes nothing. The first token has its own
+/// timeout, which by default is longer than the one between tokens.
 #[test]
 fn a_request_without_a_first_token_moves_to_another_engine() {
     let fleet = fleet(2, &["--first-token-timeout-ms=300"]);
@@ -123,8 +125,8 @@
     assert_all_complete(&fleet);
 }
 
-/// Each token comes twice, once under the number of another attempt. Only
-/// one of them is the caller's.
+/// The engines send each token twice, once with the number of another attempt.
+/// Only the one of the current attempt reaches the caller.
 #[test]
 fn tokens_of_another_attempt_are_dropped() {
     let fleet = fleet(2, &[]);
@@ -137,8 +139,8 @@
     assert_all_complete(&fleet);
 }
 
-/// An engine leaves a token out. The caller gets it from the other engine,
-/// in its place.
+/// An engine skips a token. The caller gets it from the other engine, at the
+/// right position.
 #[test]
 fn a_skipped_token_is_generated_elsewhere() {
     let fleet = fleet(2, &[]);
@@ -149,8 +151,8 @@
     assert_all_complete(&fleet);
 }
 
-/// An engine ends its stream properly but without its final event, as a
-/// proxy or a stopping process does. To the router that is a cut.
+/// An engine closes its stream cleanly but without the final event, as a proxy
+/// or a stopping process does. The router treats that as an interrupted stream.
 #[test]
 fn a_stream_that_ends_early_is_resumed() {
     let fleet = fleet(2, &[]);
@@ -161,8 +163,9 @@
     assert_all_complete(&fleet);
 }
 
-/// The only engine cuts every stream, so nothing can resume. The caller has
-/// five tokens and an error that says so, and no marker of completeness.
+/// The only engine interrupts every stream, so the stream can't resume. The
+/// caller gets five tokens and an error event, but no finish reason and no
+/// `[DONE]`.
 #[test]
 fn an_interrupted_stream_never_looks_complete() {
     let fleet = fleet(1, &["--token-timeout-ms=300"]);
@@ -179,8 +182,8 @@
     assert_eq!(events.last().expect("an event")["error"]["outcome"], "ran");
 }
 
-/// The only engine crashes after five tokens and comes back empty. The
-/// stream waits for it and goes on; usage counts each token once.
+/// The only engine crashes after five tokens and restarts with an empty cache.
+/// The stream waits for it and resumes. Usage counts each token once.
 #[test]
 fn a_stream_waits_for_its_engine_to_restart() {
     let fleet = fleet(1, &["--token-timeout-ms=20000"]);
@@ -201,8 +204,9 @@
     assert!(text.contains("\"completion_tokens\":20"), "{text}");
 }
 
-/// The answer takes longer than a request may. A shutdown waits for no longer
-/// than that, so the stream ends here, seen to be cut, and frees its engine.
+/// The answer takes longer than the request timeout. A shutdown waits no longer
+/// than that timeout, so the stream ends, visibly incomplete, and frees its
+/// engine.
 #[test]
 fn a_stream_over_the_request_timeout_is_cut_off() {
     let fleet = Fleet::start(&FleetSettings {
@@ -233,9 +237,9 @@
     assert!(becomes_true(|| fleet.engines[0].state().load.running == 0));
 }
 
-/// The caller hangs up while the engine is silent between two tokens. No
-/// token comes whose writing could fail, so only the lines in between can
-/// show it. The engine must be free again.
+/// The caller disconnects while the engine sends nothing between two tokens. No
+/// write of a token can fail, so only the keepalive comments can detect it. The
+/// attempt on the engine must end.
 #[test]
 fn a_disconnected_caller_frees_a_stalled_engine() {
     let fleet = fleet(1, &["--token-timeout-ms=60000"]);
@@ -250,10 +254,10 @@
     assert!(becomes_true(|| fleet.engines[0].state().load.running == 0));
 }
 
-/// The caller stays connected and stops to read, while the engine writes more
-/// than the sockets between hold. It is let go, and the engine is free again;
-/// otherwise it would hold a place of the engine's batch for as long as it
-/// likes.
+/// The caller stays connected but stops reading, while the engine writes more
+/// than the socket buffers hold. The write times out and the attempt on the
+/// engine ends. Otherwise the caller could occupy a slot of the engine's batch
+/// indefinitely.
 #[test]
 fn a_caller_that_stops_reading_frees_its_engine() {
     let fleet = fleet(1, &["--caller-timeout-ms=400"]);
@@ -268,9 +272,9 @@
     assert!(!caller.read_to_end().contains("[DONE]"));
 }
 
-/// The engine restarted, and the router still knows its old incarnation. The
-/// engine refuses; the router reads its state again and the caller is served,
-/// unless the router found it down in between, which it says as "not run".
+/// The engine restarted, and the router still knows its old incarnation, so the
+/// engine refuses. The router reads its state again and serves the request. If
+/// it polled the engine while that was down, it refuses the request as not run.
 #[test]
 fn requests_are_served_after_an_engine_restart() {
     let fleet = fleet(1, &[]);
@@ -290,8 +294,9 @@
     }
 }
 
-/// One engine refuses all as meant for another incarnation. It is healthy, so
-/// its breaker stays closed, it goes on to be asked, and no caller notices.
+/// One engine refuses every request as meant for another incarnation. It is
+/// healthy, so its circuit breaker stays closed, it still gets requests, and no
+/// request fails.
 #[test]
 fn a_stale_refusal_does_not_open_the_breaker() {
     let fleet = fleet(2, &[]);
--- a/crates/mangowalkd/tests/thin_path.rs
+++ b/crates/mangowalkd/tests/thin_path.rs
@@ -1,4 +1,4 @@
-//! One request from caller to engine and back, through real processes.
+//! Single requests from caller to engine and back, through real processes.
 
 use mangowalk_standins::{Answer, Fleet, FleetSettings};
 
@@ -9,8 +9,8 @@
     })
 }
 
-/// Sends until the router holds slots: a new fleet mints its first tokens a
-/// moment after it is ready.
+/// Sends requests until one is served: the buckets of a new fleet are refilled
+/// only shortly after it is ready.
 fn chat_until_served(fleet: &Fleet, prompt: &str, stream: bool) -> Answer {
     let mut answer = Answer::default();
     for _ in 0..100 {
@@ -40,9 +40,9 @@
     assert_eq!(answer.json()["usage"]["completion_tokens"], 20);
 }
 
-/// The engine crashes after the seventh token. The caller sees one stream
-/// without a gap or a repeated token: the router resumes on the other engine
-/// behind the tokens that the caller has.
+/// The engine crashes after the seventh token. The caller gets one stream
+/// without a missing or repeated token: the router resumes it on the other
+/// engine, after the tokens that the caller already has.
 #[test]
 fn a_stream_survives_an_engine_crash() {
     let fleet = fleet(FleetSettings::default());
--- a/crates/mangowalkd/tests/upstreams.rs
+++ b/crates/mangowalkd/tests/upstreams.rs
@@ -1,4 +1,4 @@
-//! What failing engines are sent, judged by what they and callers receive.
+//! Requests to failing engines, observed by what engines and callers receive.
 
 use {
     mangowalk_standins::{EngineFaults, EngineSettings, Fleet, FleetSettings},
@@ -17,9 +17,9 @@
     fleet
 }
 
-/// The only engine refuses everything. After three attempts the router stops
-/// to send, but for one probe after each pause; without the breaker the
-/// engine would get every request and the callers would wait for it.
+/// The only engine refuses everything. After three attempts the circuit breaker
+/// opens, and the router sends only one probe after each pause. Without the
+/// breaker, the engine would get every request and callers would wait for it.
 #[test]
 fn the_breaker_limits_attempts_at_a_failing_engine() {
     let fleet = fleet(1);
@@ -36,10 +36,10 @@
     assert!((3..REQUESTS / 2).contains(&sent), "{sent}");
 }
 
-/// One engine of two stalls under its streams: no token, no error. Requests
-/// sent there before that showed leave for the other engine within seconds,
-/// and later ones are not sent there. Without that each would wait for the
-/// timeout of the first token, here longer than any caller does.
+/// One of two engines stalls while it runs streams: it sends no token and no
+/// error. Requests sent there before that is detected move to the other engine
+/// within seconds, and later ones are not sent there. Otherwise each would wait
+/// for the first-token timeout, which here is longer than any caller waits.
 #[test]
 fn requests_move_away_from_a_stalled_engine() {
     let fleet = Fleet::start(&FleetSettings {
@@ -93,7 +93,8 @@
     });
 }
 
-/// One engine of two is dead. No caller notices, and the other serves all.
+/// One of two engines is dead. The other one serves all requests, and none
+/// fails.
 #[test]
 fn a_dead_engine_fails_no_request() {
     let fleet = fleet(2);
