--- a/crates/mangowalkd/src/caller/server.rs
+++ b/crates/mangowalkd/src/caller/server.rs
@@ -74,6 +74,7 @@
     }
 }
 
+/// State that the servers of one listener share.
 struct Callers<E: Edges> {
     listener: TcpListener,
     router: Arc<Router<E>>,
@@ -129,6 +130,7 @@
         }
     }
 
+    /// Starts a new server on the same listener. Returns whether that succeeded.
     fn replace(self: &Arc<Self>) -> bool {
         let replaced = self.server().and_then(|server| self.spawn(server));
         if let Err(error) = &replaced {
@@ -139,6 +141,7 @@
         replaced.is_ok()
     }
 
+    /// Wakes `accept` once per `period`, until the instance stops.
     fn wake_accept(&self, address: SocketAddr, period: Duration) {
         while !self.is_stopped() {
             thread::sleep(period);
@@ -157,7 +160,7 @@
         let caller = request.remote_addr();
         if self.untrusted.contains(caller, retention_ms, now_ms) {
             return Err(malformed(
-                "An earlier request on this connection had an ambiguous length; open another."
+                "The end of an earlier request on this connection is uncertain; open another."
                     .to_owned(),
             ));
         }
--- a/crates/mangowalkd/src/caller/untrusted.rs
+++ b/crates/mangowalkd/src/caller/untrusted.rs
@@ -10,9 +10,9 @@
 /// Connections whose further requests are refused, by the caller's address.
 ///
 /// The server keeps reading a connection after a refused request and offers no
-/// way to close it. After an ambiguous request length, those bytes may be the
-/// rest of a body that looks like a request (request smuggling), so no further
-/// request on that connection is served.
+/// way to close it. If the end of that request is uncertain, those bytes may be
+/// the rest of a body that looks like a request (request smuggling), so no
+/// further request on that connection is served.
 #[derive(Debug, Default)]
 pub(super) struct UntrustedConnections {
     since_ms: Mutex<HashMap<SocketAddr, u64>>,
--- a/crates/mangowalkd/src/serve/counted.rs
+++ b/crates/mangowalkd/src/serve/counted.rs
@@ -19,20 +19,20 @@
     sink: &'a mut dyn AnswerSink,
     clock: &'a C,
     first_ms: Option<u64>,
-    caller_gone: bool,
+    caller_disconnected: bool,
 }
 
 impl<C: Clock> AnswerSink for TimedSink<'_, C> {
     fn token(&mut self, text: &str) -> io::Result<()> {
         let result = self.sink.token(text);
-        self.caller_gone |= result.is_err();
+        self.caller_disconnected |= result.is_err();
         self.first_ms.get_or_insert(self.clock.now_ms());
         result
     }
 
     fn silence(&mut self) -> io::Result<()> {
         let result = self.sink.silence();
-        self.caller_gone |= result.is_err();
+        self.caller_disconnected |= result.is_err();
         result
     }
 }
@@ -54,17 +54,17 @@
             sink,
             clock: self.edges.clock(),
             first_ms: None,
-            caller_gone: false,
+            caller_disconnected: false,
         };
         let result = self.generate(request, &mut timed);
-        let (first_ms, caller_gone) = (timed.first_ms, timed.caller_gone);
+        let (first_ms, caller_disconnected) = (timed.first_ms, timed.caller_disconnected);
         let reserved_tokens = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
         let (end, tokens) = match &result {
             Ok(finished) => (
                 End::Complete,
                 finished.usage.prompt_tokens + finished.usage.completion_tokens,
             ),
-            Err(_) if caller_gone => (End::Abandoned, reserved_tokens),
+            Err(_) if caller_disconnected => (End::Abandoned, reserved_tokens),
             Err(refusal) => (
                 End::from_refusal(refusal, first_ms.is_some()),
                 reserved_tokens,
--- a/crates/mangowalkd/src/shared_state/engines.rs
+++ b/crates/mangowalkd/src/shared_state/engines.rs
@@ -41,7 +41,8 @@
         writer(engines.entry(name.to_owned()).or_default());
     }
 
-    /// Removes the engines for which `keep` returns false.
+    /// Removes the engines for which `keep` returns false, because their
+    /// records were withdrawn.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         lock(&self.engines).retain(|name, _| keep(name));
     }
--- a/crates/mangowalkd/src/shared_state/limits.rs
+++ b/crates/mangowalkd/src/shared_state/limits.rs
@@ -99,7 +99,8 @@
         lock(&self.inner).limits.is_closed()
     }
 
-    /// Removes the teams for which `keep` returns false.
+    /// Removes the teams for which `keep` returns false, because their rates
+    /// were withdrawn.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         lock(&self.inner).limits.ledger().retain(keep);
     }
--- a/crates/mangowalkd/src/shared_state/upstreams.rs
+++ b/crates/mangowalkd/src/shared_state/upstreams.rs
@@ -55,7 +55,8 @@
         self.read(name, |health| health.is_stalled(now_ms))
     }
 
-    /// Removes the upstreams for which `keep` returns false.
+    /// Removes the upstreams for which `keep` returns false, because their
+    /// records were withdrawn.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         lock(&self.inner).upstreams.retain(|name, _| keep(name));
     }
