--- a/crates/mangowalkd/src/serve/reserve.rs
+++ b/crates/mangowalkd/src/serve/reserve.rs
@@ -118,27 +118,27 @@
         self.shared
             .limits
             .take_up_to(gathered, rate, missing, begun_ms);
-        let mut left = Vec::new();
+        let mut left_at_peers = Vec::new();
         for peer in self.peers_to_ask(&gathered.team) {
             let grant = self.ask_peer(peer, gathered, tokens, begun_ms);
             if gathered.tokens == tokens {
                 return 0;
             }
-            left.push((grant.left_tokens, peer));
+            left_at_peers.push((grant.left_tokens, peer));
         }
         let total = |left: &[(u64, SocketAddr)]| left.iter().map(|(tokens, _)| tokens).sum();
-        if gathered.tokens + total(&left) < tokens {
-            return total(&left);
+        if gathered.tokens + total(&left_at_peers) < tokens {
+            return total(&left_at_peers);
         }
-        left.sort_unstable_by_key(|(tokens, _)| Reverse(*tokens));
-        for (left_tokens, peer) in &mut left {
-            let part = tokens.min(gathered.tokens + *left_tokens);
-            *left_tokens = self.ask_peer(*peer, gathered, part, begun_ms).left_tokens;
+        left_at_peers.sort_unstable_by_key(|(tokens, _)| Reverse(*tokens));
+        for (left_tokens, peer) in &mut left_at_peers {
+            let up_to = tokens.min(gathered.tokens + *left_tokens);
+            *left_tokens = self.ask_peer(*peer, gathered, up_to, begun_ms).left_tokens;
             if gathered.tokens == tokens {
                 return 0;
             }
         }
-        total(&left)
+        total(&left_at_peers)
     }
 
     /// Asks one peer for the tokens that a reservation lacks to `up_to`. The
--- a/crates/mangowalkd/tests/admission.rs
+++ b/crates/mangowalkd/tests/admission.rs
@@ -29,7 +29,7 @@
             .collect();
         callers
             .into_iter()
-            .map(|c| c.join().expect("a caller"))
+            .map(|c| c.join().expect("the caller finishes"))
             .collect()
     })
 }
--- a/crates/mangowalkd/tests/bad_input.rs
+++ b/crates/mangowalkd/tests/bad_input.rs
@@ -98,7 +98,8 @@
         let error = &answer.json()["error"];
         let (code, text) = (&error["code"], &error["message"]);
         assert_eq!(error["outcome"], "not_run", "{name}: {}", answer.body);
-        writeln!(responses, "{name}: {} {code} {text}", answer.status).expect("a text");
+        writeln!(responses, "{name}: {} {code} {text}", answer.status)
+            .expect("the line is formatted");
     }
     insta::assert_snapshot!(responses);
     assert_eq!(fleet.engines[0].attempts(), before);
--- a/crates/mangowalkd/tests/callers.rs
+++ b/crates/mangowalkd/tests/callers.rs
@@ -36,7 +36,7 @@
             body[field] = json!("*");
         }
     }
-    serde_json::to_string_pretty(&body).expect("a text")
+    serde_json::to_string_pretty(&body).expect("the body is serialized")
 }
 
 fn chat(content: Value, more: Value) -> Value {
@@ -115,7 +115,9 @@
     let long = "a".repeat(65);
     for id in ["a b", "", long.as_str()] {
         let answer = post(&fleet, path, &[("x-request-id", id)], &body);
-        let given = answer.header("x-request-id").expect("an id");
+        let given = answer
+            .header("x-request-id")
+            .expect("the response has a request ID");
         assert!(given.starts_with("req-"), "{given}");
     }
 }
@@ -139,9 +141,13 @@
     let limit = answer.header("x-ratelimit-limit-tokens");
     assert_eq!(limit, Some("1000000"));
     let remaining = answer.header("x-ratelimit-remaining-tokens");
-    let remaining: u64 = remaining.and_then(|r| r.parse().ok()).expect("a number");
+    let remaining: u64 = remaining
+        .and_then(|r| r.parse().ok())
+        .expect("the remaining tokens are a number");
     assert!((1..1_000_000).contains(&remaining), "{remaining}");
-    let reset = answer.header("x-ratelimit-reset-tokens").expect("a time");
+    let reset = answer
+        .header("x-ratelimit-reset-tokens")
+        .expect("the response has a reset time");
     assert!(reset.ends_with("ms"), "{reset}");
 }
 
--- a/crates/mangowalkd/tests/claims.rs
+++ b/crates/mangowalkd/tests/claims.rs
@@ -82,7 +82,7 @@
     let first = thread::spawn(move || book_at(address, "deposit-1", "deposit"));
     thread::sleep(Duration::from_millis(300));
     fleet.routers[0].kill();
-    assert_eq!(first.join().expect("caller").status, 0);
+    assert_eq!(first.join().expect("the caller finishes").status, 0);
     let second = book(&fleet, 1, "deposit-1", "deposit");
     thread::sleep(Duration::from_millis(700));
     assert_eq!((second.status, outcome(&second).as_str()), (409, "unknown"));
--- a/crates/mangowalkd/tests/outside_input.rs
+++ b/crates/mangowalkd/tests/outside_input.rs
@@ -86,10 +86,10 @@
 }
 
 fn send_raw(address: SocketAddr, bytes: &[u8]) {
-    let mut stream = TcpStream::connect(address).expect("a listening router");
+    let mut stream = TcpStream::connect(address).expect("the router listens");
     stream
         .set_read_timeout(Some(READ_TIMEOUT))
-        .expect("a timeout");
+        .expect("the read timeout is set");
     let _ = stream.write_all(bytes);
     let _ = stream.shutdown(Shutdown::Write);
     let _ = stream.read_to_end(&mut Vec::new());
--- a/crates/mangowalkd/tests/placement.rs
+++ b/crates/mangowalkd/tests/placement.rs
@@ -38,7 +38,8 @@
 /// are refilled only shortly after it is ready.
 fn until_served(fleet: &Fleet, router: usize) {
     for _ in 0..100 {
-        let both = [Fleet::KEY, COOPER_KEY].map(|key| ask(fleet, router, key, "warm up").status);
+        let both =
+            [Fleet::KEY, COOPER_KEY].map(|key| send_chat(fleet, router, key, "warm up").status);
         if both == [200, 200] {
             return;
         }
@@ -47,7 +48,7 @@
     panic!("no request was served");
 }
 
-fn ask(fleet: &Fleet, router: usize, key: &str, prompt: &str) -> Answer {
+fn send_chat(fleet: &Fleet, router: usize, key: &str, prompt: &str) -> Answer {
     let body = json!({
         "model": "drafting",
         "messages": [{ "role": "user", "content": prompt }],
@@ -72,7 +73,7 @@
 }
 
 /// Returns how many prompts that contain a text each engine started.
-fn started(engines: &[EngineStandIn], text: &str) -> Vec<u64> {
+fn count_started(engines: &[EngineStandIn], text: &str) -> Vec<u64> {
     let count = |engine: &EngineStandIn| {
         let prompts = engine.prompts();
         prompts
@@ -96,11 +97,11 @@
     });
     let handbook = |question: &str| prompt("enrolment", question);
     assert_eq!(
-        cached_tokens(&ask(&fleet, 0, Fleet::KEY, &handbook("fees?"))),
+        cached_tokens(&send_chat(&fleet, 0, Fleet::KEY, &handbook("fees?"))),
         0
     );
     for (router, question) in [(0, "dates?"), (1, "rooms?"), (0, "exams?"), (1, "kit?")] {
-        let answer = ask(&fleet, router, Fleet::KEY, &handbook(question));
+        let answer = send_chat(&fleet, router, Fleet::KEY, &handbook(question));
         assert!(cached_tokens(&answer) >= 6_300, "{}", answer.body);
     }
 }
@@ -113,8 +114,8 @@
     let fleet = fleet(FleetSettings::default());
     let same = prompt("conservation notes", "which glass?");
     for key in [Fleet::KEY, COOPER_KEY] {
-        assert_eq!(cached_tokens(&ask(&fleet, 0, key, &same)), 0);
-        assert!(cached_tokens(&ask(&fleet, 0, key, &same)) > 0);
+        assert_eq!(cached_tokens(&send_chat(&fleet, 0, key, &same)), 0);
+        assert!(cached_tokens(&send_chat(&fleet, 0, key, &same)) > 0);
     }
 }
 
@@ -129,16 +130,16 @@
         ..FleetSettings::default()
     });
     let handbook = |question: &str| prompt("history", question);
-    ask(&fleet, 0, Fleet::KEY, &handbook("first"));
-    assert!(cached_tokens(&ask(&fleet, 0, Fleet::KEY, &handbook("second"))) > 0);
+    send_chat(&fleet, 0, Fleet::KEY, &handbook("first"));
+    assert!(cached_tokens(&send_chat(&fleet, 0, Fleet::KEY, &handbook("second"))) > 0);
     for engine in &fleet.engines {
         engine.crash();
         engine.restart();
     }
     thread::sleep(ENGINE_STATE_WAIT);
-    let after = ask(&fleet, 0, Fleet::KEY, &handbook("third"));
+    let after = send_chat(&fleet, 0, Fleet::KEY, &handbook("third"));
     assert_eq!((after.status, cached_tokens(&after)), (200, 0));
-    assert!(cached_tokens(&ask(&fleet, 0, Fleet::KEY, &handbook("fourth"))) > 0);
+    assert!(cached_tokens(&send_chat(&fleet, 0, Fleet::KEY, &handbook("fourth"))) > 0);
 }
 
 /// One engine becomes forty times slower but still responds. Later requests
@@ -156,13 +157,13 @@
     });
     let send = |text: &str, count: usize| {
         for i in 0..count {
-            let answer = ask(&fleet, 0, Fleet::KEY, &format!("{text} {i}"));
+            let answer = send_chat(&fleet, 0, Fleet::KEY, &format!("{text} {i}"));
             assert_eq!(answer.status, 200, "{}", answer.body);
         }
     };
     send("learning", 12);
     send("judged", 30);
-    let later_requests = started(&fleet.engines, "judged");
+    let later_requests = count_started(&fleet.engines, "judged");
     assert!(later_requests[0] <= 4, "{later_requests:?}");
 }
 
@@ -173,10 +174,13 @@
 fn a_departing_engine_gets_no_new_requests() {
     let fleet = fleet(FleetSettings::default());
     let handbook = |question: &str| prompt("placement", question);
-    let answer = ask(&fleet, 0, Fleet::KEY, &handbook("before"));
+    let answer = send_chat(&fleet, 0, Fleet::KEY, &handbook("before"));
     assert_eq!(answer.status, 200, "{}", answer.body);
-    let before = started(&fleet.engines, "before");
-    let holder = before.iter().position(|n| *n > 0).expect("a holder");
+    let before = count_started(&fleet.engines, "before");
+    let holder = before
+        .iter()
+        .position(|n| *n > 0)
+        .expect("an engine ran the request");
     let upstream = json!({
         "schema": 1,
         "address": fleet.engines[holder].address(),
@@ -189,8 +193,8 @@
         .put("upstream", &format!("engine-{holder}"), upstream);
     thread::sleep(ENGINE_STATE_WAIT);
     for i in 0..6 {
-        let answer = ask(&fleet, 0, Fleet::KEY, &handbook(&format!("after {i}")));
+        let answer = send_chat(&fleet, 0, Fleet::KEY, &handbook(&format!("after {i}")));
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
-    assert_eq!(started(&fleet.engines, "after")[holder], 0);
+    assert_eq!(count_started(&fleet.engines, "after")[holder], 0);
 }
--- a/crates/mangowalkd/tests/poison.rs
+++ b/crates/mangowalkd/tests/poison.rs
@@ -10,7 +10,7 @@
 const ENGINES: usize = 9;
 const ROUTERS: usize = 3;
 const ANSWER_TOKENS: u32 = 200;
-const POISON: &str = "a prompt that crashes engines";
+const CRASHING_PROMPT: &str = "a prompt that crashes engines";
 
 /// Time in which routers discover all engines.
 const ENGINE_DISCOVERY_TIME: Duration = Duration::from_millis(2_500);
@@ -33,7 +33,7 @@
     wait_for_peers(&fleet);
     for engine in &fleet.engines {
         engine.set_faults(EngineFaults {
-            crash_on: Some(POISON.to_owned()),
+            crash_on: Some(CRASHING_PROMPT.to_owned()),
             ..EngineFaults::default()
         });
     }
@@ -43,9 +43,9 @@
 /// Waits until each router lists the addresses of all routers to callers.
 fn wait_for_peers(fleet: &Fleet) {
     let knows_all = |router: &RouterProcess| {
-        let named = Answer::get(router.address(), "/v1/addresses", &[]).body;
+        let addresses = Answer::get(router.address(), "/v1/addresses", &[]).body;
         let mut all = fleet.routers.iter();
-        all.all(|other| named.contains(&other.address().to_string()))
+        all.all(|other| addresses.contains(&other.address().to_string()))
     };
     for _ in 0..200 {
         if fleet.routers.iter().all(knows_all) {
@@ -60,8 +60,8 @@
     fleet.engines.iter().map(|engine| engine.crashes()).sum()
 }
 
-fn send_poison(fleet: &Fleet, router: usize) -> Answer {
-    fleet.chat(router, POISON, 20, false)
+fn send_crashing_request(fleet: &Fleet, router: usize) -> Answer {
+    fleet.chat(router, CRASHING_PROMPT, 20, false)
 }
 
 /// Sends the request to each router in turn until one refuses it as the cause
@@ -69,7 +69,7 @@
 fn send_until_refused(fleet: &Fleet) -> Answer {
     let mut answer = Answer::default();
     for i in 0..12 {
-        answer = send_poison(fleet, i % ROUTERS);
+        answer = send_crashing_request(fleet, i % ROUTERS);
         if answer.status == 422 {
             break;
         }
@@ -89,7 +89,7 @@
     assert_eq!(refused.status, 422, "{}", refused.body);
     assert_eq!(crashes(&fleet), 3);
     for router in 0..ROUTERS {
-        let again = send_poison(&fleet, router);
+        let again = send_crashing_request(&fleet, router);
         assert_eq!(again.status, 422, "{}", again.body);
         assert_eq!(again.header("x-mangowalk-outcome"), Some("not_run"));
     }
--- a/crates/mangowalkd/tests/streams.rs
+++ b/crates/mangowalkd/tests/streams.rs
@@ -38,10 +38,10 @@
 
 /// Sends a request whose stream the test reads byte by byte.
 fn open_stream(fleet: &Fleet, prompt: &str) -> RawCaller {
-    open_stream_of(fleet, prompt, TOKENS)
+    open_stream_with_tokens(fleet, prompt, TOKENS)
 }
 
-fn open_stream_of(fleet: &Fleet, prompt: &str, tokens: u32) -> RawCaller {
+fn open_stream_with_tokens(fleet: &Fleet, prompt: &str, tokens: u32) -> RawCaller {
     let body = json!({
         "model": "drafting",
         "messages": [{ "role": "user", "content": prompt }],
@@ -179,7 +179,10 @@
     let events = answer.events();
     let reasons = events.iter().map(|e| &e["choices"][0]["finish_reason"]);
     assert!(reasons.into_iter().all(|reason| reason.is_null()));
-    assert_eq!(events.last().expect("an event")["error"]["outcome"], "ran");
+    assert_eq!(
+        events.last().expect("the stream has an event")["error"]["outcome"],
+        "ran"
+    );
 }
 
 /// The only engine crashes after five tokens and restarts with an empty cache.
@@ -265,7 +268,7 @@
         pad_bytes: 200_000,
         ..EngineFaults::default()
     });
-    let mut caller = open_stream_of(&fleet, "stopped", 200);
+    let mut caller = open_stream_with_tokens(&fleet, "stopped", 200);
     assert!(caller.read_until("w0x"));
     assert!(becomes_true(|| fleet.engines[0].state().load.running == 0));
     fleet.engines[0].set_faults(EngineFaults::default());
@@ -308,6 +311,6 @@
     for _ in 0..3 {
         assert_all_complete(&fleet);
     }
-    let asked = fleet.engines[0].attempts() - before;
-    assert!(asked > 6, "{asked}");
+    let attempts = fleet.engines[0].attempts() - before;
+    assert!(attempts > 6, "{attempts}");
 }
--- a/crates/mangowalkd/tests/upstreams.rs
+++ b/crates/mangowalkd/tests/upstreams.rs
@@ -85,7 +85,7 @@
             })
             .collect();
         for (i, sent) in sent {
-            let answer = sent.join().expect("an answer");
+            let answer = sent.join().expect("the caller finishes");
             assert_eq!(answer.text(), Fleet::expected(&format!("short {i}"), 2));
         }
         assert!(fleet.engines[0].attempts() > before);
