--- a/crates/mangowalkd/src/caller/addresses.rs
+++ b/crates/mangowalkd/src/caller/addresses.rs
@@ -9,18 +9,21 @@
     std::net::SocketAddr,
 };
 
+/// Body of the response to `GET /v1/addresses`.
 #[derive(Debug, Serialize)]
 struct Addresses {
+    /// Addresses of instances, in the order in which a caller should try them.
     addresses: Vec<SocketAddr>,
+    /// Time for which the caller may cache the response.
     keep_ms: u64,
 }
 
-/// Returns the instances that a caller may use, in the order in which it
-/// should try them.
+/// Returns the JSON body with the instances that a caller may use, this one
+/// included.
 pub(super) fn body<E: Edges>(router: &Router<E>) -> Vec<u8> {
-    let board = router.shared();
-    let id = &board.identity;
-    let mut instances: Vec<InstanceView> = board
+    let shared = router.shared();
+    let id = &shared.identity;
+    let mut instances: Vec<InstanceView> = shared
         .peers
         .read(|m| m.all().map(|m| m.view.clone()).collect());
     instances.push(InstanceView {
@@ -29,8 +32,8 @@
         incarnation: id.incarnation,
         heartbeat: 0,
         failure_domain: id.failure_domain.clone(),
-        ready: board.lifecycle.is_ready(),
-        departing: board.lifecycle.is_departing(),
+        ready: shared.lifecycle.is_ready(),
+        departing: shared.lifecycle.is_departing(),
         suspected: false,
     });
     let body = Addresses {
--- a/crates/mangowalkd/src/caller/body.rs
+++ b/crates/mangowalkd/src/caller/body.rs
@@ -7,19 +7,20 @@
     serde_json::{Map, Value},
 };
 
-/// Tokens generated where the caller gives no limit.
+/// Maximum number of generated tokens if the caller sets none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// The two forms of request and answer.
+/// The endpoints for generated text. They differ in the shape of requests and
+/// responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Form {
+pub(super) enum Endpoint {
     /// `/v1/chat/completions`
     Chat,
     /// `/v1/completions`
     Completion,
 }
 
-/// A request for generated text, read and checked.
+/// The parsed and validated body of a request for generated text.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Body {
     pub(super) model: String,
@@ -27,29 +28,34 @@
     pub(super) max_tokens: u32,
     pub(super) stream: bool,
     pub(super) include_usage: bool,
-    /// Parameters that engines can't be told.
-    pub(super) passed_over: Vec<&'static str>,
+    /// Parameters that were ignored because engines have no field for them.
+    pub(super) ignored: Vec<&'static str>,
 }
 
-/// Reads and checks a body.
-pub(super) fn read(bytes: &[u8], form: Form) -> Result<Body, Refusal> {
+/// Parses and validates a body.
+///
+/// # Errors
+///
+/// Fails on invalid JSON, and on fields that are missing, invalid or not
+/// supported.
+pub(super) fn read(bytes: &[u8], endpoint: Endpoint) -> Result<Body, Refusal> {
     let fields: Map<String, Value> = serde_json::from_slice(bytes).map_err(|error| {
         malformed(format!(
-            "The body is no JSON object: {error}; correct it there."
+            "The body is not a JSON object: {error}; correct it there."
         ))
     })?;
-    let Parameters { passed_over } = parameters::check(&fields, form)?;
-    let prompt = match form {
-        Form::Chat => prompt_of_messages(fields.get("messages"))?,
-        Form::Completion => prompt_of(fields.get("prompt"))?,
+    let Parameters { ignored } = parameters::check(&fields, endpoint)?;
+    let prompt = match endpoint {
+        Endpoint::Chat => prompt_of_messages(fields.get("messages"))?,
+        Endpoint::Completion => prompt_of(fields.get("prompt"))?,
     };
     Ok(Body {
         model: model_of(&fields)?,
         prompt,
         max_tokens: max_tokens_of(&fields)?,
-        stream: flag(&fields, "stream")?,
+        stream: bool_of(&fields, "stream")?,
         include_usage: include_usage_of(&fields)?,
-        passed_over,
+        ignored,
     })
 }
 
@@ -78,7 +84,7 @@
     match text {
         Some(text) if !text.is_empty() => Ok(text.clone()),
         _ => Err(malformed(
-            "`prompt` must be a text that is not empty, or a list of one; send a request for each text."
+            "`prompt` must be a non-empty string or a list of one; send one request per prompt."
                 .to_owned(),
         )),
     }
@@ -106,17 +112,17 @@
 fn include_usage_of(fields: &Map<String, Value>) -> Result<bool, Refusal> {
     match fields.get("stream_options") {
         None | Some(Value::Null) => Ok(false),
-        Some(Value::Object(options)) => flag(options, "include_usage"),
+        Some(Value::Object(options)) => bool_of(options, "include_usage"),
         Some(_) => Err(malformed(
             "`stream_options` must be an object; give {\"include_usage\": true}.".to_owned(),
         )),
     }
 }
 
-fn flag(fields: &Map<String, Value>, name: &str) -> Result<bool, Refusal> {
+fn bool_of(fields: &Map<String, Value>, name: &str) -> Result<bool, Refusal> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(false),
-        Some(Value::Bool(flag)) => Ok(*flag),
+        Some(Value::Bool(value)) => Ok(*value),
         Some(value) => Err(malformed(format!(
             "`{name}` is {value}; give true or false."
         ))),
--- a/crates/mangowalkd/src/caller/chat.rs
+++ b/crates/mangowalkd/src/caller/chat.rs
@@ -1,9 +1,9 @@
 use {
     super::{
-        body::{self, Body, Form},
+        body::{self, Body, Endpoint},
         handler::{Handler, bearer, header},
         reply::Head,
-        shape::Shape,
+        response_format::ResponseFormat,
         stream::StreamSink,
     },
     crate::serve::{AnswerSink, ChatRequest},
@@ -16,7 +16,7 @@
     tiny_http::{HTTPVersion, Request},
 };
 
-/// Longest time to the first token for which the caller will wait.
+/// Header with the maximum time to the first token, in milliseconds.
 const DEADLINE_HEADER: &str = "x-mangowalk-deadline-ms";
 
 const MS_PER_S: u64 = 1_000;
@@ -26,19 +26,19 @@
     handler: &Handler<'_, E>,
     mut request: Request,
     team: &str,
-    form: Form,
+    endpoint: Endpoint,
 ) {
     let read = handler
         .body(&mut request)
-        .and_then(|bytes| body::read(&bytes, form))
+        .and_then(|bytes| body::read(&bytes, endpoint))
         .and_then(|body| check_version(&request, body))
         .and_then(|body| Ok((body, deadline_of(&request)?)));
     let (body, deadline_ms) = match read {
         Ok(read) => read,
         Err(refusal) => return handler.refuse(request, &refusal),
     };
-    let shape = Shape {
-        form,
+    let response_format = ResponseFormat {
+        endpoint,
         id: handler.request_id.clone(),
         model: body.model.clone(),
         created_s: handler.router.edges.clock().wall_ms() / MS_PER_S,
@@ -54,18 +54,18 @@
         deadline_ms,
     };
     let mut head = handler.head.clone();
-    if !body.passed_over.is_empty() {
-        head.add("x-mangowalk-passed-over", body.passed_over.join(","));
+    if !body.ignored.is_empty() {
+        head.add("x-mangowalk-passed-over", body.ignored.join(","));
     }
     if body.stream {
-        streamed(handler, request, &chat, head, shape);
+        respond_streamed(handler, request, &chat, head, response_format);
     } else {
-        whole(handler, request, &chat, head, &shape);
+        respond_whole(handler, request, &chat, head, &response_format);
     }
 }
 
-/// Refuses a stream to a caller that reads no chunks: HTTP/1.0 has none, and
-/// without them the end of a stream looks like a lost connection.
+/// Refuses a stream over HTTP/1.0. That version has no chunked encoding,
+/// without which the end of a stream looks like a lost connection.
 fn check_version(request: &Request, body: Body) -> Result<Body, Refusal> {
     if body.stream && *request.http_version() < HTTPVersion(1, 1) {
         return Err(body::malformed(
@@ -75,6 +75,7 @@
     Ok(body)
 }
 
+/// Returns the caller's deadline in milliseconds, `None` if it set none.
 fn deadline_of(request: &Request) -> Result<Option<u64>, Refusal> {
     let Some(text) = header(request, DEADLINE_HEADER) else {
         return Ok(None);
@@ -85,22 +86,23 @@
         .map(Some)
         .ok_or_else(|| {
             body::malformed(format!(
-                "`{DEADLINE_HEADER}` is no number of milliseconds above 0; correct it or leave it out."
+                "`{DEADLINE_HEADER}` must be a number of milliseconds above 0; correct it or leave it out."
             ))
         })
 }
 
-fn whole<E: Edges>(
+/// Sends the complete answer in one response.
+fn respond_whole<E: Edges>(
     handler: &Handler<'_, E>,
     request: Request,
     chat: &ChatRequest,
     mut head: Head,
-    shape: &Shape,
+    response_format: &ResponseFormat,
 ) {
-    let mut sink = Collect::default();
+    let mut sink = CollectSink::default();
     match handler.router.generate_counted(chat, &mut sink) {
         Ok(finished) => {
-            let body = shape.whole(&sink.text, &finished).to_string();
+            let body = response_format.whole(&sink.text, &finished).to_string();
             handler.add_rate(&mut head, &chat.team);
             head.json(request, 200, body.into_bytes());
         }
@@ -111,36 +113,37 @@
     }
 }
 
-/// Streams the answer. The head is written with the first token, so that a
-/// refusal before it still has its own status.
-fn streamed<E: Edges>(
+/// Streams the answer. The response head is written with the first token, so
+/// that a refusal before it is sent with its own status.
+fn respond_streamed<E: Edges>(
     handler: &Handler<'_, E>,
     request: Request,
     chat: &ChatRequest,
     mut head: Head,
-    shape: Shape,
+    response_format: ResponseFormat,
 ) {
     handler.add_rate(&mut head, &chat.team);
-    let mut sink = StreamSink::new(request, head, shape);
+    let mut sink = StreamSink::new(request, head, response_format);
     match handler.router.generate_counted(chat, &mut sink) {
         Ok(finished) => sink.finish(&finished),
         Err(refusal) => sink.refuse(&refusal),
     }
 }
 
+/// Collects the tokens of an answer that is not streamed.
 #[derive(Default)]
-struct Collect {
+struct CollectSink {
     text: String,
 }
 
-impl AnswerSink for Collect {
+impl AnswerSink for CollectSink {
     fn token(&mut self, text: &str) -> io::Result<()> {
         self.text.push_str(text);
         Ok(())
     }
 
-    /// Nothing is written before the answer is whole, so nothing tells whether
-    /// the caller is still there.
+    /// Does nothing: no byte is written before the answer is complete, so a
+    /// disconnected caller can't be detected.
     fn silence(&mut self) -> io::Result<()> {
         Ok(())
     }
--- a/crates/mangowalkd/src/caller/handler.rs
+++ b/crates/mangowalkd/src/caller/handler.rs
@@ -1,12 +1,11 @@
 use {
     super::{
         addresses,
-        body::{Form, malformed},
-        chat,
-        condemned::Condemned,
-        models,
+        body::{Endpoint, malformed},
+        chat, models,
         reply::Head,
         request_id, service,
+        untrusted::UntrustedConnections,
     },
     crate::serve::Router,
     log::info,
@@ -15,48 +14,53 @@
     tiny_http::{Method, Request},
 };
 
-/// Bytes of a body that are read at once, between two looks at the time.
+/// Bytes of a body that are read in one call, between two checks of the
+/// timeout.
 const READ_BYTES: usize = 16 << 10;
 
-/// Declared length above which a body is not even thrown away. The server
-/// reserves memory for what is left of a body when it drops the request, and
-/// a length that no memory can hold would end the process.
-const ABSURD_BYTES: usize = 1 << 30;
+/// Maximum declared length of a body that is discarded with its request. When
+/// the server drops a request, it allocates memory for the unread rest of the
+/// body; a length beyond the available memory would abort the process.
+const MAX_DISCARDED_BODY_BYTES: usize = 1 << 30;
 
-/// Serves one request of a caller.
+/// Serves one HTTP request of a caller.
 pub(super) struct Handler<'a, E: Edges> {
     pub(super) router: &'a Router<E>,
-    condemned: &'a Condemned,
-    /// Identity between router and upstreams.
+    untrusted: &'a UntrustedConnections,
+    /// Identity of the request towards upstreams, always generated here.
     pub(super) request_id: String,
-    /// What every response to this request says.
+    /// Headers of every response to this request.
     pub(super) head: Head,
 }
 
 impl<'a, E: Edges> Handler<'a, E> {
     pub(super) fn new(
         router: &'a Router<E>,
-        condemned: &'a Condemned,
+        untrusted: &'a UntrustedConnections,
         request: &Request,
     ) -> Handler<'a, E> {
-        let drawn = request_id::draw();
-        let shown = header(request, "x-request-id").and_then(request_id::accepted);
-        let head = Head::of(shown.unwrap_or(&drawn));
+        let generated_id = request_id::generate();
+        let caller_id = header(request, "x-request-id").and_then(request_id::accepted);
+        let head = Head::of(caller_id.unwrap_or(&generated_id));
         Handler {
             router,
-            condemned,
-            request_id: drawn,
+            untrusted,
+            request_id: generated_id,
             head,
         }
     }
 
-    /// Serves the request, unless a check of its framing refused it.
+    /// Serves the request, or sends the refusal if the check of its framing
+    /// returned one.
     pub(super) fn handle(&self, request: Request, refused: Option<Refusal>) {
         if let Some(refusal) = refused {
             return self.refuse(request, &refusal);
         }
-        if request.body_length().is_some_and(|b| b > ABSURD_BYTES) {
-            return self.refuse_absurd(request);
+        if request
+            .body_length()
+            .is_some_and(|b| b > MAX_DISCARDED_BODY_BYTES)
+        {
+            return self.refuse_oversized(request);
         }
         self.route(request);
     }
@@ -73,8 +77,8 @@
     }
 
     fn ready(&self, request: Request) {
-        let board = self.router.shared();
-        let ready = board.lifecycle.is_ready();
+        let shared = self.router.shared();
+        let ready = shared.lifecycle.is_ready();
         self.json(request, if ready { 200 } else { 503 }, b"{}".to_vec());
     }
 
@@ -87,14 +91,14 @@
         let is_get = *request.method() == Method::Get;
         match path {
             "/v1/models" if is_get => self.json(request, 200, models::list(self.router)),
-            "/v1/chat/completions" if is_post => chat::serve(self, request, &team, Form::Chat),
-            "/v1/completions" if is_post => chat::serve(self, request, &team, Form::Completion),
+            "/v1/chat/completions" if is_post => chat::serve(self, request, &team, Endpoint::Chat),
+            "/v1/completions" if is_post => chat::serve(self, request, &team, Endpoint::Completion),
             _ if path.starts_with(service::PREFIX) => service::serve(self, request, &team),
-            _ => self.other(request, path),
+            _ => self.model_or_unknown_path(request, path),
         }
     }
 
-    fn other(&self, request: Request, path: &str) {
+    fn model_or_unknown_path(&self, request: Request, path: &str) {
         let model = path
             .strip_prefix("/v1/models/")
             .filter(|_| *request.method() == Method::Get);
@@ -113,22 +117,22 @@
         self.head.refuse(request, refusal);
     }
 
-    /// Refuses a request whose body was not read. The server passes over a
-    /// body of known length; of a chunked one it would take the rest for the
-    /// next request.
+    /// Refuses a request whose body was not read. The server skips a body of
+    /// known length, but would read the rest of a chunked one as the next
+    /// request, so that connection becomes untrusted.
     fn refuse_unread(&self, request: Request, refusal: &Refusal) {
         if header(&request, "Transfer-Encoding").is_some() {
-            self.condemn(&request);
+            self.mark_untrusted(&request);
         }
         self.refuse(request, refusal);
     }
 
-    /// Refuses a request without dropping what the server holds of it: that
-    /// would reserve memory for the whole declared length. The connection is
-    /// lost for good, which costs a descriptor and a thread for a length that
-    /// no honest caller declares.
-    fn refuse_absurd(&self, request: Request) {
-        info!("callers: A caller declared a body of over {ABSURD_BYTES} bytes.");
+    /// Refuses a request without dropping the server's reader of its body,
+    /// which would allocate memory for the whole declared length. The
+    /// connection is leaked. That costs a file descriptor and a thread, for a
+    /// length that no well-behaved caller declares.
+    fn refuse_oversized(&self, request: Request) {
+        info!("callers: A caller declared a body of over {MAX_DISCARDED_BODY_BYTES} bytes.");
         let refusal = Refusal::TooLarge {
             limit_bytes: self.router.settings().max_body_bytes,
         };
@@ -136,22 +140,23 @@
         mem::forget(stream);
     }
 
-    fn condemn(&self, request: &Request) {
+    fn mark_untrusted(&self, request: &Request) {
         let now_ms = self.router.now_ms();
-        self.condemned.add(request.remote_addr(), now_ms);
+        self.untrusted.add(request.remote_addr(), now_ms);
     }
 
-    /// Adds the team's rate to a head: its burst, the tokens that are here,
-    /// and when the whole rate would have filled the burst again. Others may
-    /// hold more of the team's tokens, so a request over what remains here is
-    /// not refused for that alone.
+    /// Adds the team's rate to the response headers: its burst, the remaining
+    /// tokens at this instance, and the time in which the full rate would
+    /// refill the burst. Other instances may hold more of the team's tokens, so
+    /// a request that exceeds the remaining tokens is not refused for that
+    /// alone.
     pub(super) fn add_rate(&self, head: &mut Head, team: &str) {
-        let board = self.router.shared();
-        let view = board.config.view();
+        let shared = self.router.shared();
+        let view = shared.config.view();
         let Some(rate) = view.rates.get(team) else {
             return;
         };
-        let remaining_tokens = board.limits.tokens(team, rate, self.router.now_ms());
+        let remaining_tokens = shared.limits.tokens(team, rate, self.router.now_ms());
         let missing_tokens = rate.burst_tokens.saturating_sub(remaining_tokens);
         let reset_ms = refill_ms(rate, missing_tokens);
         head.add("x-ratelimit-limit-tokens", rate.burst_tokens.to_string());
@@ -161,17 +166,23 @@
 
     /// Reads the body, up to the limits of length and time.
     ///
-    /// The read timeout bounds each wait; a caller that sends one byte before
-    /// each would still hold a thread for hours, so the sum is bounded too.
+    /// The read timeout bounds each read. A caller that sends one byte within
+    /// each timeout would still occupy a thread for hours, so the total time is
+    /// bounded too.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the body is too large, too slow or incomplete. The connection
+    /// becomes untrusted if the rest of the body would be read as a request.
     pub(super) fn body(&self, request: &mut Request) -> Result<Vec<u8>, Refusal> {
         let body = self.read_body(request);
         let is_counted = request.body_length().is_some();
         match &body {
-            // The server passes over the rest of a body of known length.
+            // The server skips the rest of a body of known length.
             Err(Refusal::TooLarge { .. }) if is_counted => {}
             Ok(_) => {}
-            // What comes next is the rest of this body.
-            Err(_) => self.condemn(request),
+            // The next bytes are the rest of this body, not a request.
+            Err(_) => self.mark_untrusted(request),
         }
         body
     }
@@ -183,7 +194,7 @@
             return Err(Refusal::TooLarge { limit_bytes });
         }
         let until_ms = self.router.now_ms() + settings.caller_timeout_ms;
-        let too_slow = Refusal::TooSlow {
+        let timed_out = Refusal::TooSlow {
             timeout_ms: settings.caller_timeout_ms,
         };
         let expected = request.body_length();
@@ -193,7 +204,7 @@
             let read = match request.as_reader().read(&mut part) {
                 Ok(0) => break,
                 Ok(read) => read,
-                Err(error) if is_timeout(&error) => return Err(too_slow),
+                Err(error) if is_timeout(&error) => return Err(timed_out),
                 Err(_) => return Err(broken_body()),
             };
             body.extend_from_slice(&part[..read]);
@@ -201,7 +212,7 @@
                 return Err(Refusal::TooLarge { limit_bytes });
             }
             if self.router.now_ms() > until_ms {
-                return Err(too_slow);
+                return Err(timed_out);
             }
         }
         if expected.is_some_and(|length| length != body.len()) {
@@ -212,7 +223,7 @@
 }
 
 fn broken_body() -> Refusal {
-    malformed("The body ended early or its chunks are broken; send it whole.".to_owned())
+    malformed("The body ended early or its chunks are invalid; send it completely.".to_owned())
 }
 
 fn is_timeout(error: &std::io::Error) -> bool {
@@ -220,7 +231,7 @@
     matches!(error.kind(), TimedOut | WouldBlock)
 }
 
-/// Returns a header's value.
+/// Returns the value of a header, `None` if it is missing.
 pub(super) fn header<'a>(request: &'a Request, name: &'static str) -> Option<&'a str> {
     request
         .headers()
@@ -229,7 +240,7 @@
         .map(|h| h.value.as_str())
 }
 
-/// Returns the key that came with a request.
+/// Returns the API key of the `Authorization` header.
 pub(super) fn bearer(request: &Request) -> Option<&str> {
     let (scheme, key) = header(request, "Authorization")?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("Bearer").then_some(key.trim())
--- a/crates/mangowalkd/src/serve/admit.rs
+++ b/crates/mangowalkd/src/serve/admit.rs
@@ -11,54 +11,61 @@
     std::{collections::HashSet, time::Duration},
 };
 
-/// Pause after which a waiting request looks at the queue itself. Answers and
-/// reports move the queue; this is for when neither comes.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a waiting request triggers a dispatch itself. Finished
+/// attempts and engine reports do so too; this covers the case that neither
+/// occurs.
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// When a caller should come back if no engine serves the model.
+/// When a caller should retry if no engine serves the model.
 const NO_ENGINE_RETRY_MS: u64 = 1_000;
 
-/// Versions that a request asks for in turn while weights change.
-const VERSION_TRIES: u32 = 3;
+/// Weights versions that a request may wait for in turn during a rollout.
+const MAX_VERSION_ATTEMPTS: u32 = 3;
 
 impl<E: Edges> Router<E> {
-    /// Waits for a request's turn.
+    /// Waits in the queue until the request is placed on an engine.
     ///
     /// # Errors
     ///
-    /// Refuses at once what would not be served in time.
+    /// Refuses a request that would not be served in time, without waiting for
+    /// that time to pass.
     pub(super) fn admit(&self, request: &ChatRequest) -> Result<Target, Refusal> {
-        let mut version = self.version_now(request)?;
-        for _ in 1..VERSION_TRIES {
-            let refusal = match self.wait_for(request, &version) {
+        let mut version = self.current_version(request)?;
+        for _ in 1..MAX_VERSION_ATTEMPTS {
+            let refusal = match self.wait_for_version(request, &version) {
                 Err(refusal @ Refusal::Unavailable { .. }) => refusal,
                 other => return other,
             };
-            // While weights change, the last engine of a version may be
-            // drained under the requests that wait for it. They ask anew for
-            // the other version; refused, they would pay for the rollout.
-            let now = self.version_now(request)?;
-            if now == version {
+            // During a rollout, the last engine of a version may be drained
+            // while requests wait for it. They queue again for the other
+            // version; otherwise the rollout would cause refusals.
+            let current = self.current_version(request)?;
+            if current == version {
                 return Err(refusal);
             }
-            version = now;
+            version = current;
         }
-        self.wait_for(request, &version)
+        self.wait_for_version(request, &version)
     }
 
     /// Returns the weights version for a request that arrives now.
-    fn version_now(&self, request: &ChatRequest) -> Result<String, Refusal> {
-        self.board.apply_engines(&self.board.config.view());
+    ///
+    /// # Errors
+    ///
+    /// Fails if no engine serves the model.
+    fn current_version(&self, request: &ChatRequest) -> Result<String, Refusal> {
+        self.shared.apply_engines(&self.shared.config.view());
         self.version_for(request).ok_or(Refusal::Unavailable {
             reason: "No engine serves the model now",
             retry_ms: NO_ENGINE_RETRY_MS,
         })
     }
 
-    /// Waits for a request's turn on an engine that serves a version.
-    fn wait_for(&self, request: &ChatRequest, version: &str) -> Result<Target, Refusal> {
-        let job = self.job(request, &self.board.config.view(), version);
-        match self.wait_turn(job) {
+    /// Waits in the queue until the request is placed on an engine that serves
+    /// `version`.
+    fn wait_for_version(&self, request: &ChatRequest, version: &str) -> Result<Target, Refusal> {
+        let job = self.job(request, &self.shared.config.view(), version);
+        match self.wait_for_decision(job) {
             Decision::Send { choice, .. } => self.dispatch(request, version, choice),
             Decision::Refuse { refusal, .. } => {
                 info!(
@@ -73,41 +80,42 @@
         }
     }
 
-    /// Checks what may have changed while the request waited, and returns
-    /// where its first attempt goes.
+    /// Checks what may have changed while the request was queued, and returns
+    /// the target of its first attempt.
     ///
-    /// The key may have been withdrawn, and without this look a long queue
-    /// would serve it for as long as it is. The engine may have been drained;
-    /// another one takes the request then.
+    /// The key may have been withdrawn: without this check, a withdrawn key
+    /// would be served for as long as the queue is. The engine may have been
+    /// drained: the request is then placed on another one.
     fn dispatch(
         &self,
         request: &ChatRequest,
         version: &str,
         choice: Choice,
     ) -> Result<Target, Refusal> {
-        // Read anew: an engine withdrawn meanwhile gets no work.
-        let view = self.board.config.view();
+        // The view is loaded again, so that an engine withdrawn meanwhile gets
+        // no request.
+        let view = self.shared.config.view();
         let target = self.target(&view, version, choice);
         if !self.still_authorized(&request.team, &request.key_digest) {
             return Err(Refusal::Unauthorized);
         }
         let now_ms = self.edges.clock().now_ms();
-        let allowed = |name: &str| self.board.upstreams.allows(name, now_ms);
+        let allowed = |name: &str| self.shared.upstreams.allows(name, now_ms);
         target
-            .or_else(|| self.place_again(request, &view, Some(version), &HashSet::new(), &allowed))
+            .or_else(|| self.place_retry(request, &view, Some(version), &HashSet::new(), &allowed))
             .ok_or(Refusal::Unavailable {
                 reason: "The engine chosen is departing",
                 retry_ms: NO_ENGINE_RETRY_MS,
             })
     }
 
-    fn wait_turn(&self, job: Job) -> Decision {
-        let dispatch = &self.board.dispatch;
-        let verdict = dispatch.arrive(job, self.edges.clock().now_ms());
+    fn wait_for_decision(&self, job: Job) -> Decision {
+        let dispatch = &self.shared.dispatch;
+        let decision = dispatch.submit(job, self.edges.clock().now_ms());
         loop {
-            match verdict.recv_timeout(LOOK) {
-                Ok(verdict) => return verdict,
-                Err(_) => dispatch.pump(self.edges.clock().now_ms()),
+            match decision.recv_timeout(QUEUE_POLL_INTERVAL) {
+                Ok(decision) => return decision,
+                Err(_) => dispatch.dispatch_queued(self.edges.clock().now_ms()),
             }
         }
     }
@@ -127,7 +135,7 @@
             model: request.model.clone(),
             version: version.to_owned(),
             chain: block_chain(&salt, &request.prompt),
-            avoid: self.suspects_apart_from(request),
+            avoid: self.upstreams_with_other_suspects(request),
             stored_blocks: 0,
         }
     }
--- a/crates/mangowalkd/src/serve/attempts.rs
+++ b/crates/mangowalkd/src/serve/attempts.rs
@@ -1,5 +1,7 @@
 use {
-    super::{AnswerSink, ChatRequest, Finished, Router, attempt::Target, poison::identity_of},
+    super::{
+        AnswerSink, ChatRequest, FinishedAnswer, Router, attempt::Target, poison::chat_identity,
+    },
     mangowalk_core::{
         attempt::{End, EndedAttempt, Timeouts},
         edge::{Clock, Edges},
@@ -13,41 +15,42 @@
     },
 };
 
-/// Attempts that one request may use. Three engines that fail in turn are no
-/// accident any more: either the fleet is down or the request is to blame.
-const MOST_ATTEMPTS: u32 = 4;
+/// Attempts per request. If three engines fail in turn, either the whole fleet
+/// is down or the request causes the failures.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Engines whose state may turn out to be old, for one request.
-const MOST_STALE: u32 = 8;
+/// Refusals per request by engines whose known state was stale.
+const MAX_STALE_REFUSALS: u32 = 8;
 
-/// When a caller should come back at the earliest if no engine can take its
+/// Minimum time after which a caller should retry if no engine can take its
 /// request.
-const NO_ENGINE_RETRY_MS: u64 = 1_000;
+const MIN_RETRY_MS: u64 = 1_000;
 
-/// Pause between two looks for an engine that can resume a stream.
-const RESUME_LOOK_MS: u64 = 100;
+/// Interval at which an engine is looked for that can resume a stream.
+const RESUME_POLL_INTERVAL_MS: u64 = 100;
 
-/// What the attempts of one request have come to.
-struct Course {
+/// The attempts of one request so far, and their result.
+struct AttemptHistory {
     sequencer: Sequencer,
-    /// Engines tried, with the incarnation that was tried. One that restarted
-    /// since may be tried again.
+    /// Engines tried, with the incarnation that was tried. An engine that
+    /// restarted since may be tried again.
     tried: HashMap<String, u64>,
     attempts: u32,
-    stale: u32,
-    /// Whether the next attempt was charged when the last one gave up.
-    is_paid: bool,
+    stale_refusals: u32,
+    /// Whether the next attempt was charged to the retry budget when the last
+    /// one ended because its engine stalled.
+    is_retry_charged: bool,
     outcome: Outcome,
 }
 
-impl Course {
-    fn new(request_id: &str) -> Course {
-        Course {
+impl AttemptHistory {
+    fn new(request_id: &str) -> AttemptHistory {
+        AttemptHistory {
             sequencer: Sequencer::new(request_id, ""),
             tried: HashMap::new(),
             attempts: 0,
-            stale: 0,
-            is_paid: false,
+            stale_refusals: 0,
+            is_retry_charged: false,
             outcome: Outcome::NotRun,
         }
     }
@@ -56,28 +59,28 @@
         self.sequencer.bound_version().is_some()
     }
 
-    fn note(&mut self, target: &Target, ended: &EndedAttempt) {
+    fn record(&mut self, target: &Target, ended: &EndedAttempt) {
         let name = target.engine.name.clone();
         self.tried.insert(name, target.incarnation);
-        self.outcome = worse(self.outcome, ended.outcome());
-        self.is_paid = ended.end() == End::Stalled;
+        self.outcome = combine_outcomes(self.outcome, ended.outcome());
+        self.is_retry_charged = ended.end() == End::Stalled;
         if ended.is_stale() {
-            self.stale += 1;
+            self.stale_refusals += 1;
         } else {
             self.attempts += 1;
         }
     }
 
-    fn is_over(&self) -> bool {
-        self.attempts >= MOST_ATTEMPTS || self.stale >= MOST_STALE
+    fn is_exhausted(&self) -> bool {
+        self.attempts >= MAX_ATTEMPTS || self.stale_refusals >= MAX_STALE_REFUSALS
     }
 
-    /// Returns what the caller is told where no attempt completed.
-    fn given_up(&self, reason: &'static str) -> Refusal {
+    /// Returns the refusal for the caller if no attempt completed.
+    fn refusal(&self, reason: &'static str) -> Refusal {
         match self.outcome {
             Outcome::NotRun => Refusal::Unavailable {
                 reason,
-                retry_ms: spread_ms(NO_ENGINE_RETRY_MS),
+                retry_ms: jittered_ms(MIN_RETRY_MS),
             },
             outcome => Refusal::Lost {
                 remedy: "send it again",
@@ -87,15 +90,15 @@
     }
 }
 
-/// Returns a time up to twice as long, drawn anew. Callers refused together
-/// would otherwise come back together and be refused again.
-pub(crate) fn spread_ms(least_ms: u64) -> u64 {
-    rand::random_range(least_ms..=least_ms * 2)
+/// Returns a random time from `min_ms` to twice that. Without jitter, callers
+/// that are refused together would retry together and be refused again.
+pub(crate) fn jittered_ms(min_ms: u64) -> u64 {
+    rand::random_range(min_ms..=min_ms * 2)
 }
 
-/// Returns what is known after two attempts: that one ran is known whatever
-/// became of the other, and a doubt is not removed by a refusal elsewhere.
-fn worse(a: Outcome, b: Outcome) -> Outcome {
+/// Returns the outcome of a request after two attempts. If one ran, the request
+/// ran; an unknown outcome stays unknown if the other attempt did not run.
+fn combine_outcomes(a: Outcome, b: Outcome) -> Outcome {
     match (a, b) {
         (Outcome::Ran, _) | (_, Outcome::Ran) => Outcome::Ran,
         (Outcome::Unknown, _) | (_, Outcome::Unknown) => Outcome::Unknown,
@@ -104,58 +107,69 @@
 }
 
 impl<E: Edges> Router<E> {
-    /// Tries engines one after another until one completes the answer. Only
-    /// one attempt is out at a time, so two never write.
+    /// Tries engines one after another until one completes the answer. Only one
+    /// attempt runs at a time, so two never write to the sink.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal for the caller if no attempt completed the answer.
     pub(super) fn attempts(
         &self,
         request: &ChatRequest,
         sink: &mut dyn AnswerSink,
-    ) -> Result<Finished, Refusal> {
+    ) -> Result<FinishedAnswer, Refusal> {
         let started_ms = self.edges.clock().now_ms();
-        let mut course = Course::new(&request.request_id);
-        self.board.upstreams.first_attempt();
-        while !course.is_over() {
-            let Some(target) = self.next_target(request, &course, sink)? else {
+        let mut history = AttemptHistory::new(&request.request_id);
+        self.shared.upstreams.record_first_attempt();
+        while !history.is_exhausted() {
+            let Some(target) = self.next_target(request, &history, sink)? else {
                 break;
             };
-            if !self.may_send(&course) {
-                return Err(course.given_up("Too many requests had to be sent again"));
+            if !self.charge_retry(&history) {
+                return Err(history.refusal("Too many requests had to be retried"));
             }
             let now_ms = self.edges.clock().now_ms();
             let name = &target.engine.name;
-            let Some(on) = self.board.upstreams.start(name, &request.model, now_ms) else {
-                course.tried.insert(name.clone(), target.incarnation);
+            let Some(upstream_attempt) = self.shared.upstreams.start(name, &request.model, now_ms)
+            else {
+                history.tried.insert(name.clone(), target.incarnation);
                 continue;
             };
-            course.sequencer.rebind(&target.version);
+            history.sequencer.rebind(&target.version);
             let timeouts = self.timeouts(request, started_ms, now_ms);
-            let (ended, finished) =
-                self.attempt(request, &target, on, timeouts, &mut course.sequencer, sink);
-            course.note(&target, &ended);
+            let (ended, finished) = self.attempt(
+                request,
+                &target,
+                upstream_attempt,
+                timeouts,
+                &mut history.sequencer,
+                sink,
+            );
+            history.record(&target, &ended);
             let usage = finished.as_ref().map(|f| &f.usage);
             target.placed.end(usage, self.edges.clock().now_ms());
             if let Some(finished) = finished {
                 return Ok(finished);
             }
-            self.refuse_poison(identity_of(request), course.outcome)?;
+            self.refuse_poisonous(chat_identity(request), history.outcome)?;
             match ended.end() {
                 End::OverTime => break,
                 End::CallerGone => {
                     return Err(Refusal::Lost {
                         remedy: "the caller closed the connection",
-                        outcome: course.outcome,
+                        outcome: history.outcome,
                     });
                 }
-                _ if !course.has_begun() && self.is_late(request, started_ms) => break,
+                _ if !history.has_begun() && self.is_past_deadline(request, started_ms) => break,
                 _ => {}
             }
         }
-        Err(course.given_up("No engine can take the request"))
+        Err(history.refusal("No engine can take the request"))
     }
 
-    /// Returns whether the caller no longer waits for a first token. Another
-    /// attempt would be work for nobody.
-    fn is_late(&self, request: &ChatRequest, started_ms: u64) -> bool {
+    /// Returns whether the caller's deadline for the first token has passed, so
+    /// that no caller would receive the result of another attempt.
+    fn is_past_deadline(&self, request: &ChatRequest, started_ms: u64) -> bool {
         let spent_ms = self.edges.clock().now_ms().saturating_sub(started_ms);
         request
             .deadline_ms
@@ -175,73 +189,78 @@
         }
     }
 
-    /// Asks the budget for what is no first attempt. One behind a stale
-    /// refusal is free: nothing ran, and the engine's state is known now.
-    fn may_send(&self, course: &Course) -> bool {
-        if course.has_begun() {
-            self.board.upstreams.resume();
+    /// Charges an attempt to the retry budget unless it is the first. Returns
+    /// whether it may be sent. An attempt after a stale refusal is free:
+    /// nothing ran, and the engine's state is known now.
+    fn charge_retry(&self, history: &AttemptHistory) -> bool {
+        if history.has_begun() {
+            self.shared.upstreams.charge_resume();
             return true;
         }
-        course.attempts == 0 || course.is_paid || self.board.upstreams.retry()
+        history.attempts == 0 || history.is_retry_charged || self.shared.upstreams.try_retry()
     }
 
-    /// Chooses an engine. For a stream that has begun it waits for one to
-    /// come: an engine that restarts is back within seconds, and its caller
-    /// has half a sentence.
+    /// Chooses the target of the next attempt; `None` if there is none.
+    ///
+    /// For a stream that has begun, it waits up to the token timeout for an
+    /// engine: one that restarts is available within seconds, and the caller
+    /// has already received a part of the answer.
     fn next_target(
         &self,
         request: &ChatRequest,
-        course: &Course,
+        history: &AttemptHistory,
         sink: &mut dyn AnswerSink,
     ) -> Result<Option<Target>, Refusal> {
-        if course.tried.is_empty() {
+        if history.tried.is_empty() {
             return self.admit(request).map(Some);
         }
-        let mut left_ms = if course.has_begun() {
+        let mut left_ms = if history.has_begun() {
             self.settings.token_timeout_ms
         } else {
             0
         };
         loop {
-            if let Some(target) = self.choose(request, course) {
+            if let Some(target) = self.choose(request, history) {
                 return Ok(Some(target));
             }
             if left_ms == 0 || sink.silence().is_err() {
                 return Ok(None);
             }
-            thread::sleep(Duration::from_millis(RESUME_LOOK_MS));
-            left_ms = left_ms.saturating_sub(RESUME_LOOK_MS);
+            thread::sleep(Duration::from_millis(RESUME_POLL_INTERVAL_MS));
+            left_ms = left_ms.saturating_sub(RESUME_POLL_INTERVAL_MS);
         }
     }
 
-    /// Prefers engines below their limits. Where there is none, one whose
-    /// breaker is closed is better than a refusal.
-    fn choose(&self, request: &ChatRequest, course: &Course) -> Option<Target> {
-        // Read anew for each attempt: an engine withdrawn meanwhile gets none.
-        let view = self.board.config.view();
+    /// Prefers usable engines without other suspect requests, then usable ones,
+    /// which are below their limits. If there is none, an engine whose breaker
+    /// allows an attempt is used rather than refusing the request.
+    fn choose(&self, request: &ChatRequest, history: &AttemptHistory) -> Option<Target> {
+        // The view is loaded for each attempt, so that an engine withdrawn
+        // meanwhile gets none.
+        let view = self.shared.config.view();
         let now_ms = self.edges.clock().now_ms();
-        let upstreams = &self.board.upstreams;
-        let version = course.sequencer.bound_version();
-        let tried = self.still_tried(course);
-        let suspects = self.suspects_apart_from(request);
+        let upstreams = &self.shared.upstreams;
+        let version = history.sequencer.bound_version();
+        let tried = self.tried_engines(history);
+        let suspects = self.upstreams_with_other_suspects(request);
         let usable = |name: &str| upstreams.usable(name, now_ms);
         let allowed = |name: &str| upstreams.allows(name, now_ms);
-        let apart = |name: &str| usable(name) && !suspects.contains(name);
-        self.place_again(request, &view, version, &tried, &apart)
-            .or_else(|| self.place_again(request, &view, version, &tried, &usable))
-            .or_else(|| self.place_again(request, &view, version, &tried, &allowed))
+        let away_from_suspects = |name: &str| usable(name) && !suspects.contains(name);
+        self.place_retry(request, &view, version, &tried, &away_from_suspects)
+            .or_else(|| self.place_retry(request, &view, version, &tried, &usable))
+            .or_else(|| self.place_retry(request, &view, version, &tried, &allowed))
     }
 
-    /// Returns the tried engines that have not restarted since.
-    fn still_tried(&self, course: &Course) -> HashSet<String> {
-        self.board.engines.read(|sights| {
-            course
+    /// Returns the tried engines that are not known to have restarted since.
+    fn tried_engines(&self, history: &AttemptHistory) -> HashSet<String> {
+        self.shared.engines.read(|engines| {
+            history
                 .tried
                 .iter()
                 .filter(|(name, incarnation)| {
-                    sights
+                    engines
                         .get(*name)
-                        .and_then(|sight| sight.state.as_ref())
+                        .and_then(|known| known.state.as_ref())
                         .is_none_or(|state| state.incarnation == **incarnation)
                 })
                 .map(|(name, _)| name.clone())
--- a/crates/mangowalkd/src/serve/observe.rs
+++ b/crates/mangowalkd/src/serve/counted.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AnswerSink, ChatRequest, Finished, Router, ServiceRequest},
+    super::{AnswerSink, ChatRequest, FinishedAnswer, Router, ServiceRequest},
     mangowalk_core::{
         burn::{End, Observation},
         edge::{Clock, Edges, ServiceReply},
@@ -9,98 +9,105 @@
     std::io,
 };
 
-/// Objective of a team whose record is gone: a request that was let in before
-/// is still counted.
+/// First-token objective of a team whose record was withdrawn: a request that
+/// was admitted before is still counted.
 const DEFAULT_FIRST_TOKEN_MS: u64 = 600;
 
-/// Notes when the first token passes, and whether the caller still takes it.
+/// Records the time of the first token, and whether the caller has
+/// disconnected.
 struct TimedSink<'a, C: Clock> {
     sink: &'a mut dyn AnswerSink,
     clock: &'a C,
     first_ms: Option<u64>,
-    caller_gone: bool,
+    caller_disconnected: bool,
 }
 
 impl<C: Clock> AnswerSink for TimedSink<'_, C> {
     fn token(&mut self, text: &str) -> io::Result<()> {
         let result = self.sink.token(text);
-        self.caller_gone |= result.is_err();
+        self.caller_disconnected |= result.is_err();
         self.first_ms.get_or_insert(self.clock.now_ms());
         result
     }
 
     fn silence(&mut self) -> io::Result<()> {
         let result = self.sink.silence();
-        self.caller_gone |= result.is_err();
+        self.caller_disconnected |= result.is_err();
         result
     }
 }
 
 impl<E: Edges> Router<E> {
-    /// Serves a request for generated text and counts what became of it.
+    /// Serves a request for generated text and counts its outcome for the team.
     ///
     /// # Errors
     ///
-    /// Returns what the caller is told, and what is known of the outcome.
+    /// Returns the refusal for the caller, with the known outcome of the
+    /// request.
     pub fn generate_counted(
         &self,
         request: &ChatRequest,
         sink: &mut dyn AnswerSink,
-    ) -> Result<Finished, Refusal> {
+    ) -> Result<FinishedAnswer, Refusal> {
         let started_ms = self.now_ms();
         let mut timed = TimedSink {
             sink,
             clock: self.edges.clock(),
             first_ms: None,
-            caller_gone: false,
+            caller_disconnected: false,
         };
         let result = self.generate(request, &mut timed);
-        let (first_ms, caller_gone) = (timed.first_ms, timed.caller_gone);
-        let asked = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
+        let (first_ms, caller_disconnected) = (timed.first_ms, timed.caller_disconnected);
+        let reserved_tokens = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
         let (end, tokens) = match &result {
-            Ok(done) => (
+            Ok(finished) => (
                 End::Complete,
-                done.usage.prompt_tokens + done.usage.completion_tokens,
+                finished.usage.prompt_tokens + finished.usage.completion_tokens,
+            ),
+            Err(_) if caller_disconnected => (End::Abandoned, reserved_tokens),
+            Err(refusal) => (
+                End::from_refusal(refusal, first_ms.is_some()),
+                reserved_tokens,
             ),
-            Err(_) if caller_gone => (End::Abandoned, asked),
-            Err(refusal) => (End::from_refusal(refusal, first_ms.is_some()), asked),
         };
-        let seen = Observation {
+        let observation = Observation {
             first_token_ms: first_ms.map(|ms| ms.saturating_sub(started_ms)),
             end,
             tokens,
         };
-        self.count(&request.team, &seen);
+        self.count(&request.team, &observation);
         result
     }
 
-    /// Serves one call of a plain service and counts what became of it.
+    /// Serves one call of a plain service and counts its outcome for the team.
     ///
     /// # Errors
     ///
-    /// Returns what the caller is told, and what is known of the outcome.
+    /// Returns the refusal for the caller, with the known outcome of the call.
     pub fn call_service_counted(&self, request: &ServiceRequest) -> Result<ServiceReply, Refusal> {
         let result = self.call_service(request);
         let end = match &result {
             Ok(_) => End::Complete,
             Err(refusal) => End::from_refusal(refusal, false),
         };
-        let seen = Observation {
+        let observation = Observation {
             first_token_ms: None,
             end,
             tokens: request.tokens(),
         };
-        self.count(&request.team, &seen);
+        self.count(&request.team, &observation);
         result
     }
 
-    fn count(&self, team: &str, seen: &Observation) {
-        let view = self.board.config.view();
+    fn count(&self, team: &str, observation: &Observation) {
+        let view = self.shared.config.view();
         let objective_ms = view
             .teams
             .get(team)
             .map_or(DEFAULT_FIRST_TOKEN_MS, |t| t.first_token_ms);
         let now_ms = self.now_ms();
-        self.board.burn.note(team, seen, objective_ms, now_ms);
+        self.shared
+            .burn
+            .record(team, observation, objective_ms, now_ms);
     }
 }
--- a/crates/mangowalkd/src/serve/place.rs
+++ b/crates/mangowalkd/src/serve/place.rs
@@ -10,15 +10,17 @@
     std::collections::HashSet,
 };
 
-/// Returns the salt under which an engine caches a prompt's blocks.
+/// Returns the salt that is part of the keys under which an engine caches a
+/// prompt's blocks.
 pub(crate) fn cache_salt(team: &str, model: &str, version: &str) -> String {
     format!("{team}/{model}/{version}")
 }
 
-/// Returns the weights version for a new request. A prefix keeps to one
-/// version while the share of engines that serve it stays the same.
+/// Returns the weights version for a new request, `None` if no engine serves
+/// the model. Prompts with the same first block get the same version while the
+/// share of engines that serve it stays the same.
 pub(crate) fn version_of(
-    board: &SharedState,
+    shared: &SharedState,
     team: &str,
     model: &str,
     prompt: &str,
@@ -26,18 +28,18 @@
     let salt = cache_salt(team, model, "");
     let first_block = prompt.get(..BLOCK_BYTES).unwrap_or_default();
     let key = block_chain(&salt, first_block).first().copied();
-    board.dispatch.read(|placement| {
+    shared.dispatch.read(|placement| {
         let version = placement.version(model, key.unwrap_or_default());
         version.map(str::to_owned)
     })
 }
 
 impl<E: Edges> Router<E> {
-    /// Returns a target of a decision; none where the engine's record is
-    /// gone, departing or draining by now.
+    /// Returns the target for a choice of placement; `None` if the engine was
+    /// withdrawn, is departing or is draining.
     pub(super) fn target(&self, view: &View, version: &str, choice: Choice) -> Option<Target> {
         let (name, incarnation) = (choice.engine.clone(), choice.incarnation);
-        let placed = PlacedAttempt::new(self.board.clone(), choice);
+        let placed = PlacedAttempt::new(self.shared.clone(), choice);
         let record = view
             .engines
             .get(&name)
@@ -50,40 +52,45 @@
         })
     }
 
-    /// Returns the weights version for a new request.
+    /// Returns the weights version for a new request, `None` if no engine
+    /// serves the model.
     pub(super) fn version_for(&self, request: &ChatRequest) -> Option<String> {
-        version_of(&self.board, &request.team, &request.model, &request.prompt)
+        version_of(&self.shared, &request.team, &request.model, &request.prompt)
     }
 
-    /// Places a request that was let in already and lost its engine. It does
-    /// not queue again: its caller holds a part of the answer or waited once.
-    /// A stream that has begun is bound to its weights version.
-    pub(super) fn place_again(
+    /// Places a request that was admitted before and lost its engine. It is not
+    /// queued again, because its caller has received a part of the answer or
+    /// has already waited. A stream that has begun is bound to its weights
+    /// version.
+    pub(super) fn place_retry(
         &self,
         request: &ChatRequest,
         view: &View,
         version: Option<&str>,
         tried: &HashSet<String>,
-        fit: &EngineFilter<'_>,
+        is_usable: &EngineFilter<'_>,
     ) -> Option<Target> {
         let mut avoid = tried.clone();
         avoid.extend(view.closed_engines());
         let version = version.map_or_else(|| self.version_for(request), |v| Some(v.to_owned()))?;
         let salt = cache_salt(&request.team, &request.model, &version);
         let chain = block_chain(&salt, &request.prompt);
-        let ask = PlacementRequest {
+        let placement_request = PlacementRequest {
             model: &request.model,
             version: &version,
             chain: &chain,
             kv_store_blocks: 0,
             avoid: &avoid,
-            is_usable: fit,
+            is_usable,
             waited_ms: 0,
             queued: 0,
             force: true,
         };
         let now_ms = self.edges.clock().now_ms();
-        let choice = self.board.dispatch.place_again(&ask, now_ms)?;
+        let choice = self
+            .shared
+            .dispatch
+            .place_retry(&placement_request, now_ms)?;
         self.target(view, &version, choice)
     }
 }
--- a/crates/mangowalkd/src/shared_state/burn.rs
+++ b/crates/mangowalkd/src/shared_state/burn.rs
@@ -4,11 +4,12 @@
     std::{collections::BTreeMap, sync::Mutex},
 };
 
-/// First tokens that wait for the metrics daemon. More in one second are left
-/// out: statsd timers are samples, and memory must stay bounded.
-const MOST_SAMPLES: usize = 1_024;
+/// First-token times held until the metrics are sent next. Further ones in
+/// the same second are dropped: statsd timers are samples, and memory must
+/// stay bounded.
+const MAX_FIRST_TOKEN_SAMPLES: usize = 1_024;
 
-/// What became of every team's requests.
+/// Counts of the outcomes of every team's requests.
 #[derive(Debug, Default)]
 pub struct SharedBurn {
     inner: Mutex<Inner>,
@@ -20,7 +21,7 @@
     unsent: Option<UnsentCounts>,
 }
 
-/// What was counted since metrics were last sent.
+/// Counts since metrics were last sent.
 #[derive(Debug, Default)]
 pub struct UnsentCounts {
     /// Counts by team.
@@ -30,22 +31,23 @@
 }
 
 impl SharedBurn {
-    /// Counts one request of a team.
-    pub fn note(&self, team: &str, seen: &Observation, objective_ms: u64, now_ms: u64) {
+    /// Counts one finished request of a team. `objective_ms` is the team's
+    /// objective for the time to the first token.
+    pub fn record(&self, team: &str, observation: &Observation, objective_ms: u64, now_ms: u64) {
         let mut inner = lock(&self.inner);
-        inner.ledger.record(team, seen, objective_ms, now_ms);
+        inner.ledger.record(team, observation, objective_ms, now_ms);
         if let Some(unsent) = &mut inner.unsent {
-            unsent.note(team, seen, objective_ms);
+            unsent.record(team, observation, objective_ms);
         }
     }
 
-    /// Returns the counts of every team over every window.
+    /// Returns the counts of every team over every time window.
     pub fn publish(&self, now_ms: u64) -> Vec<TeamBurn> {
         lock(&self.inner).ledger.publish(now_ms)
     }
 
-    /// Takes what was counted since the last call. Nothing is kept for it
-    /// before the first one, so that an instance without metrics pays nothing.
+    /// Returns the counts since the last call and resets them. Counting starts
+    /// with the first call, so an instance without metrics stores nothing.
     pub fn take_unsent(&self) -> UnsentCounts {
         lock(&self.inner)
             .unsent
@@ -55,11 +57,11 @@
 }
 
 impl UnsentCounts {
-    fn note(&mut self, team: &str, seen: &Observation, objective_ms: u64) {
+    fn record(&mut self, team: &str, observation: &Observation, objective_ms: u64) {
         let counts = self.counts.entry(team.to_owned()).or_default();
-        counts.record(seen, objective_ms);
-        if let Some(first_ms) = seen.first_token_ms
-            && self.first_tokens.len() < MOST_SAMPLES
+        counts.record(observation, objective_ms);
+        if let Some(first_ms) = observation.first_token_ms
+            && self.first_tokens.len() < MAX_FIRST_TOKEN_SAMPLES
         {
             self.first_tokens.push((team.to_owned(), first_ms));
         }
--- a/crates/mangowalkd/src/shared_state/poison.rs
+++ b/crates/mangowalkd/src/shared_state/poison.rs
@@ -7,7 +7,7 @@
     },
 };
 
-/// Requests that crash upstreams, and which run on which upstream now.
+/// Crashes attributed to requests, and the requests that run on each upstream.
 #[derive(Debug, Clone, Default)]
 pub struct SharedPoison {
     inner: Arc<Mutex<Inner>>,
@@ -17,8 +17,8 @@
 struct Inner {
     ledger: PoisonLedger,
     running: HashMap<String, HashMap<u64, u32>>,
-    /// Crashes that were charged, and until when they are remembered.
-    judged: HashMap<u64, u64>,
+    /// Crashes that were attributed, with the time at which each entry expires.
+    recorded_crashes: HashMap<u64, u64>,
 }
 
 impl SharedPoison {
@@ -28,22 +28,25 @@
         let running = inner.running.entry(upstream.to_owned()).or_default();
         *running.entry(request).or_default() += 1;
         RunningRequest {
-            board: self.clone(),
+            shared: self.clone(),
             upstream: upstream.to_owned(),
             request,
         }
     }
 
-    /// Notes a crash of an upstream, and returns whether it is a new one.
+    /// Attributes a crash of an upstream to the most suspect requests that run
+    /// there. Returns whether the crash is a new one.
     ///
-    /// Each request that ran there meets the same crash on its own thread.
-    /// The first to come decides for all, while all of them still count as
+    /// Each request that ran there detects the same crash on its own thread.
+    /// Only the first call has an effect, while all of them still count as
     /// running.
-    pub fn crashed(&self, upstream: &str, crash: u64, now_ms: u64) -> bool {
+    pub fn record_crash(&self, upstream: &str, crash: u64, now_ms: u64) -> bool {
         let mut inner = lock(&self.inner);
-        inner.judged.retain(|_, until_ms| *until_ms > now_ms);
+        inner
+            .recorded_crashes
+            .retain(|_, until_ms| *until_ms > now_ms);
         if inner
-            .judged
+            .recorded_crashes
             .insert(crash, now_ms + CRASH_RETENTION_MS)
             .is_some()
         {
@@ -59,58 +62,61 @@
         true
     }
 
-    /// Returns how many crashes a request is charged with.
+    /// Returns the number of crashes that are attributed to a request.
     pub fn crashes(&self, request: u64, now_ms: u64) -> usize {
         lock(&self.inner).ledger.crashes(request, now_ms)
     }
 
-    /// Clears a request that completed.
+    /// Clears the crashes of a request that completed.
     pub fn completed(&self, request: u64) {
         lock(&self.inner).ledger.clear(request);
     }
 
-    /// Returns the upstreams on which another suspect request runs. A suspect
-    /// is kept from them: beside another one its crash could not be told from
-    /// the other's.
-    pub fn with_suspects(&self, but: u64, now_ms: u64) -> Vec<String> {
+    /// Returns the upstreams on which a suspect request other than `except`
+    /// runs. Suspects are not placed together, because a crash could then not
+    /// be attributed to one of them.
+    pub fn upstreams_with_suspects(&self, except: u64, now_ms: u64) -> Vec<String> {
         let inner = lock(&self.inner);
         let is_suspect = |request: &u64| inner.ledger.crashes(*request, now_ms) > 0;
         inner
             .running
             .iter()
-            .filter(|(_, requests)| requests.keys().any(|r| *r != but && is_suspect(r)))
+            .filter(|(_, requests)| requests.keys().any(|r| *r != except && is_suspect(r)))
             .map(|(upstream, _)| upstream.clone())
             .collect()
     }
 
-    /// Returns what to tell a peer.
+    /// Returns the crash reports to send to a peer.
     pub fn reports(&self, now_ms: u64) -> Vec<CrashReport> {
         lock(&self.inner).ledger.reports(now_ms)
     }
 
-    /// Takes what a peer told. A crash that a peer has charged is charged here
-    /// too, by what runs here: the peer knows only its own requests on the
-    /// engine, which may all be innocent. Were it not, the one to blame would
-    /// go free whenever a peer was faster. The ledger lets only the most
-    /// suspect of all those charged with a crash answer for it.
-    pub fn merge(&self, sights: &[CrashReport], now_ms: u64) {
-        if !sights.is_empty() {
-            lock(&self.inner).ledger.merge(sights, now_ms);
+    /// Merges the crash reports of a peer.
+    ///
+    /// A report does not count as attributed here, so the crash is still
+    /// attributed to the requests that run here: the peer knows only its own
+    /// requests on the engine, which may not have caused it. Otherwise the
+    /// request that did would be missed whenever a peer was faster. The ledger
+    /// counts a crash only for the most suspect of all requests that it is
+    /// attributed to.
+    pub fn merge(&self, reports: &[CrashReport], now_ms: u64) {
+        if !reports.is_empty() {
+            lock(&self.inner).ledger.merge(reports, now_ms);
         }
     }
 }
 
-/// A request that counts as running on an upstream while this guard lives.
+/// Counts a request as running on an upstream until it is dropped.
 #[derive(Debug)]
 pub struct RunningRequest {
-    board: SharedPoison,
+    shared: SharedPoison,
     upstream: String,
     request: u64,
 }
 
 impl Drop for RunningRequest {
     fn drop(&mut self) {
-        let mut inner = lock(&self.board.inner);
+        let mut inner = lock(&self.shared.inner);
         let Some(running) = inner.running.get_mut(&self.upstream) else {
             return;
         };
--- a/crates/mangowalkd/tests/outside_input.rs
+++ b/crates/mangowalkd/tests/outside_input.rs
@@ -1,4 +1,4 @@
-//! Bytes from callers and peers that no honest one sends.
+//! Arbitrary bytes from callers and peers.
 
 use {
     mangowalk_core::peer::{PeerReply, PeerRequest},
@@ -11,10 +11,10 @@
     },
 };
 
-/// Generated inputs that are sent to one running router.
+/// Number of generated inputs that are sent to one running router.
 const CASES: u32 = 64;
 
-/// Time that the router has to answer bytes that are no request.
+/// Timeout of the router's response to bytes that are not a request.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn runner() -> TestRunner {
@@ -39,10 +39,10 @@
     );
 }
 
-/// The caller sends bytes in place of a JSON body. It receives an error of
-/// the protocol, status 400 or another of the 400s, and the router goes on.
+/// The caller sends a body that is not a valid request. The response is a
+/// protocol error with a 4xx status, and the router keeps serving.
 #[test]
-fn any_body_is_answered_in_the_protocol() {
+fn any_invalid_body_gets_a_protocol_error() {
     let fleet = fleet();
     let bearer = format!("Bearer {}", Fleet::KEY);
     let bodies = prop_oneof![
@@ -66,10 +66,10 @@
     still_serves(&fleet);
 }
 
-/// The caller sends bytes that are no HTTP. Whatever it receives, the router
-/// goes on and serves the next caller.
+/// The caller sends bytes that are not valid HTTP. Whatever it receives, the
+/// router keeps serving.
 #[test]
-fn any_bytes_leave_the_router_serving() {
+fn arbitrary_bytes_do_not_stop_the_router() {
     let fleet = fleet();
     let bytes = prop_oneof![
         prop::collection::vec(any::<u8>(), 0..200),
@@ -86,18 +86,18 @@
 }
 
 fn send_raw(address: SocketAddr, bytes: &[u8]) {
-    let mut stream = TcpStream::connect(address).expect("a listening router");
+    let mut stream = TcpStream::connect(address).expect("the router listens");
     stream
         .set_read_timeout(Some(READ_TIMEOUT))
-        .expect("a timeout");
+        .expect("the read timeout is set");
     let _ = stream.write_all(bytes);
     let _ = stream.shutdown(Shutdown::Write);
     let _ = stream.read_to_end(&mut Vec::new());
 }
 
-/// A peer's message is decoded or refused, whatever its bytes are.
+/// A peer message of arbitrary bytes is decoded or rejected without a panic.
 #[test]
-fn any_peer_message_is_read_or_refused() {
+fn any_peer_message_is_decoded_or_rejected() {
     runner()
         .run(&prop::collection::vec(any::<u8>(), 0..400), |bytes| {
             let _ = postcard::from_bytes::<PeerRequest>(&bytes);
--- a/crates/mangowalkd/tests/poison.rs
+++ b/crates/mangowalkd/tests/poison.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each engine that runs it, sent again and again.
+//! A request that crashes each engine that runs it, and that is retried.
 
 use {
     mangowalk_standins::{
@@ -9,11 +9,11 @@
 
 const ENGINES: usize = 9;
 const ROUTERS: usize = 3;
-const ANSWER: u32 = 200;
-const POISON: &str = "a prompt that crashes engines";
+const ANSWER_TOKENS: u32 = 200;
+const CRASHING_PROMPT: &str = "a prompt that crashes engines";
 
-/// Time in which routers hear of every engine.
-const SETTLE: Duration = Duration::from_millis(2_500);
+/// Time in which routers discover all engines.
+const ENGINE_DISCOVERY_TIME: Duration = Duration::from_millis(2_500);
 
 fn fleet() -> Fleet {
     let fleet = Fleet::start(&FleetSettings {
@@ -29,23 +29,23 @@
         burst_tokens: 10_000_000,
         ..FleetSettings::default()
     });
-    thread::sleep(SETTLE);
+    thread::sleep(ENGINE_DISCOVERY_TIME);
     wait_for_peers(&fleet);
     for engine in &fleet.engines {
         engine.set_faults(EngineFaults {
-            crash_on: Some(POISON.to_owned()),
+            crash_on: Some(CRASHING_PROMPT.to_owned()),
             ..EngineFaults::default()
         });
     }
     fleet
 }
 
-/// Waits until each router names all of them to callers.
+/// Waits until each router lists the addresses of all routers to callers.
 fn wait_for_peers(fleet: &Fleet) {
     let knows_all = |router: &RouterProcess| {
-        let named = Answer::get(router.address(), "/v1/addresses", &[]).body;
+        let addresses = Answer::get(router.address(), "/v1/addresses", &[]).body;
         let mut all = fleet.routers.iter();
-        all.all(|other| named.contains(&other.address().to_string()))
+        all.all(|other| addresses.contains(&other.address().to_string()))
     };
     for _ in 0..200 {
         if fleet.routers.iter().all(knows_all) {
@@ -60,15 +60,16 @@
     fleet.engines.iter().map(|engine| engine.crashes()).sum()
 }
 
-fn send_poison(fleet: &Fleet, router: usize) -> Answer {
-    fleet.chat(router, POISON, 20, false)
+fn send_crashing_request(fleet: &Fleet, router: usize) -> Answer {
+    fleet.chat(router, CRASHING_PROMPT, 20, false)
 }
 
-/// Sends the request to each router in turn until one calls it poisonous.
+/// Sends the request to each router in turn until one refuses it as the cause
+/// of crashes.
 fn send_until_refused(fleet: &Fleet) -> Answer {
     let mut answer = Answer::default();
     for i in 0..12 {
-        answer = send_poison(fleet, i % ROUTERS);
+        answer = send_crashing_request(fleet, i % ROUTERS);
         if answer.status == 422 {
             break;
         }
@@ -77,29 +78,30 @@
     answer
 }
 
-/// A caller sends a request that crashes engines, and sends it again to other
-/// routers. Each router counts what the others saw, so that three engines
-/// crash in all, and then every router refuses it at once.
+/// A caller sends a request that crashes engines, and retries it at other
+/// routers. Each router also counts the crashes that the others report, so only
+/// three engines crash in total, and then every router refuses the request
+/// immediately.
 #[test]
-fn a_poison_request_stops_after_three_crashes() {
+fn a_request_that_crashes_engines_is_refused_after_three_crashes() {
     let fleet = fleet();
     let refused = send_until_refused(&fleet);
     assert_eq!(refused.status, 422, "{}", refused.body);
     assert_eq!(crashes(&fleet), 3);
     for router in 0..ROUTERS {
-        let again = send_poison(&fleet, router);
+        let again = send_crashing_request(&fleet, router);
         assert_eq!(again.status, 422, "{}", again.body);
         assert_eq!(again.header("x-mangowalk-outcome"), Some("not_run"));
     }
     assert_eq!(crashes(&fleet), 3);
 }
 
-/// Callers stream long answers from all engines while one sends a request
-/// that crashes three of them. Their answers are resumed elsewhere and come
-/// whole, and sent again they are served: only the most suspect request is
-/// charged with a crash.
+/// Callers stream long answers from all engines while one sends a request that
+/// crashes three of them. The interrupted answers resume on other engines and
+/// complete, and retries of these requests are served: a crash is attributed
+/// only to the most suspect request.
 #[test]
-fn innocent_requests_beside_a_poison_request_complete() {
+fn other_requests_on_crashed_engines_complete() {
     let fleet = fleet();
     let prompts: Vec<String> = (0..18).map(|i| format!("innocent {i}")).collect();
     let answers: Vec<Answer> = thread::scope(|scope| {
@@ -108,7 +110,7 @@
             .enumerate()
             .map(|(i, prompt)| {
                 let fleet = &fleet;
-                scope.spawn(move || fleet.chat(i % ROUTERS, prompt, ANSWER, true))
+                scope.spawn(move || fleet.chat(i % ROUTERS, prompt, ANSWER_TOKENS, true))
             })
             .collect();
         thread::sleep(Duration::from_millis(200));
@@ -124,7 +126,7 @@
         assert!(answer.is_done(), "{prompt}: {end}");
         assert_eq!(
             answer.streamed_text(),
-            Fleet::expected(prompt, u64::from(ANSWER))
+            Fleet::expected(prompt, u64::from(ANSWER_TOKENS))
         );
     }
     assert_eq!(crashes(&fleet), 3);
--- a/crates/mangowalkd/tests/upstreams.rs
+++ b/crates/mangowalkd/tests/upstreams.rs
@@ -1,4 +1,4 @@
-//! What failing engines are sent, judged by what they and callers receive.
+//! Requests to failing engines, observed by what engines and callers receive.
 
 use {
     mangowalk_standins::{EngineFaults, EngineSettings, Fleet, FleetSettings},
@@ -17,11 +17,11 @@
     fleet
 }
 
-/// The only engine refuses everything. After three attempts the router stops
-/// to send, but for one probe after each pause; without the breaker the
-/// engine would get every request and the callers would wait for it.
+/// The only engine refuses everything. After three attempts the circuit breaker
+/// opens, and the router sends only one probe after each pause. Without the
+/// breaker, the engine would get every request and callers would wait for it.
 #[test]
-fn a_failing_engine_is_left_alone() {
+fn the_breaker_limits_attempts_at_a_failing_engine() {
     let fleet = fleet(1);
     let before = fleet.engines[0].attempts();
     fleet.engines[0].set_faults(EngineFaults {
@@ -36,12 +36,12 @@
     assert!((3..REQUESTS / 2).contains(&sent), "{sent}");
 }
 
-/// One engine of two stalls under its streams: no token, no error. Requests
-/// sent there before that showed leave for the other engine within seconds,
-/// and later ones are not sent there. Without that each would wait for the
-/// timeout of the first token, here longer than any caller does.
+/// One of two engines stalls while it runs streams: it sends no token and no
+/// error. Requests sent there before that is detected move to the other engine
+/// within seconds, and later ones are not sent there. Otherwise each would wait
+/// for the first-token timeout, which here is longer than any caller waits.
 #[test]
-fn requests_leave_a_stalled_engine() {
+fn requests_move_away_from_a_stalled_engine() {
     let fleet = Fleet::start(&FleetSettings {
         program: env!("CARGO_BIN_EXE_mangowalkd").to_owned(),
         engine: EngineSettings {
@@ -85,7 +85,7 @@
             })
             .collect();
         for (i, sent) in sent {
-            let answer = sent.join().expect("an answer");
+            let answer = sent.join().expect("the caller finishes");
             assert_eq!(answer.text(), Fleet::expected(&format!("short {i}"), 2));
         }
         assert!(fleet.engines[0].attempts() > before);
@@ -93,9 +93,10 @@
     });
 }
 
-/// One engine of two is dead. No caller notices, and the other serves all.
+/// One of two engines is dead. The other one serves all requests, and none
+/// fails.
 #[test]
-fn a_dead_engine_is_noticed_by_no_caller() {
+fn a_dead_engine_fails_no_request() {
     let fleet = fleet(2);
     fleet.engines[0].crash();
     for i in 0..REQUESTS {
