--- a/crates/core/src/admission/fair_queue.rs
+++ b/crates/core/src/admission/fair_queue.rs
@@ -16,7 +16,7 @@
 
 /// Refusal of a request that would wait too long or finds the queue full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("The request would wait {wait_ms} ms; retry it in {retry_ms} ms.")]
+#[display("The request would wait {wait_ms} ms; send it again in {retry_ms} ms.")]
 pub struct QueueRefusal {
     /// Predicted wait in milliseconds.
     pub wait_ms: u64,
--- a/crates/mangowalkd/src/caller/body.rs
+++ b/crates/mangowalkd/src/caller/body.rs
@@ -41,7 +41,7 @@
 pub(super) fn read(bytes: &[u8], endpoint: Endpoint) -> Result<Body, Refusal> {
     let fields: Map<String, Value> = serde_json::from_slice(bytes).map_err(|error| {
         malformed(format!(
-            "The body is not a JSON object: {error}; correct it there."
+            "The body is no JSON object: {error}; correct it there."
         ))
     })?;
     let Parameters { ignored } = parameters::check(&fields, endpoint)?;
@@ -84,7 +84,7 @@
     match text {
         Some(text) if !text.is_empty() => Ok(text.clone()),
         _ => Err(malformed(
-            "`prompt` must be a non-empty string or a list of one; send one request per prompt."
+            "`prompt` must be a text that is not empty, or a list of one; send a request for each text."
                 .to_owned(),
         )),
     }
--- a/crates/mangowalkd/src/caller/chat.rs
+++ b/crates/mangowalkd/src/caller/chat.rs
@@ -86,7 +86,7 @@
         .map(Some)
         .ok_or_else(|| {
             body::malformed(format!(
-                "`{DEADLINE_HEADER}` must be a number of milliseconds above 0; correct it or leave it out."
+                "`{DEADLINE_HEADER}` is no number of milliseconds above 0; correct it or leave it out."
             ))
         })
 }
--- a/crates/mangowalkd/src/caller/framing.rs
+++ b/crates/mangowalkd/src/caller/framing.rs
@@ -21,22 +21,19 @@
 pub(super) fn check(request: &Request) -> Result<(), Refusal> {
     for name in SINGLE_HEADERS {
         if count(request, name) > 1 {
-            return Err(malformed(format!(
-                "`{name}` was sent more than once; send it once."
-            )));
+            return Err(malformed(format!("`{name}` came twice; send it once.")));
         }
     }
     let length = value(request, "Content-Length");
     let encoding = value(request, "Transfer-Encoding");
     if length.is_some() && encoding.is_some() {
         return Err(malformed(
-            "`Content-Length` and `Transfer-Encoding` were sent together; send one of them."
-                .to_owned(),
+            "`Content-Length` and `Transfer-Encoding` came together; send one of them.".to_owned(),
         ));
     }
     if length.is_some_and(|text| !is_length(text)) {
         return Err(malformed(
-            "`Content-Length` is not a number of bytes; send decimal digits.".to_owned(),
+            "`Content-Length` is no number of bytes; send decimal digits.".to_owned(),
         ));
     }
     if encoding.is_some_and(|text| !text.eq_ignore_ascii_case("chunked")) {
--- a/crates/mangowalkd/src/caller/handler.rs
+++ b/crates/mangowalkd/src/caller/handler.rs
@@ -223,7 +223,7 @@
 }
 
 fn broken_body() -> Refusal {
-    malformed("The body ended early or its chunks are invalid; send it completely.".to_owned())
+    malformed("The body ended early or its chunks are broken; send it whole.".to_owned())
 }
 
 fn is_timeout(error: &std::io::Error) -> bool {
--- a/crates/mangowalkd/src/caller/messages.rs
+++ b/crates/mangowalkd/src/caller/messages.rs
@@ -10,7 +10,8 @@
         Some(Value::Array(messages)) if !messages.is_empty() => messages,
         _ => {
             return Err(malformed(
-                "`messages` must be a non-empty list; give at least one message.".to_owned(),
+                "`messages` must be a list that is not empty; give at least one message."
+                    .to_owned(),
             ));
         }
     };
@@ -30,7 +31,7 @@
         .filter(|role| ROLES.contains(role))
         .ok_or_else(|| {
             malformed(format!(
-                "`messages[{i}].role` must be one of {}; tool calls are not supported.",
+                "`messages[{i}].role` must be one of {}; engines here call no tools.",
                 ROLES.join(", ")
             ))
         })
@@ -42,7 +43,7 @@
         Value::String(text) => Ok(text.clone()),
         Value::Array(parts) => parts.iter().map(|part| part_of(i, part)).collect(),
         _ => Err(malformed(format!(
-            "`messages[{i}].content` must be a string or a list of parts of type text; correct it."
+            "`messages[{i}].content` must be a text or a list of parts of type text; send it so."
         ))),
     }
 }
@@ -51,7 +52,7 @@
     match (&part["type"], &part["text"]) {
         (Value::String(kind), Value::String(text)) if kind == "text" => Ok(text.clone()),
         _ => Err(malformed(format!(
-            "`messages[{i}].content` holds a part that is not text; only text is supported."
+            "`messages[{i}].content` holds a part that is no text; engines here read text only."
         ))),
     }
 }
--- a/crates/mangowalkd/src/caller/parameters.rs
+++ b/crates/mangowalkd/src/caller/parameters.rs
@@ -78,21 +78,21 @@
         return Ok(());
     }
     Err(malformed(format!(
-        "`{name}` is {value}, which is out of range; correct it or leave it out."
+        "`{name}` is {value}, out of its range; correct it or leave it out."
     )))
 }
 
 fn check_neutral(name: &str, value: &Value) -> Result<(), Refusal> {
     let neutral_values = neutral_values(name).ok_or_else(|| {
         malformed(format!(
-            "`{name}` is not a known parameter; leave it out. docs/api.md lists all."
+            "`{name}` is no known parameter; leave it out. docs/api.md lists all."
         ))
     })?;
     if neutral_values.contains(value) {
         return Ok(());
     }
     Err(malformed(format!(
-        "`{name}` is not supported by the engines; leave it out or send {}.",
+        "`{name}` can't be followed by the engines here; leave it out or send {}.",
         neutral_values[0]
     )))
 }
--- a/crates/mangowalkd/src/caller/server.rs
+++ b/crates/mangowalkd/src/caller/server.rs
@@ -160,8 +160,7 @@
         let caller = request.remote_addr();
         if self.untrusted.contains(caller, retention_ms, now_ms) {
             return Err(malformed(
-                "The end of an earlier request on this connection is uncertain; open another."
-                    .to_owned(),
+                "This connection sent a doubtful length; open another.".to_owned(),
             ));
         }
         framing::check(request).inspect_err(|_| self.untrusted.add(caller, now_ms))
@@ -197,7 +196,7 @@
 
 fn refuse_overload(request: Request) {
     let refusal = Refusal::Unavailable {
-        reason: "This instance has reached its limit of open requests",
+        reason: "This instance serves as many requests as it may",
         retry_ms: jittered_ms(MIN_OVERLOAD_RETRY_MS),
     };
     Head::of(&request_id::generate()).refuse(request, &refusal);
--- a/crates/mangowalkd/src/serve/attempts.rs
+++ b/crates/mangowalkd/src/serve/attempts.rs
@@ -126,7 +126,7 @@
                 break;
             };
             if !self.charge_retry(&history) {
-                return Err(history.refusal("Too many requests had to be retried"));
+                return Err(history.refusal("Too many requests had to be sent again"));
             }
             let now_ms = self.edges.clock().now_ms();
             let name = &target.engine.name;
--- a/crates/mangowalkd/src/serve/reserve.rs
+++ b/crates/mangowalkd/src/serve/reserve.rs
@@ -96,7 +96,7 @@
         self.settle(&gathered, 0);
         if available_tokens == 0 && limits.slots(now_ms) == 0 {
             return Err(Refusal::Unavailable {
-                reason: "This instance holds no share of the rates yet, and no peer granted tokens",
+                reason: "This instance holds no share of the rates yet, and no peer gave of its own",
                 retry_ms: NO_SLOT_RETRY_MS,
             });
         }
--- a/crates/mangowalkd/src/serve/router.rs
+++ b/crates/mangowalkd/src/serve/router.rs
@@ -77,7 +77,7 @@
         } else if self.shared.lifecycle.is_starting() {
             "This instance compares its configuration with its peers"
         } else if !self.shared.config.freshness().is_usable(now_ms) {
-            "This instance has lost contact with the platform and its peers, and can't tell which keys are withdrawn"
+            "This instance is cut off, and can't tell which keys are withdrawn"
         } else {
             return Ok(());
         };
