--- a/crates/core/src/share/bucket.rs
+++ b/crates/core/src/share/bucket.rs
@@ -117,7 +117,7 @@
         Err(((target_level - self.level) / per_ms).clamp(MIN_WAIT_MS, 60_000.0) as u64)
     }
 
-    /// Adds the tokens of a request that did not run back, up to the burst.
+    /// Adds back the tokens of a request that did not run, up to the burst.
     pub fn refund(&mut self, tokens: f64) {
         self.level = (self.level + tokens).min(self.rate.burst);
     }
