--- a/crates/core/examples/decision.rs
+++ b/crates/core/examples/decision.rs
@@ -1,17 +1,18 @@
-//! Makes decisions, for counting their instructions.
+//! Makes placement decisions, to count their instructions.
 //!
-//! `decision ENGINES DECISIONS [events]`; scripts/decision-cost runs it under
-//! callgrind with two numbers of decisions and divides the difference.
+//! Usage: `decision ENGINES DECISIONS [events]`. The script
+//! scripts/decision-cost runs it under callgrind with two numbers of decisions
+//! and divides the difference.
 
 use {
     mangowalk_core::{
         engine::{CacheChange, CacheEvents, EngineState, LoadReport},
-        placement::{Ask, EngineSpec, Placement, PlacementSettings},
+        placement::{EngineSpec, Placement, PlacementRequest, PlacementSettings},
     },
     std::{collections::HashSet, env, hint::black_box},
 };
 
-/// Hot prefixes of 160 blocks, and blocks that are new in each request.
+/// Number of hot prefixes, their blocks, and the new blocks of each request.
 const PREFIXES: u64 = 64;
 const SHARED_BLOCKS: u64 = 160;
 const OWN_BLOCKS: u64 = 8;
@@ -25,7 +26,7 @@
     };
     let events = args.get(2).is_some_and(|a| a == "events");
     let mut placement = placement(engines, events);
-    // Every prefix is known before the decisions that are counted.
+    // Records every prefix before the decisions that are counted.
     for i in 0..PREFIXES * 4 {
         decide(&mut placement, i);
     }
@@ -44,14 +45,14 @@
         .map(|i| EngineSpec {
             name: format!("engine-{i:03}"),
             model: "drafting".to_owned(),
-            near: i % 4 == 0,
+            in_same_domain: i % 4 == 0,
             departing: false,
         })
         .collect();
     placement.set_engines(&specs);
     for (i, spec) in specs.iter().enumerate() {
         placement.report(&spec.name, Some(&state(i)));
-        if events && placement.events_from(&spec.name).is_some() {
+        if events && placement.next_event_sequence(&spec.name).is_some() {
             placement.cache_events(&spec.name, &stored(i as u64));
         }
     }
@@ -72,7 +73,7 @@
     }
 }
 
-/// Each engine holds every fourth prefix.
+/// Returns the cache events of an engine: each holds every fourth prefix.
 fn stored(engine: u64) -> CacheEvents {
     let held = (0..PREFIXES).filter(|p| p % 4 == engine % 4);
     let changes = held
@@ -95,25 +96,25 @@
     (seed * 1_000_003 + number).wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
 
-fn decide(placement: &mut Placement, request: u64) {
-    let chain = chain(request * 7 % PREFIXES, request);
+fn decide(placement: &mut Placement, number: u64) {
+    let chain = chain(number * 7 % PREFIXES, number);
     let none = HashSet::new();
-    let ask = Ask {
+    let request = PlacementRequest {
         model: "drafting",
         version: "v1",
         chain: &chain,
-        kept_blocks: 0,
+        kv_store_blocks: 0,
         avoid: &none,
-        fit: &|_| true,
+        is_usable: &|_| true,
         waited_ms: 0,
         queued: 0,
         force: true,
     };
-    let now_ms = request * 10;
-    if let Some(mut choice) = placement.choose(&ask, now_ms) {
+    let now_ms = number * 10;
+    if let Some(mut choice) = placement.choose(&request, now_ms) {
         placement.sent(&mut choice, &chain, now_ms);
         placement.first_token(&mut choice, now_ms + 5);
-        placement.ended(&choice, Some(choice.believed_blocks), now_ms + 9);
+        placement.ended(&choice, Some(choice.held_blocks), now_ms + 9);
         black_box(&choice);
     }
 }
--- a/crates/core/src/admission/dispatcher.rs
+++ b/crates/core/src/admission/dispatcher.rs
@@ -1,6 +1,6 @@
 use {
     super::{AdmissionSettings, FairQueue, Job, QueueRefusal},
-    crate::placement::{Ask, Choice, Placement},
+    crate::placement::{Choice, Placement, PlacementRequest},
 };
 
 /// Maximum number of teams examined for a request that can be sent, each time
@@ -131,13 +131,13 @@
         queued: usize,
         now_ms: u64,
     ) -> Option<Choice> {
-        let ask = Ask {
+        let ask = PlacementRequest {
             model: &job.model,
             version: &job.version,
             chain: &job.chain,
-            kept_blocks: job.stored_blocks,
+            kv_store_blocks: job.stored_blocks,
             avoid: &job.avoid,
-            fit,
+            is_usable: fit,
             waited_ms: now_ms.saturating_sub(job.arrived_ms),
             queued,
             force: false,
--- a/crates/core/src/peer/message.rs
+++ b/crates/core/src/peer/message.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         config::{Delta, Digest, Write},
-        poison::CrashSight,
+        poison::CrashReport,
     },
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
@@ -17,9 +17,10 @@
         /// Records that the sender holds, in a constant size.
         digest: Digest,
         /// News of other instances, a bounded number.
-        news: Vec<InstanceView>,
+        #[serde(rename = "news")]
+        updates: Vec<InstanceView>,
         /// Crashes charged to requests.
-        crashes: Vec<CrashSight>,
+        crashes: Vec<CrashReport>,
     },
     /// Asks for tokens of a team's rate. The answer is
     /// [`PeerReply::Granted`]; the giver has already deducted them.
@@ -42,7 +43,7 @@
     /// Tells of crashes at once. The answer is [`PeerReply::Crashes`].
     Crashes {
         /// Crashes charged to requests.
-        crashes: Vec<CrashSight>,
+        crashes: Vec<CrashReport>,
     },
 }
 
@@ -54,11 +55,12 @@
         /// The answering instance, as it sees itself.
         from: InstanceView,
         /// News of other instances, a bounded number.
-        news: Vec<InstanceView>,
+        #[serde(rename = "news")]
+        updates: Vec<InstanceView>,
         /// Records that the asker may lack.
         delta: Delta,
         /// Crashes charged to requests.
-        crashes: Vec<CrashSight>,
+        crashes: Vec<CrashReport>,
     },
     /// Tokens granted.
     Granted {
@@ -74,7 +76,7 @@
     /// What the peer knows of crashes.
     Crashes {
         /// Crashes charged to requests.
-        crashes: Vec<CrashSight>,
+        crashes: Vec<CrashReport>,
     },
 }
 
@@ -90,7 +92,8 @@
     /// JSON text of the body; none if the record is withdrawn.
     pub body: Option<String>,
     /// The newest readable write below an unreadable one.
-    pub last: Option<Write>,
+    #[serde(rename = "last")]
+    pub last_readable: Option<Write>,
 }
 
 /// An instance as peers see it.
--- a/crates/core/src/placement/fleet.rs
+++ b/crates/core/src/placement/fleet.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        engine::{EngineFacts, EngineSpec},
         ring::Ring,
+        tracked_engine::{EngineSpec, TrackedEngine},
     },
     crate::engine::EngineState,
     std::collections::HashMap,
@@ -15,17 +15,18 @@
     versions: HashMap<String, usize>,
 }
 
-/// Every engine, by a slot that stays the same while its record stays.
+/// All engines, by a slot that stays the same while the record exists.
 #[derive(Debug, Default)]
-pub(super) struct FleetFacts {
-    engines: Vec<EngineFacts>,
+pub(super) struct Fleet {
+    engines: Vec<TrackedEngine>,
     by_name: HashMap<String, usize>,
     models: HashMap<String, ModelEngines>,
 }
 
-impl FleetFacts {
-    /// Takes the engines of the records in force. What is known of engines
-    /// that stay is kept. Returns the slots that changed hands.
+impl Fleet {
+    /// Replaces the set of engines by those of the records in force, keeping
+    /// the state of engines that stay. Returns the slots whose engine was
+    /// removed.
     pub(super) fn set(&mut self, specs: &[EngineSpec]) -> Vec<usize> {
         let gone: Vec<String> = self
             .by_name
@@ -41,22 +42,22 @@
         for spec in specs {
             match self.by_name.get(&spec.name) {
                 Some(slot) => self.engines[*slot].spec = spec.clone(),
-                None => self.place_new(spec, free.pop()),
+                None => self.insert_new(spec, free.pop()),
             }
         }
         self.rebuild();
         freed
     }
 
-    fn place_new(&mut self, spec: &EngineSpec, free: Option<usize>) {
+    fn insert_new(&mut self, spec: &EngineSpec, free: Option<usize>) {
         let slot = match free {
             Some(slot) => {
                 let generation = self.engines[slot].generation + 1;
-                self.engines[slot] = EngineFacts::new(spec.clone(), generation);
+                self.engines[slot] = TrackedEngine::new(spec.clone(), generation);
                 slot
             }
             None => {
-                self.engines.push(EngineFacts::new(spec.clone(), 0));
+                self.engines.push(TrackedEngine::new(spec.clone(), 0));
                 self.engines.len() - 1
             }
         };
@@ -84,8 +85,8 @@
         self.count_versions();
     }
 
-    /// Takes a report; none where the engine did not answer. Returns the slot
-    /// if its cache is to be forgotten.
+    /// Applies a load report; `None` if the engine did not answer. Returns the
+    /// slot if the engine has restarted, so that its cached blocks are cleared.
     pub(super) fn report(&mut self, name: &str, state: Option<&EngineState>) -> Option<usize> {
         let slot = *self.by_name.get(name)?;
         let engine = &mut self.engines[slot];
@@ -93,7 +94,7 @@
         let restarted = match state {
             Some(state) => engine.report(state),
             None => {
-                engine.unreached();
+                engine.mark_unreachable();
                 false
             }
         };
@@ -114,10 +115,10 @@
         }
     }
 
-    /// Returns the weights version that a request shall run with: each
-    /// version gets the share of prefixes that its engines are of all, so
-    /// that the first engines of a new version are not run over, and a prefix
-    /// stays with one version while nothing changes.
+    /// Returns the weights version with which a request runs. Each version gets
+    /// a share of the prefixes in proportion to its engines, so that the first
+    /// engines of a new version are not overloaded, and a prefix stays with one
+    /// version while nothing changes.
     pub(super) fn version(&self, model: &str, key: u64) -> Option<&str> {
         let versions = &self.models.get(model)?.versions;
         let mut sorted: Vec<(&String, &usize)> = versions.iter().collect();
@@ -137,11 +138,11 @@
         self.models.get(model)
     }
 
-    pub(super) fn get(&self, slot: usize) -> &EngineFacts {
+    pub(super) fn get(&self, slot: usize) -> &TrackedEngine {
         &self.engines[slot]
     }
 
-    pub(super) fn get_mut(&mut self, slot: usize) -> &mut EngineFacts {
+    pub(super) fn get_mut(&mut self, slot: usize) -> &mut TrackedEngine {
         &mut self.engines[slot]
     }
 
@@ -153,7 +154,8 @@
         self.by_name.len()
     }
 
-    /// Returns the slots of requests that a model's engines have together.
+    /// Returns the total number of request slots of the engines of a model that
+    /// have reported.
     pub(super) fn request_slots(&self, model: &str) -> u32 {
         let slots = self.models.get(model).map(|m| m.slots.as_slice());
         slots
@@ -161,7 +163,7 @@
             .iter()
             .map(|slot| &self.engines[*slot])
             .filter(|e| e.state.is_some())
-            .map(EngineFacts::slots)
+            .map(TrackedEngine::slots)
             .sum()
     }
 }
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,11 +1,13 @@
-//! Routes, repeats, and which instances are there.
+//! Routing, the retry budget, and mesh membership.
 
 use {
     mangowalk_core::{
-        mesh::{Heartbeat, MemberTable, MeshSettings, TeamNote},
+        mesh::{Heartbeat, MemberTable, MeshSettings, TeamReport},
         pool::Load,
         retries::{RetryBudget, RetrySettings},
-        routing::{Configuration, Denied, Repeat, Route, RouteTable, ServiceShare, Tenant},
+        routing::{
+            Configuration, RepeatPolicy, Route, RouteError, RouteTable, Tenant, WeightedService,
+        },
     },
     proptest::prelude::*,
     std::net::SocketAddr,
@@ -17,16 +19,16 @@
         host: "Shop.example".to_owned(),
         path_prefix: prefix.to_owned(),
         services: vec![
-            ServiceShare {
+            WeightedService {
                 service: "one".to_owned(),
                 weight: 90,
             },
-            ServiceShare {
+            WeightedService {
                 service: "two".to_owned(),
                 weight: 10,
             },
         ],
-        repeat: Repeat::Idempotent,
+        repeat: RepeatPolicy::Idempotent,
         timeout_ms: 1_000,
         target_ms: 100,
         target_gap_ms: 100,
@@ -84,21 +86,21 @@
 }
 
 #[test]
-fn keys_are_wanted_except_on_open_routes() {
+fn api_keys_are_required_except_on_anonymous_routes() {
     let table = table();
     assert_eq!(
         table.admit("shop.example", "/a/", None).err(),
-        Some(Denied::BadKey)
+        Some(RouteError::BadKey)
     );
     assert_eq!(
         table.admit("shop.example", "/a/", Some("KEY")).err(),
-        Some(Denied::BadKey)
+        Some(RouteError::BadKey)
     );
     assert!(table.admit("shop.example", "/open/", None).is_ok());
 }
 
 #[test]
-fn services_get_their_parts() {
+fn services_get_their_share_of_requests() {
     let route = route("r", "/a/");
     let two = (0..1_000)
         .filter(|draw| route.service(*draw) == "two")
@@ -106,10 +108,11 @@
     assert_eq!(two, 100);
 }
 
-/// Whatever comes, the repeats of all instances in a window stay under what
-/// the service allows, though each knows only its own.
+/// Whatever the order of requests and retries, the retries of all instances
+/// within a window must stay within the budget of the service, though each
+/// instance knows only its own.
 #[test]
-fn repeats_stay_within_the_budget_of_all() {
+fn retries_of_all_instances_stay_within_the_budget() {
     let settings = RetrySettings::default();
     proptest!(ProptestConfig::with_cases(64), |(
         instances in 1_usize..9,
@@ -122,9 +125,9 @@
             now_ms += passed_ms;
             let budget = &mut budgets[at % instances];
             if !is_repeat {
-                budget.request(&settings, now_ms);
+                budget.record_request(&settings, now_ms);
                 requests.push(now_ms);
-            } else if budget.repeat(&settings, instances, now_ms) {
+            } else if budget.try_repeat(&settings, instances, now_ms) {
                 repeats.push(now_ms);
             }
         }
@@ -153,10 +156,10 @@
         configuration_version: 1,
         versions: Vec::new(),
         loads: Vec::new(),
-        placed: Vec::new(),
+        placements: Vec::new(),
         engines_revision: 1,
         departures: Vec::new(),
-        silent: Vec::new(),
+        silent_engines: Vec::new(),
         crashes: Vec::new(),
         knows_rates: true,
         instances: 2,
@@ -172,97 +175,105 @@
 #[test]
 fn a_late_heartbeat_is_dropped() {
     let mut members = MemberTable::default();
-    assert!(members.hear(heartbeat("p", 2, 5), 0));
-    assert!(!members.hear(heartbeat("p", 2, 4), 1));
-    assert!(!members.hear(heartbeat("p", 1, 9), 1));
+    assert!(members.receive(heartbeat("p", 2, 5), 0));
+    assert!(!members.receive(heartbeat("p", 2, 4), 1));
+    assert!(!members.receive(heartbeat("p", 1, 9), 1));
     assert!(
-        members.hear(heartbeat("p", 3, 1), 1),
-        "a new start counts anew"
+        members.receive(heartbeat("p", 3, 1), 1),
+        "a new incarnation starts a new sequence"
     );
 }
 
-/// A peer falls silent. It is no longer named to callers within a second, but
-/// what it may spend stays set aside: it may be serving behind a partition.
+/// A peer stops sending. Callers must not be sent to it any more within a
+/// second, but its share of the budgets must stay reserved: it may still be
+/// serving behind a partition.
 #[test]
-fn a_silent_peer_is_not_named_but_counted() {
+fn a_silent_peer_is_not_advertised_but_still_counted() {
     let settings = MeshSettings::default();
     let mut members = MemberTable::default();
-    members.hear(heartbeat("p", 1, 1), 0);
-    let later_ms = settings.silent_ms + 1;
-    assert_eq!(members.heard(&settings, later_ms).count(), 0);
-    assert_eq!(members.is_heard("p", &settings, later_ms), Some(false));
+    members.receive(heartbeat("p", 1, 1), 0);
+    let later_ms = settings.silent_after_ms + 1;
+    assert_eq!(members.live(&settings, later_ms).count(), 0);
+    assert_eq!(members.is_live("p", &settings, later_ms), Some(false));
     assert!(members.expire(&settings, later_ms).is_empty());
-    assert_eq!(members.expire(&settings, settings.gone_ms + 1), ["p"]);
-    assert_eq!(members.is_heard("p", &settings, settings.gone_ms + 1), None);
+    assert_eq!(members.expire(&settings, settings.gone_after_ms + 1), ["p"]);
+    assert_eq!(
+        members.is_live("p", &settings, settings.gone_after_ms + 1),
+        None
+    );
 }
 
-/// Instances are replaced one after the other, each by one of another name. A
-/// team within its rate must not be refused because parts of it are still set
-/// aside for those that have stopped.
+/// Instances are replaced one after the other by instances of other names. A
+/// team within its rate must not be refused because shares are still reserved
+/// for instances that have stopped.
 #[test]
-fn a_peer_that_has_stopped_is_forgotten_at_once() {
+fn a_stopped_peer_is_removed_at_once() {
     let settings = MeshSettings::default();
     let mut members = MemberTable::default();
-    members.hear(heartbeat("p", 1, 1), 0);
+    members.receive(heartbeat("p", 1, 1), 0);
     let last = Heartbeat {
         stopped: true,
         ready: false,
         ..heartbeat("p", 1, 2)
     };
-    assert!(members.hear(last, 10));
-    assert_eq!(members.is_heard("p", &settings, 11), None);
+    assert!(members.receive(last, 10));
+    assert_eq!(members.is_live("p", &settings, 11), None);
     assert_eq!(members.iter().count(), 0);
 }
 
-/// Guards against a heartbeat that a relay held up, or a peer's hearsay, that
-/// brings an instance back which has stopped.
+/// A heartbeat that a relay delayed, or an indirect report of a peer, must not
+/// restore an instance that has stopped.
 #[test]
-fn a_peer_that_has_stopped_does_not_come_back_by_older_word() {
+fn a_stopped_peer_is_not_restored_by_older_messages() {
     let mut members = MemberTable::default();
     let settings = MeshSettings::default();
-    let beat = |incarnation, sequence| Heartbeat {
+    let heartbeat_of = |incarnation, sequence| Heartbeat {
         peers: Vec::new(),
         ..heartbeat("p", incarnation, sequence)
     };
-    members.hear(beat(1, 1), 0);
+    members.receive(heartbeat_of(1, 1), 0);
     let stopped = Heartbeat {
         stopped: true,
-        ..beat(1, 3)
+        ..heartbeat_of(1, 3)
     };
-    assert!(members.hear(stopped, 10));
-    assert!(!members.hear(beat(1, 2), 200));
-    let hearsay = Heartbeat {
+    assert!(members.receive(stopped, 10));
+    assert!(!members.receive(heartbeat_of(1, 2), 200));
+    let indirect_report = Heartbeat {
         peer_address: "127.0.0.3:7600".parse().expect("an address"),
-        peers: vec![beat(1, 2).peer_address],
+        peers: vec![heartbeat_of(1, 2).peer_address],
         ..heartbeat("other", 1, 1)
     };
-    assert!(members.hear(hearsay, 210));
+    assert!(members.receive(indirect_report, 210));
     let targets = members.targets("a", 1, &settings, 220);
     assert_eq!((members.expected(), targets.direct.len()), (1, 1));
-    assert!(members.hear(beat(2, 1), 300), "it started again");
+    assert!(
+        members.receive(heartbeat_of(2, 1), 300),
+        "the peer restarted"
+    );
     assert_eq!(members.iter().count(), 2);
 }
 
 #[test]
-fn addresses_that_never_answer_are_tried_for_a_while() {
+fn addresses_that_never_answer_are_tried_for_a_limited_time() {
     let settings = MeshSettings::default();
     let mut members = MemberTable::default();
-    members.hear(heartbeat("p", 1, 1), 0);
+    members.receive(heartbeat("p", 1, 1), 0);
     let targets = |now_ms| members.targets("a", 1, &settings, now_ms);
     assert_eq!(targets(10).direct.len(), 2);
-    assert_eq!(targets(settings.try_ms + 1).direct.len(), 1);
+    assert_eq!(targets(settings.candidate_ms + 1).direct.len(), 1);
     assert!(targets(10).relays.is_empty());
 }
 
-/// Eighty instances in four failure domains. Callers are sent to those that were
-/// heard just now, so everybody has to hear of everybody within a heartbeat,
-/// though each sends to few, and some relays are dead.
+/// Callers are sent only to instances from which a heartbeat arrived recently.
+/// With eighty instances in four failure domains, each must receive a recent
+/// heartbeat of every other one within two intervals, though each instance
+/// sends to few and some relays are dead.
 #[test]
-fn all_hear_of_each_other_within_two_heartbeats() {
+fn all_instances_receive_each_other_within_two_heartbeats() {
     let settings = MeshSettings::default();
     let address = |n: usize| format!("127.0.0.{n}:7600").parse().expect("an address");
     let domain = |n: usize| ["a", "b", "c", "d"][n % 4];
-    let beat = |n: usize, sequence| Heartbeat {
+    let heartbeat_of = |n: usize, sequence| Heartbeat {
         peer_address: address(n),
         domain: domain(n).to_owned(),
         peers: Vec::new(),
@@ -271,66 +282,71 @@
     let mut tables: Vec<MemberTable> = (0..80).map(|_| MemberTable::default()).collect();
     for (own, table) in tables.iter_mut().enumerate() {
         for other in (0..80).filter(|other| *other != own) {
-            table.hear(beat(other, 1), 0);
+            table.receive(heartbeat_of(other, 1), 0);
         }
     }
     let is_dead = |n: usize| n % 10 == 3;
-    let mut most_sent = 0;
+    let mut max_sent = 0;
     for sequence in 2..4 {
         let now_ms = 1_000 * sequence;
         for from in (0..80).filter(|n| !is_dead(*n)) {
             let targets = tables[from].targets(domain(from), sequence, &settings, 0);
-            most_sent = most_sent.max(targets.direct.len() + targets.relays.len());
-            let mut told: Vec<SocketAddr> = targets.direct;
+            max_sent = max_sent.max(targets.direct.len() + targets.relays.len());
+            let mut receivers: Vec<SocketAddr> = targets.direct;
             for relay in targets.relays {
-                let place = (0..80).find(|n| address(*n) == relay).expect("it is known");
-                if !is_dead(place) {
-                    told.push(relay);
-                    told.extend(tables[place].within(domain(place)));
+                let relay_index = (0..80)
+                    .find(|n| address(*n) == relay)
+                    .expect("the relay is an instance");
+                if !is_dead(relay_index) {
+                    receivers.push(relay);
+                    receivers.extend(tables[relay_index].in_domain(domain(relay_index)));
                 }
             }
-            for to in (0..80).filter(|n| *n != from && told.contains(&address(*n))) {
-                tables[to].hear(beat(from, sequence), now_ms);
+            for to in (0..80).filter(|n| *n != from && receivers.contains(&address(*n))) {
+                tables[to].receive(heartbeat_of(from, sequence), now_ms);
             }
         }
     }
-    assert_eq!(most_sent, 19 + 3);
+    assert_eq!(max_sent, 19 + 3);
     for (own, table) in tables.iter().enumerate().filter(|(n, _)| !is_dead(*n)) {
         let heard = table
             .iter()
-            .filter(|member| member.heard_ms >= 2_000)
+            .filter(|member| member.received_ms >= 2_000)
             .count();
         assert_eq!(heard, 71, "instance {own}");
     }
 }
 
-/// A heartbeat fits one datagram at today's size; at the design size it grows
-/// with the engines that an instance has work at, not with all of them.
+/// A heartbeat must fit into one datagram at the size of the current fleet. At
+/// the design size it must grow with the engines at which an instance has work,
+/// not with all engines.
 #[test]
 fn a_heartbeat_is_small() {
     let sized = |engines: usize, teams: usize, placed: usize| {
-        let mut beat = heartbeat("edge-south-texas-a-1", 1_700_000_000_000, 500);
+        let mut message = heartbeat("edge-south-texas-a-1", 1_700_000_000_000, 500);
         let load = Load {
             requests: 3,
             memory_tokens: 27_000,
             prefill_tokens: 9_000,
             must_finish: 1,
         };
-        beat.loads = (0..engines)
+        message.loads = (0..engines)
             .map(|n| (format!("i-{n:010x}"), load))
             .collect();
-        beat.placed = (0..placed)
+        message.placements = (0..placed)
             .map(|n| (u64::MAX - n as u64, n as u32))
             .collect();
-        beat.teams = (0..teams)
-            .map(|n| TeamNote {
+        message.teams = (0..teams)
+            .map(|n| TeamReport {
                 team: format!("team{n:03}"),
                 spent: 1e7,
                 level: 1e5,
                 demand_per_s: 1e5,
             })
             .collect();
-        postcard::to_allocvec(&beat).expect("it is encoded").len()
+        postcard::to_allocvec(&message)
+            .expect("it is encoded")
+            .len()
     };
     insta::assert_debug_snapshot!((sized(16, 5, 6), sized(22, 5, 12), sized(30, 230, 12)));
 }
--- a/crates/gateway/src/instance/blackboard.rs
+++ b/crates/gateway/src/instance/blackboard.rs
@@ -2,12 +2,12 @@
     super::{Counters, Crashes, Drain, Following, GatewaySettings, Reload, reloaded},
     crate::clock::now_ms,
     mangowalk_core::{
-        mesh::{MemberTable, OrderNote},
-        pool::{EngineTable, KeptParts, ReadRate, Turnover, UsualPrompt, short_hash},
+        mesh::{MemberTable, OrderReport},
+        pool::{EngineTable, KvStoreContents, MeanPromptLength, PrefillRate, Turnover, short_hash},
         retries::RetryBudget,
         routing::{Configuration, RouteTable},
         share::{ShareSettings, ShareTable},
-        weights::{NamedAt, NamedWeights},
+        weights::{PublishedAt, WeightsHistory},
     },
     mangowalk_platform::{Freshness, MachineSettings},
     std::{
@@ -58,7 +58,7 @@
     /// Requests that were on engines when these crashed.
     pub crashes: RefCell<Crashes>,
     /// What the store of kept parts holds.
-    pub kept: RefCell<KeptParts>,
+    pub kept: RefCell<KvStoreContents>,
     /// Shared parts that engines have read for this instance, and when.
     pub placed: RefCell<VecDeque<(u64, u64, u32)>>,
     /// When this instance started.
@@ -72,13 +72,13 @@
     /// How far the store can be read.
     pub following: Following,
     /// How fast engines read prompts.
-    pub read_rate: Cell<ReadRate>,
+    pub read_rate: Cell<PrefillRate>,
     /// How fast engines' memory fills.
     pub turnover: Cell<Turnover>,
     /// The usual length of prompts.
-    pub usual_prompt: Cell<UsualPrompt>,
+    pub usual_prompt: Cell<MeanPromptLength>,
     /// Newest weights by model.
-    pub newest: RefCell<BTreeMap<String, NamedWeights>>,
+    pub newest: RefCell<BTreeMap<String, WeightsHistory>>,
     /// Parts of teams' rates.
     pub shares: RefCell<ShareTable>,
     /// Repeats by service.
@@ -90,7 +90,7 @@
     /// When this instance gave its last order.
     pub ordered_ms: Cell<Option<u64>>,
     /// Orders that this instance gives, for its heartbeats.
-    pub orders: RefCell<Vec<OrderNote>>,
+    pub orders: RefCell<Vec<OrderReport>>,
     /// Counters for operators.
     pub counters: Counters,
     /// Requests that were read and not answered in full.
@@ -164,7 +164,7 @@
         let mut members = self.members.borrow_mut();
         for &seed in &machine.seeds {
             if seed != machine.peer_address {
-                members.try_address(seed, now_ms());
+                members.add_candidate(seed, now_ms());
             }
         }
     }
@@ -206,13 +206,13 @@
         &self,
         model: &str,
         version: u64,
-        at: NamedAt,
+        at: PublishedAt,
         source: &'static str,
     ) -> bool {
         let mut newest = self.newest.borrow_mut();
         let named = newest.entry(model.to_owned()).or_default();
         let before = named.newest();
-        if !named.name(version, at, &self.settings.weights, now_ms()) {
+        if !named.insert(version, at, &self.settings.weights, now_ms()) {
             return false;
         }
         log::info!(
@@ -229,7 +229,7 @@
         let mesh = &self.settings.mesh;
         let mut shares = self.shares.borrow_mut();
         shares.set_expected_instances(members.expected() + 1);
-        shares.update_peers(|name| members.is_heard(name, mesh, now_ms));
+        shares.update_peers(|name| members.is_live(name, mesh, now_ms));
     }
 
     /// Returns the instances that may be serving, this one included.
@@ -244,7 +244,8 @@
     pub fn freshness(&self, now_ms: u64) -> Freshness {
         let members = self.members.borrow();
         let own = &self.machine().name;
-        let before = members.before(own, |peer| peer.has_store, &self.settings.mesh, now_ms);
+        let before =
+            members.count_live_before(own, |peer| peer.has_store, &self.settings.mesh, now_ms);
         match before < self.settings.current_readers {
             true => Freshness::Current,
             false => Freshness::MayLag,
@@ -255,8 +256,8 @@
     pub fn is_behind(&self, now_ms: u64) -> bool {
         let own = self.routes.borrow().version();
         let members = self.members.borrow();
-        let mut heard = members.heard(&self.settings.mesh, now_ms);
-        heard.any(|member| member.last.configuration_version > own)
+        let mut heard = members.live(&self.settings.mesh, now_ms);
+        heard.any(|member| member.last_heartbeat.configuration_version > own)
     }
 
     /// Returns where callers may connect: this instance if it is ready, and
@@ -264,9 +265,9 @@
     pub fn caller_addresses(&self, now_ms: u64) -> Vec<SocketAddr> {
         let members = self.members.borrow();
         let mut addresses: Vec<SocketAddr> = members
-            .heard(&self.settings.mesh, now_ms)
-            .filter(|member| member.last.ready)
-            .map(|member| member.last.caller_address)
+            .live(&self.settings.mesh, now_ms)
+            .filter(|member| member.last_heartbeat.ready)
+            .map(|member| member.last_heartbeat.caller_address)
             .collect();
         if self.is_ready() {
             addresses.push(self.machine().caller_address);
@@ -281,7 +282,7 @@
         let Some(belief) = engines.get_mut(engine) else {
             return;
         };
-        let is_known = belief.keeps(part, TOLD_AGAIN_MS, now_ms);
+        let is_known = belief.has_cached(part, TOLD_AGAIN_MS, now_ms);
         belief.record_part(part, now_ms);
         if is_known {
             return;
--- a/crates/gateway/src/instance/heartbeats.rs
+++ b/crates/gateway/src/instance/heartbeats.rs
@@ -1,10 +1,10 @@
 use {
     super::Instance,
     mangowalk_core::{
-        mesh::{Heartbeat, OrderNote, OrderPhase},
-        pool::Steering,
+        mesh::{Heartbeat, OrderPhase, OrderReport},
+        pool::WorkPause,
         share::{PeerReport, PeerSpending},
-        weights::NamedAt,
+        weights::PublishedAt,
     },
 };
 
@@ -24,12 +24,12 @@
             return;
         }
         let known = self.members.borrow().incarnation(&heartbeat.name).is_some();
-        if !self.members.borrow_mut().hear(heartbeat.clone(), now_ms) {
+        if !self.members.borrow_mut().receive(heartbeat.clone(), now_ms) {
             return;
         }
         if heartbeat.stopped {
             log::info!("event=peer_stopped peer={}", heartbeat.name);
-            self.engines.borrow_mut().forget_peer(&heartbeat.name);
+            self.engines.borrow_mut().remove_peer(&heartbeat.name);
             return self.look_at_peers(now_ms);
         }
         if !known {
@@ -46,18 +46,18 @@
     }
 
     fn apply_engine_reports(&self, heartbeat: &Heartbeat, now_ms: u64) {
-        for &(part, _) in &heartbeat.placed {
+        for &(part, _) in &heartbeat.placements {
             // The peer's engine was asked to send it; so none here needs to be.
-            self.kept.borrow_mut().ask(part, now_ms);
+            self.kept.borrow_mut().claim_save(part, now_ms);
         }
         let mut engines = self.engines.borrow_mut();
-        engines.peer_load(&heartbeat.name, &heartbeat.loads);
-        engines.placed(&heartbeat.placed, now_ms);
+        engines.set_peer_load(&heartbeat.name, &heartbeat.loads);
+        engines.record_peer_parts(&heartbeat.placements, now_ms);
         let (peer, departures) = (&heartbeat.name, &heartbeat.departures);
         for engine in engines.merge_departures(peer, departures, now_ms) {
             log::info!("event=engine_leaves engine={engine} peer={peer}");
         }
-        for engine in &heartbeat.silent {
+        for engine in &heartbeat.silent_engines {
             if let Some(belief) = engines.get_mut(engine) {
                 belief.report_silent(SILENCE_REPORT_MS, now_ms);
             }
@@ -73,13 +73,13 @@
             self.notes.configuration.notify_one();
         }
         for (model, version, age_ms) in &heartbeat.versions {
-            let at = age_ms.map_or(NamedAt::Unknown, |ms| NamedAt::Ago(u64::from(ms)));
+            let at = age_ms.map_or(PublishedAt::Unknown, |ms| PublishedAt::Ago(u64::from(ms)));
             self.name_weights(model, *version, at, "peer");
         }
     }
 
     /// Believes what the orderer tells of an engine's weights.
-    pub fn apply_order_note(&self, order: &OrderNote, now_ms: u64) {
+    pub fn apply_order_note(&self, order: &OrderReport, now_ms: u64) {
         let mut engines = self.engines.borrow_mut();
         let Some(belief) = engines.get_mut(&order.engine) else {
             return;
@@ -88,7 +88,7 @@
             OrderPhase::Planned | OrderPhase::Sent => {
                 let age_ms = u64::from(order.age_ms);
                 if belief.version(&order.model) < order.version && age_ms < STEERING_MS {
-                    belief.steering = Some(Steering {
+                    belief.pause = Some(WorkPause {
                         version: order.version,
                         until_ms: now_ms + STEERING_MS - age_ms,
                     });
@@ -98,7 +98,7 @@
                 if belief.version(&order.model) < order.version {
                     belief.set_version(&order.model, order.version);
                 }
-                belief.steering = None;
+                belief.pause = None;
             }
         }
     }
--- a/crates/mangowalkd/src/caller/addresses.rs
+++ b/crates/mangowalkd/src/caller/addresses.rs
@@ -2,7 +2,7 @@
     crate::serve::Router,
     mangowalk_core::{
         edge::Edges,
-        membership::{SpreadSettings, keep_ms, spread},
+        membership::{AnswerTtlSettings, addresses_for_caller, answer_ttl_ms},
         peer::InstanceView,
     },
     serde::Serialize,
@@ -18,7 +18,7 @@
 /// Returns the instances that a caller may use, in the order in which it
 /// should try them.
 pub(super) fn body<E: Edges>(router: &Router<E>) -> Vec<u8> {
-    let board = router.board();
+    let board = router.shared();
     let id = &board.identity;
     let mut instances: Vec<InstanceView> = board
         .peers
@@ -29,13 +29,13 @@
         incarnation: id.incarnation,
         heartbeat: 0,
         failure_domain: id.failure_domain.clone(),
-        ready: board.life.is_ready(),
-        departing: board.life.is_departing(),
+        ready: board.lifecycle.is_ready(),
+        departing: board.lifecycle.is_departing(),
         suspected: false,
     });
     let body = Addresses {
-        addresses: spread(&instances, &id.failure_domain, rand::random()),
-        keep_ms: keep_ms(&SpreadSettings::default(), &instances),
+        addresses: addresses_for_caller(&instances, &id.failure_domain, rand::random()),
+        keep_ms: answer_ttl_ms(&AnswerTtlSettings::default(), &instances),
     };
     serde_json::to_vec(&body).unwrap_or_default()
 }
--- a/crates/mangowalkd/src/operator/candidates.rs
+++ b/crates/mangowalkd/src/operator/candidates.rs
@@ -1,11 +1,11 @@
 use {
     crate::{
-        board::{Board, EngineSight},
         serve::cache_salt,
+        shared_state::{KnownEngine, SharedState},
     },
     mangowalk_core::{
         config::{EngineRecord, View},
-        placement::{Ask, Choice, block_chain},
+        placement::{Choice, PlacementRequest, block_chain},
         status::{Candidate, ExplainRequest},
     },
     std::collections::HashSet,
@@ -13,7 +13,7 @@
 
 /// Weighs the engines of a model for one request, without sending it.
 pub(super) struct Weighing<'a> {
-    board: &'a Board,
+    board: &'a SharedState,
     engines: Vec<&'a EngineRecord>,
     model: &'a str,
     version: &'a str,
@@ -26,7 +26,7 @@
 
 impl<'a> Weighing<'a> {
     pub(super) fn new(
-        board: &'a Board,
+        board: &'a SharedState,
         view: &'a View,
         request: &'a ExplainRequest,
         version: &'a str,
@@ -60,7 +60,7 @@
 
     /// Returns every engine of the model, with why it could be used or not.
     pub(super) fn candidates(&self) -> Vec<Candidate> {
-        let sights = self.board.engines.sights();
+        let sights = self.board.engines.snapshot();
         self.engines
             .iter()
             .map(|engine| {
@@ -74,7 +74,7 @@
             .collect()
     }
 
-    fn judge(&self, engine: &EngineRecord, sight: Option<&EngineSight>) -> (bool, String) {
+    fn judge(&self, engine: &EngineRecord, sight: Option<&KnownEngine>) -> (bool, String) {
         let no = |reason: &str| (false, reason.to_owned());
         if engine.departing {
             return no("It departs and gets no new work.");
@@ -110,7 +110,7 @@
         let expected_ms = choice.expected_ms.round();
         let reason = format!(
             "First token expected after {expected_ms} ms; it is believed to hold {} of {} blocks.",
-            choice.believed_blocks,
+            choice.held_blocks,
             self.blocks()
         );
         (true, reason)
@@ -124,13 +124,13 @@
     }
 
     fn choose(&self, avoid: &HashSet<String>, force: bool) -> Option<Choice> {
-        let ask = Ask {
+        let ask = PlacementRequest {
             model: self.model,
             version: self.version,
             chain: &self.chain,
-            kept_blocks: 0,
+            kv_store_blocks: 0,
             avoid,
-            fit: &|name| force || self.board.upstreams.usable(name, self.now_ms),
+            is_usable: &|name| force || self.board.upstreams.usable(name, self.now_ms),
             force,
             waited_ms: 0,
             queued: self.board.dispatch.queued(),
--- a/crates/mangowalkd/src/serve/admit.rs
+++ b/crates/mangowalkd/src/serve/admit.rs
@@ -5,7 +5,7 @@
         admission::{Decision, Job},
         config::View,
         edge::{Clock, Edges},
-        placement::{Choice, block_chain, tokens_of},
+        placement::{Choice, block_chain, estimate_tokens},
         refusal::Refusal,
     },
     std::{collections::HashSet, time::Duration},
@@ -48,7 +48,7 @@
 
     /// Returns the weights version for a request that arrives now.
     fn version_now(&self, request: &ChatRequest) -> Result<String, Refusal> {
-        self.board.take_engines(&self.board.config.view());
+        self.board.apply_engines(&self.board.config.view());
         self.version_for(request).ok_or(Refusal::Unavailable {
             reason: "No engine serves the model now",
             retry_ms: NO_ENGINE_RETRY_MS,
@@ -121,7 +121,7 @@
             team: request.team.clone(),
             weight: rate.map_or(1.0, |r| r.tokens_per_s as f64),
             priority: team.map_or(9, |t| t.priority),
-            tokens: tokens_of(&request.prompt) + u64::from(request.max_tokens),
+            tokens: estimate_tokens(&request.prompt) + u64::from(request.max_tokens),
             arrived_ms: self.edges.clock().now_ms(),
             deadline_ms: request.deadline_ms,
             model: request.model.clone(),
--- a/crates/mangowalkd/src/board/admission.rs
+++ b/crates/mangowalkd/src/shared_state/admission.rs
@@ -1,11 +1,11 @@
 use {
-    super::{UpstreamBoard, lock},
+    super::{SharedUpstreams, lock},
     flume::{Receiver, Sender},
     mangowalk_core::{
         admission::{AdmissionSettings, Decision, Dispatcher, Job},
         config::View,
         engine::{CacheEvents, EngineState},
-        placement::{Ask, Choice, EngineSpec, Placement, PlacementSettings},
+        placement::{Choice, EngineSpec, Placement, PlacementRequest, PlacementSettings},
     },
     std::{
         collections::HashMap,
@@ -26,14 +26,14 @@
 
 /// Admission, queue and placement of this instance, and who waits for them.
 #[derive(Debug)]
-pub struct DispatchBoard {
+pub struct SharedDispatcher {
     inner: Mutex<Inner>,
 }
 
 #[derive(Debug)]
 struct Inner {
     dispatcher: Dispatcher,
-    upstreams: UpstreamBoard,
+    upstreams: SharedUpstreams,
     waiters: HashMap<u64, Sender<Decision>>,
     next_id: u64,
     /// View whose engines placement knows.
@@ -41,17 +41,17 @@
     now_ms: u64,
 }
 
-impl DispatchBoard {
+impl SharedDispatcher {
     /// Returns a board that knows no engine yet. The seed differs between
     /// instances, so that refused callers of several do not return together.
-    pub fn new(settings: DispatchSettings, upstreams: UpstreamBoard) -> DispatchBoard {
+    pub fn new(settings: DispatchSettings, upstreams: SharedUpstreams) -> SharedDispatcher {
         let DispatchSettings {
             placement,
             admission,
             seed,
         } = settings;
         let placement = Placement::new(placement, seed);
-        DispatchBoard {
+        SharedDispatcher {
             inner: Mutex::new(Inner {
                 dispatcher: Dispatcher::new(placement, admission, seed),
                 upstreams,
@@ -125,7 +125,7 @@
 
     /// Chooses an engine past the queue, for a request that was let in
     /// already and lost its engine.
-    pub fn place_again(&self, ask: &Ask<'_>, now_ms: u64) -> Option<Choice> {
+    pub fn place_again(&self, ask: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
         let mut inner = lock(&self.inner);
         let placement = inner.dispatcher.placement_mut();
         let mut choice = placement.choose(ask, now_ms)?;
@@ -134,7 +134,7 @@
     }
 
     /// Returns where a request would go now, and sends nothing.
-    pub fn preview(&self, ask: &Ask<'_>, now_ms: u64) -> Option<Choice> {
+    pub fn preview(&self, ask: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
         let mut inner = lock(&self.inner);
         inner.dispatcher.placement_mut().choose(ask, now_ms)
     }
--- a/crates/mangowalkd/src/board/upstreams.rs
+++ b/crates/mangowalkd/src/shared_state/upstreams.rs
@@ -1,7 +1,7 @@
 use {
     super::lock,
     mangowalk_core::{
-        attempt::Ended,
+        attempt::EndedAttempt,
         upstream::{Health, RetryBudget},
     },
     std::{
@@ -13,12 +13,12 @@
 
 /// What each upstream can take, judged from this instance's own attempts.
 ///
-/// Placement asks [`UpstreamBoard::usable`] for each engine that it weighs
+/// Placement asks [`SharedUpstreams::usable`] for each engine that it weighs
 /// and leaves out those that are not. Where nothing is usable, an engine that
-/// [`UpstreamBoard::allows`] an attempt is better than a refusal, unless the
+/// [`SharedUpstreams::allows`] an attempt is better than a refusal, unless the
 /// request can wait.
 #[derive(Debug, Clone, Default)]
-pub struct UpstreamBoard {
+pub struct SharedUpstreams {
     inner: Arc<Mutex<Inner>>,
 }
 
@@ -34,7 +34,7 @@
     serves: String,
 }
 
-impl UpstreamBoard {
+impl SharedUpstreams {
     /// Returns whether an upstream may get one more attempt: its breaker is
     /// closed or due for a probe, and it is below its limit.
     pub fn usable(&self, name: &str, now_ms: u64) -> bool {
@@ -58,28 +58,28 @@
 
     /// Notes a request that is tried for the first time.
     pub fn first_attempt(&self) {
-        lock(&self.inner).budget.first_attempt();
+        lock(&self.inner).budget.record_first_attempt();
     }
 
     /// Takes a retry out of the budget, if one is left.
     pub fn retry(&self) -> bool {
-        lock(&self.inner).budget.retry()
+        lock(&self.inner).budget.try_retry()
     }
 
     /// Charges a stream that is resumed.
     pub fn resume(&self) {
-        lock(&self.inner).budget.resume();
+        lock(&self.inner).budget.charge_resume();
     }
 
     /// Counts an attempt on an upstream, unless its breaker holds it back.
     /// Upstreams that serve the same are each other's measure.
-    pub fn start(&self, name: &str, serves: &str, now_ms: u64) -> Option<UpstreamRun> {
+    pub fn start(&self, name: &str, serves: &str, now_ms: u64) -> Option<UpstreamAttempt> {
         let mut inner = lock(&self.inner);
         let entry = inner.upstreams.entry(name.to_owned()).or_default();
         if entry.serves != serves {
             entry.serves = serves.to_owned();
         }
-        entry.health.start(now_ms).then(|| UpstreamRun {
+        entry.health.start(now_ms).then(|| UpstreamAttempt {
             board: self.clone(),
             name: name.to_owned(),
             is_waiting: Cell::new(true),
@@ -103,7 +103,7 @@
             .upstreams
             .iter()
             .filter(|(peer, entry)| *peer != name && entry.serves == *serves)
-            .filter_map(|(_, entry)| entry.health.short_ms())
+            .filter_map(|(_, entry)| entry.health.recent_ms())
             .collect();
         times.sort_by(f64::total_cmp);
         times.get(times.len() / 2).copied()
@@ -112,13 +112,13 @@
 
 /// An attempt that is counted on its upstream while this guard lives.
 #[derive(Debug)]
-pub struct UpstreamRun {
-    board: UpstreamBoard,
+pub struct UpstreamAttempt {
+    board: SharedUpstreams,
     name: String,
     is_waiting: Cell<bool>,
 }
 
-impl UpstreamRun {
+impl UpstreamAttempt {
     /// Notes the time to first token.
     pub fn first_token(&self, took_ms: u64, now_ms: u64) {
         self.is_waiting.set(false);
@@ -131,12 +131,12 @@
 
     /// Notes a token behind the first.
     pub fn heard(&self, now_ms: u64) {
-        self.update(|health| health.heard(now_ms));
+        self.update(|health| health.record_token(now_ms));
     }
 
     /// Notes that a stream listened and heard nothing.
     pub fn unheard(&self, now_ms: u64) {
-        self.update(|health| health.unheard(now_ms));
+        self.update(|health| health.record_silence(now_ms));
     }
 
     fn update(&self, writer: impl FnOnce(&mut Health)) {
@@ -147,7 +147,7 @@
     }
 
     /// Notes how the attempt ended.
-    pub fn end(self, ended: &Ended, now_ms: u64) {
+    pub fn end(self, ended: &EndedAttempt, now_ms: u64) {
         self.is_waiting.set(false);
         let mut inner = lock(&self.board.inner);
         if let Some(entry) = inner.upstreams.get_mut(&self.name) {
@@ -156,7 +156,7 @@
     }
 }
 
-impl Drop for UpstreamRun {
+impl Drop for UpstreamAttempt {
     /// A request's thread that panics must not hold its place for ever.
     fn drop(&mut self) {
         if !self.is_waiting.get() {
@@ -164,7 +164,7 @@
         }
         let mut inner = lock(&self.board.inner);
         if let Some(entry) = inner.upstreams.get_mut(&self.name) {
-            entry.health.forget();
+            entry.health.cancel_waiting();
         }
     }
 }
