--- a/crates/core/src/admission/dispatcher.rs
+++ b/crates/core/src/admission/dispatcher.rs
@@ -70,23 +70,23 @@
     /// Submits a new request, which is sent, queued or refused at once. Returns
     /// the decisions made now, on this request and on queued ones; none on a
     /// request that stays queued.
-    pub fn submit(&mut self, job: Job, fit: &EngineFilter<'_>, now_ms: u64) -> Vec<Decision> {
+    pub fn submit(&mut self, job: Job, is_usable: &EngineFilter<'_>, now_ms: u64) -> Vec<Decision> {
         let id = job.id;
         if self.queue.is_empty()
-            && let Some(choice) = Self::place(&mut self.placement, fit, &job, 0, now_ms)
+            && let Some(choice) = Self::place(&mut self.placement, is_usable, &job, 0, now_ms)
         {
             self.queue.charge(&job);
             return vec![Decision::Send { id, choice }];
         }
         match self.queue.push(job, now_ms) {
-            Ok(()) => self.dispatch_queued(fit, now_ms),
+            Ok(()) => self.dispatch_queued(is_usable, now_ms),
             Err(refusal) => vec![Decision::Refuse { id, refusal }],
         }
     }
 
     /// Refuses overdue requests, sends queued ones for which an engine has
     /// capacity, and returns these decisions.
-    pub fn dispatch_queued(&mut self, fit: &EngineFilter<'_>, now_ms: u64) -> Vec<Decision> {
+    pub fn dispatch_queued(&mut self, is_usable: &EngineFilter<'_>, now_ms: u64) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for (job, wait_ms) in self.take_overdue(now_ms) {
             let refusal = self.queue.refusal(wait_ms);
@@ -99,7 +99,7 @@
         loop {
             let queued = self.queue.len();
             let next = self.queue.take_next(now_ms, MAX_TEAMS_TRIED, |job| {
-                Self::place(placement, fit, job, queued, now_ms)
+                Self::place(placement, is_usable, job, queued, now_ms)
             });
             let Some((job, choice)) = next else {
                 return decisions;
@@ -126,7 +126,7 @@
 
     fn place(
         placement: &mut Placement,
-        fit: &EngineFilter<'_>,
+        is_usable: &EngineFilter<'_>,
         job: &Job,
         queued: usize,
         now_ms: u64,
@@ -135,9 +135,9 @@
             model: &job.model,
             version: &job.version,
             chain: &job.chain,
-            kv_store_blocks: job.stored_blocks,
+            kv_store_blocks: job.cache_store_blocks,
             avoid: &job.avoid,
-            is_usable: fit,
+            is_usable,
             waited_ms: now_ms.saturating_sub(job.arrived_ms),
             queued,
             force: false,
--- a/crates/core/src/admission/job.rs
+++ b/crates/core/src/admission/job.rs
@@ -29,5 +29,5 @@
     /// request suspected of crashing engines.
     pub avoid: HashSet<String>,
     /// Number of the prompt's blocks that the KV cache store is known to hold.
-    pub stored_blocks: usize,
+    pub cache_store_blocks: usize,
 }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -19,7 +19,7 @@
         model: "drafting".to_owned(),
         version: "v1".to_owned(),
         chain: Vec::new(),
-        stored_blocks: 0,
+        cache_store_blocks: 0,
     }
 }
 
--- a/crates/mangowalkd/src/serve/admit.rs
+++ b/crates/mangowalkd/src/serve/admit.rs
@@ -128,7 +128,7 @@
             version: version.to_owned(),
             chain: block_chain(&salt, &request.prompt),
             avoid: self.suspects_apart_from(request),
-            stored_blocks: 0,
+            cache_store_blocks: 0,
         }
     }
 }
--- a/crates/standins/src/queue/mangowalk.rs
+++ b/crates/standins/src/queue/mangowalk.rs
@@ -112,7 +112,7 @@
             model: MODEL.to_owned(),
             version: VERSION.to_owned(),
             chain: request.chain.to_vec(),
-            stored_blocks: kept_blocks,
+            cache_store_blocks: kept_blocks,
         };
         self.waiting.insert(request.id);
         let verdicts = self.dispatcher.submit(job, &|_| true, now_ms);
