--- a/crates/mangowalkd/src/serve/admit.rs
+++ b/crates/mangowalkd/src/serve/admit.rs
@@ -136,7 +136,7 @@
             version: version.to_owned(),
             chain: block_chain(&salt, &request.prompt),
             avoid: self.upstreams_with_other_suspects(request),
-            stored_blocks: 0,
+            cache_store_blocks: 0,
         }
     }
 }
