--- a/crates/core/examples/burn_capacity.rs
+++ b/crates/core/examples/burn_capacity.rs
@@ -1,4 +1,5 @@
-//! Measures what the burn report costs, at several sizes:
+//! Measures time, memory and size of the burn report for several numbers of
+//! teams and instances:
 //! `cargo run --release -p mangowalk-core --example burn_capacity`.
 
 use {
@@ -6,10 +7,10 @@
     std::{net::SocketAddr, time::Instant},
 };
 
-/// Requests noted for one figure.
+/// Number of requests recorded per measurement.
 const NOTES: u64 = 1_000_000;
 
-/// Reports made for one figure; the median is printed.
+/// Number of reports computed per measurement; the median is printed.
 const REPORTS: usize = 5;
 
 const OBJECTIVE_MS: u64 = 600;
@@ -33,8 +34,8 @@
     }
 }
 
-/// Returns a ledger in which every cell holds something, and the time of one
-/// note.
+/// Returns a ledger in which every cell holds counts, and the mean time to
+/// record one request in nanoseconds.
 fn filled(teams: u64) -> (Ledger, u64) {
     let names: Vec<String> = (0..teams).map(|t| format!("team-{t:03}")).collect();
     let mut ledger = Ledger::default();
--- a/crates/core/src/attempt/ended.rs
+++ b/crates/core/src/attempt/ended.rs
@@ -3,21 +3,21 @@
 /// Why an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The answer is complete.
+    /// The answer was received completely.
     Complete,
-    /// The caller has gone.
+    /// The caller disconnected.
     CallerGone,
-    /// The call failed.
+    /// The call to the engine failed.
     Send(SendError),
-    /// The request reached the longest time that it may take.
+    /// The request reached its maximum total time.
     OverTime,
-    /// The engine fell silent to all of its streams, and another is free.
+    /// The engine stalled on all of its streams, and another engine is free.
     Stalled,
-    /// The stream can't go on.
+    /// The stream can't continue.
     Stream(Fault),
 }
 
-/// An attempt that ended, and what is known of it.
+/// An attempt that ended, with what is known about its result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedAttempt {
     pub(super) end: End,
@@ -26,21 +26,22 @@
 }
 
 impl EndedAttempt {
-    /// Returns why it ended.
+    /// Returns why the attempt ended.
     pub fn end(&self) -> End {
         self.end
     }
 
-    /// Returns the time to its first token, if one came.
+    /// Returns the time to the first token, in milliseconds; `None` if no token
+    /// arrived.
     pub fn first_token_ms(&self) -> Option<u64> {
         self.first_token_ms
     }
 
-    /// Returns what is known of the request through this attempt alone.
+    /// Returns what this attempt alone shows about the request's outcome.
     ///
-    /// Only a refused connection and an engine's own statement show that
-    /// nothing ran. A timeout shows nothing: the request may still be in the
-    /// engine's queue, or have run with its answer lost.
+    /// Only a refused connection or an explicit statement of the engine shows
+    /// that nothing ran. A timeout leaves it open: the request may still be in
+    /// the engine's queue, or it ran and its answer was lost.
     pub fn outcome(&self) -> Outcome {
         if self.tokens > 0 {
             return Outcome::Ran;
@@ -55,11 +56,11 @@
         }
     }
 
-    /// Returns whether the engine is to blame.
+    /// Returns whether the attempt counts as a failure of the engine.
     ///
     /// An engine that refuses because its incarnation or weights changed is
-    /// healthy: what the router knew of it was old. Counting that against it
-    /// would open its breaker after every restart and every new version.
+    /// healthy: the router's data about it was outdated. Counting such refusals
+    /// would open the breaker after every restart and every new version.
     pub fn is_failure(&self) -> bool {
         !matches!(
             self.end,
@@ -71,7 +72,8 @@
         )
     }
 
-    /// Returns whether what is known of the engine was old.
+    /// Returns whether the attempt failed because the router's data about the
+    /// engine was outdated.
     pub fn is_stale(&self) -> bool {
         matches!(
             self.end,
@@ -79,8 +81,8 @@
         )
     }
 
-    /// Returns whether the engine may still work on the attempt, so that it
-    /// has to be told to stop.
+    /// Returns whether the engine may still be working on the attempt and needs
+    /// a cancel request.
     pub fn needs_cancel(&self) -> bool {
         matches!(
             self.end,
--- a/crates/core/src/attempt/mod.rs
+++ b/crates/core/src/attempt/mod.rs
@@ -1,8 +1,8 @@
-//! The life of one attempt to have an engine answer a request.
+//! Life cycle of one attempt to have an engine answer a request.
 //!
-//! An attempt is planned, sent, streaming and ended, in this order, and each
-//! phase is a type of its own. So the questions that depend on the phase (how
-//! long to wait, whether anything ran) can't be asked in the wrong one.
+//! An attempt is planned, sent, streaming and ended, in this order. Each phase
+//! is a type of its own, so that methods whose result depends on the phase
+//! (remaining wait, whether anything ran) exist only where they apply.
 
 mod ended;
 mod phases;
--- a/crates/core/src/attempt/phases.rs
+++ b/crates/core/src/attempt/phases.rs
@@ -1,16 +1,16 @@
 use super::{End, EndedAttempt, Timeouts};
 
-/// An attempt that is chosen and not sent.
+/// Phase of an attempt that has not been sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Planned;
 
-/// An attempt that may have reached its engine, without a token yet.
+/// Phase of an attempt that may have reached its engine, before its first token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sent {
     sent_ms: u64,
 }
 
-/// An attempt that has brought at least one token.
+/// Phase of an attempt that has returned at least one token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Streaming {
     sent_ms: u64,
@@ -19,7 +19,7 @@
     tokens: u64,
 }
 
-/// One attempt in one of its phases.
+/// One attempt, with its phase as a type parameter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 pub struct Attempt<Phase> {
@@ -28,14 +28,14 @@
 }
 
 impl<Phase> Attempt<Phase> {
-    /// Returns the number of the attempt, from 1.
+    /// Returns the number of the attempt, counted from 1.
     pub fn number(&self) -> u32 {
         self.number
     }
 }
 
 impl Attempt<Planned> {
-    /// Plans an attempt.
+    /// Returns an attempt that has not been sent. `number` counts from 1.
     pub fn plan(number: u32) -> Attempt<Planned> {
         Attempt {
             number,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Notes that the attempt leaves. From here on it may have run.
+    /// Marks the attempt as sent. From now on the engine may have run it.
     pub fn send(self, now_ms: u64) -> Attempt<Sent> {
         Attempt {
             number: self.number,
@@ -53,13 +53,13 @@
 }
 
 impl Attempt<Sent> {
-    /// Returns how long to wait on, 0 when the time is over.
+    /// Returns the remaining wait in milliseconds, 0 after the timeout.
     pub fn wait_ms(&self, timeouts: &Timeouts, now_ms: u64) -> u64 {
         let until_ms = self.phase.sent_ms.saturating_add(timeouts.first_token_ms);
         until_ms.saturating_sub(now_ms)
     }
 
-    /// Notes the first token.
+    /// Records the first token.
     pub fn first_token(self, now_ms: u64) -> Attempt<Streaming> {
         Attempt {
             number: self.number,
@@ -83,7 +83,7 @@
 }
 
 impl Attempt<Streaming> {
-    /// Returns how long to wait on, 0 when the time is over.
+    /// Returns the remaining wait in milliseconds, 0 after the timeout.
     pub fn wait_ms(&self, timeouts: &Timeouts, now_ms: u64) -> u64 {
         let until_ms = self
             .phase
@@ -92,18 +92,18 @@
         until_ms.saturating_sub(now_ms)
     }
 
-    /// Returns the time from sending to the first token.
+    /// Returns the time from sending to the first token, in milliseconds.
     pub fn first_token_ms(&self) -> u64 {
         self.phase.first_ms.saturating_sub(self.phase.sent_ms)
     }
 
-    /// Notes one more token.
+    /// Records a further token.
     pub fn token(&mut self, now_ms: u64) {
         self.phase.last_ms = now_ms;
         self.phase.tokens += 1;
     }
 
-    /// Ends the attempt.
+    /// Ends the attempt after at least one token.
     pub fn end(self, end: End) -> EndedAttempt {
         EndedAttempt {
             end,
--- a/crates/core/src/attempt/timeouts.rs
+++ b/crates/core/src/attempt/timeouts.rs
@@ -1,19 +1,20 @@
-/// How long an attempt waits for its engine.
+/// Timeouts of an attempt.
 ///
-/// The two silences have different causes, so one figure can't serve both.
-/// Before the first token an engine may queue the request and compute a long
-/// prompt; between two tokens a healthy engine needs some ten milliseconds.
-/// With only the longer figure a caller would stare at half a sentence for
-/// that long; with only the shorter one, long prompts would be given up while
-/// they are computed, and computed again elsewhere.
+/// The two waits have different causes and need separate timeouts. Before the
+/// first token an engine may queue the request and compute a long prompt.
+/// Between two tokens a healthy engine needs some ten milliseconds. With the
+/// longer timeout for both, a caller would wait that long in the middle of an
+/// answer. With the shorter one for both, long prompts would be abandoned
+/// during their computation and computed again on another engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timeouts {
-    /// Longest wait for the first token.
+    /// Maximum wait for the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Longest wait between two tokens.
+    /// Maximum wait between two tokens, in milliseconds.
     pub between_tokens_ms: u64,
-    /// When the request reaches the longest time that it may take. A shutdown
-    /// waits a little longer than that, so that it cuts off none.
+    /// Time at which the request reaches its maximum total time, in
+    /// milliseconds of the monotonic clock. A shutdown waits a little longer
+    /// than this total, so that it cuts off no request.
     pub request_until_ms: u64,
 }
 
--- a/crates/core/src/burn/counts.rs
+++ b/crates/core/src/burn/counts.rs
@@ -3,7 +3,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What became of one team's requests in some time.
+/// Counts of one team's requests by result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Counts {
@@ -11,29 +11,29 @@
     pub complete: u64,
     /// Cut off after they were sent to an upstream.
     pub cut: u64,
-    /// Left by their callers.
+    /// Abandoned by their callers before the answer was complete.
     pub abandoned: u64,
     /// Refused because the caller has to change them.
     pub rejected: u64,
     /// Refused because the team's rate was used up.
     pub over_rate: u64,
-    /// Refused although the team's rate would have allowed them.
+    /// Refused for lack of capacity, within the team's rate.
     pub turned_away: u64,
     /// First tokens within the team's objective.
     pub first_in_time: u64,
     /// First tokens later than the team's objective.
     pub first_late: u64,
-    /// Tokens of the requests that were served.
+    /// Tokens of the requests that were not refused.
     pub served_tokens: u64,
-    /// Tokens of the requests that were over the rate.
+    /// Tokens of the requests that were refused for the rate.
     pub over_rate_tokens: u64,
-    /// Times to the first token.
+    /// Distribution of the times to the first token.
     pub first_token: Histogram,
 }
 
 impl Counts {
-    /// Counts one request. `objective_ms` is the team's objective for the time
-    /// to the first token.
+    /// Adds one request. `objective_ms` is the team's objective for the time to
+    /// the first token.
     pub fn record(&mut self, observation: &Observation, objective_ms: u64) {
         match observation.end {
             End::Complete => self.complete += 1,
@@ -71,11 +71,12 @@
         self.first_token.add(&other.first_token);
     }
 
-    /// Returns how many requests met an objective and how many missed it.
+    /// Returns the number of requests that met an objective and the number that
+    /// missed it.
     ///
-    /// Refusals for the rate count against the team itself, and so in neither
-    /// number; [`BurnReport`](super::BurnReport) adds those that the fleet as a
-    /// whole should not have made.
+    /// Refusals for the rate are caused by the team itself and count in neither.
+    /// [`BurnReport`](super::BurnReport) adds those that were made while the
+    /// team was within its rate over the whole fleet.
     pub fn good_and_bad(&self, objective: Objective) -> (u64, u64) {
         match objective {
             Objective::FirstToken => (self.first_in_time, self.first_late),
@@ -84,12 +85,12 @@
         }
     }
 
-    /// Returns the tokens that the team asked for.
+    /// Returns the number of tokens that the team requested.
     pub fn asked_tokens(&self) -> u64 {
         self.served_tokens + self.over_rate_tokens
     }
 
-    /// Returns whether nothing was counted.
+    /// Returns whether all counts are zero.
     pub fn is_empty(&self) -> bool {
         *self == Counts::default()
     }
--- a/crates/core/src/burn/end.rs
+++ b/crates/core/src/burn/end.rs
@@ -1,28 +1,29 @@
 use crate::refusal::{Outcome, Refusal};
 
-/// How a request ended, as the burn report counts it.
+/// How a request ended, as counted by the burn report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     /// Answered completely.
     Complete,
-    /// Sent to an upstream, and not answered completely.
+    /// Sent to an upstream and not answered completely.
     Cut,
-    /// Left by its caller before the answer was complete.
+    /// Abandoned by its caller before the answer was complete.
     Abandoned,
     /// Refused because the caller has to change it.
     Rejected,
     /// Refused because the team's rate was used up.
     OverRate,
-    /// Refused for want of capacity.
+    /// Refused for lack of capacity.
     TurnedAway,
 }
 
 impl End {
-    /// Returns the end of a request that was refused, once `answered` tells
-    /// whether the caller had a part of the answer already.
+    /// Returns how a refused request is counted. `answered` is whether the
+    /// caller already received a part of the answer.
     ///
-    /// It goes by what the caller sees: a refusal that says "come back" is the
-    /// system's, one that says "change it" is the caller's.
+    /// The result depends on what the caller is asked to do: a refusal that
+    /// asks to retry is counted against the system, one that asks to change the
+    /// request against the caller.
     pub fn from_refusal(refusal: &Refusal, answered: bool) -> End {
         if answered {
             return End::Cut;
--- a/crates/core/src/burn/histogram.rs
+++ b/crates/core/src/burn/histogram.rs
@@ -1,13 +1,14 @@
 use serde::{Deserialize, Serialize};
 
-/// Upper bounds of the buckets, in milliseconds; a last bucket takes the rest.
+/// Inclusive upper bounds of the buckets, in milliseconds. One more bucket
+/// counts larger values.
 ///
-/// Fixed for every instance: buckets with other bounds would not add up.
+/// All instances must use the same bounds, or their counts can't be added.
 pub const BOUNDS_MS: [u64; 11] = [25, 50, 100, 200, 400, 600, 800, 1_200, 2_000, 5_000, 15_000];
 
 const BUCKETS: usize = BOUNDS_MS.len() + 1;
 
-/// Counts of times by bucket.
+/// Histogram of durations.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Histogram {
@@ -15,7 +16,7 @@
 }
 
 impl Histogram {
-    /// Counts a time.
+    /// Counts one duration.
     pub fn record(&mut self, time_ms: u64) {
         let bucket = BOUNDS_MS.partition_point(|bound| *bound < time_ms);
         self.buckets[bucket] += 1;
@@ -28,13 +29,14 @@
         }
     }
 
-    /// Returns the number of times counted.
+    /// Returns the number of durations counted.
     pub fn total(&self) -> u64 {
         self.buckets.iter().sum()
     }
 
-    /// Returns the bound within which the given share of the times lies, none
-    /// if there are no times or the bound is beyond the last.
+    /// Returns the upper bound of the bucket that holds the given percentile,
+    /// in milliseconds; `None` if nothing was counted or the percentile is
+    /// above the last bound.
     pub fn percentile_ms(&self, percent: u64) -> Option<u64> {
         let required = (self.total() * percent).div_ceil(100);
         if required == 0 {
--- a/crates/core/src/burn/ledger.rs
+++ b/crates/core/src/burn/ledger.rs
@@ -3,21 +3,23 @@
     std::collections::BTreeMap,
 };
 
-/// Teams that are counted apart.
+/// Maximum number of teams with counts; requests of further teams are not
+/// counted.
 ///
-/// A team's rings take about 7 KB, so 512 teams take less than 4 MB of the
-/// 64 MB that an instance has. Teams come from records only, so a caller can't
-/// add any; the bound is for an operator's mistake.
+/// The windows of a team take about 7 KB, so 512 teams take less than 4 MB of
+/// the 64 MB that an instance has. Teams come from records only, so callers
+/// can't add any; the bound guards against an operator's mistake.
 const MAX_TEAMS: usize = 512;
 
-/// Counts of every team in one instance.
+/// One instance's counts by team and window.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     teams: BTreeMap<String, Vec<SlidingWindow>>,
 }
 
 impl Ledger {
-    /// Counts one request of a team.
+    /// Counts one request of a team in every window. `objective_ms` is the
+    /// team's objective for the time to the first token.
     pub fn record(
         &mut self,
         team: &str,
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Forgets teams that asked nothing in the longest window.
+    /// When the ledger is full, removes teams without a request in any window.
     fn remove_idle_teams(&mut self, now_ms: u64) {
         if self.teams.len() >= MAX_TEAMS {
             self.teams
@@ -48,7 +50,8 @@
         }
     }
 
-    /// Returns the counts of every team over every window.
+    /// Returns the counts of every team that has any, by window. The teams'
+    /// rates are left at 0 for the caller to fill in.
     pub fn publish(&self, now_ms: u64) -> Vec<TeamBurn> {
         self.teams
             .iter()
@@ -64,7 +67,8 @@
             .collect()
     }
 
-    /// Returns the memory that counting takes, in bytes, allocator aside.
+    /// Returns the memory used by the counts in bytes, without allocator
+    /// overhead.
     pub fn memory_bytes(&self) -> usize {
         let windows = Window::ALL.len() * size_of::<SlidingWindow>();
         let names: usize = self.teams.keys().map(String::len).sum();
--- a/crates/core/src/burn/level.rs
+++ b/crates/core/src/burn/level.rs
@@ -4,34 +4,34 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Burn at which a month's budget is gone in two days.
+/// Burn rate that uses up a month's error budget in two days.
 const FAST_BURN: f64 = 14.4;
 
-/// Burn at which a month's budget is gone in five days.
+/// Burn rate that uses up a month's error budget in five days.
 const SLOW_BURN: f64 = 6.0;
 
-/// How urgent a burn is.
+/// Alert level of a burn rate.
 ///
-/// The rule and its two figures are those of the multiwindow, multi-burn-rate
-/// alert in Google's Site Reliability Workbook, chapter 5: a short and a long
-/// window must both burn, so that the alert ends soon after the failure and a
-/// single hiccup raises none.
+/// The rule and its two thresholds are those of the multiwindow,
+/// multi-burn-rate alert in Google's Site Reliability Workbook, chapter 5: the
+/// burn rate must reach the threshold in both a short and a long window. The
+/// alert thus ends soon after the failure, and a brief error raises none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Level {
-    /// Within the budget.
+    /// Below both thresholds.
     #[display("ok")]
     Ok,
-    /// Look at it today.
+    /// Needs attention within the day.
     #[display("slow")]
     Slow,
-    /// Look at it now.
+    /// Needs attention immediately.
     #[display("fast")]
     Fast,
 }
 
 impl Level {
-    /// Returns the level of burns over the windows, the shortest first.
+    /// Returns the level for the burn rates by window, the shortest first.
     pub fn of(burns: &[WindowBurn]) -> Level {
         let both = |short: usize, long: usize, bound: f64| {
             let at = |i: usize| burns.get(i).is_some_and(|b| b.burn >= bound);
--- a/crates/core/src/burn/mod.rs
+++ b/crates/core/src/burn/mod.rs
@@ -1,13 +1,13 @@
-//! Service-level burn: how fast each team's error budget is used up.
+//! Burn rates: how fast each team uses up its error budgets.
 //!
-//! Every instance counts what became of each request, per team, in cells of
-//! three windows. It publishes counts and never percentiles: counts of all
-//! instances add up exactly, percentiles do not. The report is made from the
-//! sums.
+//! Every instance counts the results of requests per team, in three sliding
+//! windows that are divided into cells. It publishes counts and no percentiles,
+//! since counts of several instances can be added and percentiles can't. The
+//! report is computed from the sums.
 //!
-//! Load pattern: 230 teams, 20 requests a second an instance. Without cells a
-//! window could only be cleared at once, and a report just after that would
-//! show nothing of the failure that an operator is looking for.
+//! Load pattern: 230 teams, and 20 requests a second per instance. Without
+//! cells a window could only be cleared as a whole, and a report right after
+//! that would not show the failure that an operator is looking for.
 
 mod counts;
 mod end;
--- a/crates/core/src/burn/objective.rs
+++ b/crates/core/src/burn/objective.rs
@@ -3,16 +3,16 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What each team is promised.
+/// Service-level objectives of each team.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Objective {
-    /// The first token comes within the team's `first_token_ms`.
+    /// The first token arrives within the team's `first_token_ms`.
     #[display("first_token")]
     FirstToken,
-    /// An answer that was begun is completed.
+    /// A request that was sent to an upstream is answered completely.
     #[display("complete")]
     Complete,
     /// A request within the team's rate is not refused.
@@ -21,19 +21,20 @@
 }
 
 impl Objective {
-    /// Every objective, in the order of the report.
+    /// All objectives, in the order of the report.
     pub const ALL: [Objective; 3] = [
         Objective::FirstToken,
         Objective::Complete,
         Objective::Admitted,
     ];
 
-    /// Returns the error budget: the requests out of a million that may miss
-    /// the objective.
+    /// Returns the error budget: how many requests in a million may miss the
+    /// objective.
     ///
-    /// One first token in a hundred may be late, since an engine that reads a
-    /// missed prefix is slow and not broken. An answer cut short or a wrongful
-    /// refusal makes a caller leave, so only one in a thousand may be.
+    /// One first token in a hundred may be late, since an engine that computes a
+    /// prefix after a cache miss is slow, but not faulty. Truncated answers and
+    /// unjustified refusals make callers leave, so only one in a thousand is
+    /// allowed.
     pub fn budget_ppm(self) -> u64 {
         match self {
             Objective::FirstToken => 10_000,
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Returns the burn: 1.0 uses the budget up exactly, 10.0 ten times as
-    /// fast. No request, no burn.
+    /// Returns the burn rate: 1.0 uses up the budget exactly, 10.0 ten times as
+    /// fast, and 0.0 stands for no requests.
     pub fn burn(self, good: u64, bad: u64) -> f64 {
         let all = good + bad;
         if all == 0 {
--- a/crates/core/src/burn/observation.rs
+++ b/crates/core/src/burn/observation.rs
@@ -1,12 +1,13 @@
 use super::End;
 
-/// What was seen of one request.
+/// Result of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Observation {
-    /// Time from its arrival to the first token, none if none came.
+    /// Time from the request's arrival to the first token, in milliseconds;
+    /// `None` if there was no token.
     pub first_token_ms: Option<u64>,
-    /// How it ended.
+    /// How the request ended.
     pub end: End,
-    /// Tokens used; for a request over the rate, tokens asked for.
+    /// Number of tokens used; for a request over the rate, tokens requested.
     pub tokens: u64,
 }
--- a/crates/core/src/burn/published.rs
+++ b/crates/core/src/burn/published.rs
@@ -4,10 +4,10 @@
     std::net::SocketAddr,
 };
 
-/// What an instance counted, `GET /burn` on its operator address.
+/// Counts of an instance, `GET /burn` on its operator address.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceBurn {
-    /// Address towards callers.
+    /// Address on which the instance serves callers.
     pub caller_address: SocketAddr,
     /// Counts by team.
     pub teams: Vec<TeamBurn>,
@@ -18,19 +18,19 @@
 pub struct TeamBurn {
     /// Name of the team.
     pub team: String,
-    /// The team's rate in force, 0 if it has none.
+    /// Rate of the team in tokens per second, 0 if it has none.
     pub tokens_per_s: u64,
-    /// Counts by window.
+    /// Counts by window, the shortest first.
     pub windows: Vec<WindowCounts>,
 }
 
-/// Counts over one window.
+/// Counts of one team over one window.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WindowCounts {
-    /// Window.
+    /// Window that the counts belong to.
     pub window: Window,
-    /// Time that the counts cover.
+    /// Time that the counts cover, in milliseconds.
     pub covered_ms: u64,
-    /// Counts.
+    /// Requests by result.
     pub counts: Counts,
 }
--- a/crates/core/src/burn/report.rs
+++ b/crates/core/src/burn/report.rs
@@ -6,27 +6,29 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// Burn of the whole fleet.
+/// Burn rates over the whole fleet.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct BurnReport {
-    /// Burn by team and objective, the most urgent first.
+    /// Burn rates by team and objective, the most urgent first.
     pub rows: Vec<BurnRow>,
-    /// Further facts by team.
+    /// Latencies and use of the rate, by team.
     pub teams: Vec<TeamSummary>,
 }
 
-/// What a team's callers saw in the longest window.
+/// Time to first token in the longest window and use of the rate, for one team.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamSummary {
     /// Name of the team.
     pub team: String,
-    /// Bound within which half of the first tokens came.
+    /// Median time to first token, as an upper bound in milliseconds; `None` if
+    /// there is none or it is above the last bucket bound.
     pub first_token_half_ms: Option<u64>,
-    /// Bound within which 99 of 100 first tokens came.
+    /// 99th percentile of the time to first token, as an upper bound in
+    /// milliseconds; `None` as for the median.
     pub first_token_99_percent_ms: Option<u64>,
-    /// Requests refused for the rate, by window.
+    /// Number of requests refused for the rate, by window.
     pub over_rate: Vec<u64>,
-    /// Share of its rate that the team asked for, in percent, by window.
+    /// Requested tokens in percent of the team's rate, by window.
     pub asked_percent: Vec<u64>,
 }
 
@@ -58,8 +60,9 @@
     fn burn(&self, objective: Objective, window: Window) -> WindowBurn {
         let (_, counts) = self.window(window);
         let (good, mut bad) = counts.good_and_bad(objective);
-        // The team as a whole asked for less than its rate, and yet instances
-        // refused for the rate: their shares were in the wrong places.
+        // The team requested no more than its rate in total, and instances
+        // still refused requests for the rate: the shares of the rate were at
+        // the wrong instances. These refusals count as errors of the system.
         let is_within_rate = self.tokens_per_s > 0 && self.asked_percent(window) <= 100;
         if objective == Objective::Admitted && is_within_rate {
             bad += counts.over_rate;
@@ -74,7 +77,7 @@
 }
 
 impl BurnReport {
-    /// Returns the report over what all instances published.
+    /// Computes the report from the counts that all instances published.
     pub fn of<'a>(published: impl IntoIterator<Item = &'a TeamBurn>) -> BurnReport {
         let mut sums: BTreeMap<&str, Sum> = BTreeMap::new();
         for team in published {
@@ -91,7 +94,7 @@
             }
             report.teams.push(summary(team, sum));
         }
-        // The sort is stable, so teams stay in the order of their names.
+        // The sort is stable, so teams of the same level stay sorted by name.
         report.rows.sort_by_key(|row| std::cmp::Reverse(row.level));
         report
     }
--- a/crates/core/src/burn/row.rs
+++ b/crates/core/src/burn/row.rs
@@ -3,28 +3,28 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Burn of one team and objective.
+/// Burn rates of one team for one objective.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BurnRow {
     /// Name of the team.
     pub team: String,
-    /// Objective.
+    /// Objective that the burn rates refer to.
     pub objective: Objective,
-    /// How urgent it is.
+    /// Alert level.
     pub level: Level,
-    /// Burn by window, the shortest first.
+    /// Burn rates by window, the shortest first.
     pub windows: Vec<WindowBurn>,
 }
 
-/// Burn over one window.
+/// Burn rate over one window.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WindowBurn {
-    /// Window.
+    /// Window that the burn rate covers.
     pub window: Window,
-    /// Requests that met the objective.
+    /// Number of requests that met the objective.
     pub good: u64,
-    /// Requests that missed it.
+    /// Number of requests that missed it.
     pub bad: u64,
-    /// Speed at which the budget is used: 1.0 uses it up exactly.
+    /// Burn rate: 1.0 uses up the error budget exactly.
     pub burn: f64,
 }
--- a/crates/core/src/burn/window.rs
+++ b/crates/core/src/burn/window.rs
@@ -3,17 +3,17 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Full cells of a window. Together with the running one they cover the window
-/// and up to a twelfth more.
+/// Number of full cells in a window. Together with the current, partial cell
+/// they cover the window and up to a twelfth more.
 pub const CELLS_PER_WINDOW: u64 = 12;
 
 const MINUTE_MS: u64 = 60_000;
 
-/// The windows over which burn is reported.
+/// Windows over which burn rates are reported.
 ///
-/// A short window shows that a failure goes on now, a long one that it costs
-/// enough to matter. One alone either cries at each hiccup or still cries an
-/// hour after the failure has ended.
+/// A short window shows that a failure is still going on, a long one that it is
+/// significant. A short window alone raises alerts for brief errors. A long
+/// window alone still raises them an hour after the failure ended.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -33,10 +33,10 @@
 }
 
 impl Window {
-    /// Every window, the shortest first.
+    /// All windows, the shortest first.
     pub const ALL: [Window; 3] = [Window::FiveMinutes, Window::OneHour, Window::SixHours];
 
-    /// Returns the length.
+    /// Returns the length of the window in milliseconds.
     pub fn length_ms(self) -> u64 {
         match self {
             Window::FiveMinutes => 5 * MINUTE_MS,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the length of one cell.
+    /// Returns the length of one cell in milliseconds.
     pub fn cell_ms(self) -> u64 {
         self.length_ms() / CELLS_PER_WINDOW
     }
--- a/crates/core/src/edge/engines.rs
+++ b/crates/core/src/edge/engines.rs
@@ -6,22 +6,22 @@
     std::net::SocketAddr,
 };
 
-/// Why an upstream's answer did not come or did not go on.
+/// Why a call to an upstream failed or its answer stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum SendError {
-    /// No connection was made: nothing ran.
+    /// No connection was made, so nothing ran.
     #[display("The upstream refused the connection; check that it runs.")]
     NotConnected,
-    /// The connection was lost after the request may have left.
+    /// The connection was lost after the request may have been sent.
     #[display("The upstream's connection was lost; check its log for a crash.")]
     Lost,
-    /// Nothing came in time.
+    /// No answer arrived within the timeout.
     #[display("The upstream did not answer in time; check its load.")]
     TimedOut,
-    /// The answer can't be read.
+    /// The answer could not be parsed.
     #[display("The upstream's answer can't be read; check its version.")]
     Unreadable,
-    /// The upstream stated that it refused before anything ran.
+    /// The upstream refused the request and stated that nothing ran.
     #[display("The upstream refused the request with status {status}; nothing ran.")]
     Refused {
         /// HTTP status.
@@ -29,53 +29,54 @@
     },
 }
 
-/// Events of one attempt, as they come.
+/// Event stream of one attempt.
 pub trait EngineEvents: Send {
-    /// Waits for the next event, at most `wait_ms`; none if nothing came.
+    /// Waits up to `wait_ms` milliseconds for the next event. Returns `None` if
+    /// none arrived.
     ///
     /// # Errors
     ///
-    /// [`SendError::Lost`] where the stream ended, whether or not the engine
-    /// closed it properly: the final event is an event of its own.
+    /// [`SendError::Lost`] if the stream ended, whether or not the engine
+    /// closed it properly: a complete answer ends with an event of its own.
     fn wait(&mut self, wait_ms: u64) -> Result<Option<GenerateEvent>, SendError>;
 }
 
-/// Model engines.
+/// Client of model engines.
 pub trait Engines: Send + Sync + 'static {
-    /// Events of one attempt.
+    /// Event stream of one attempt.
     type Events: EngineEvents;
 
-    /// Starts an attempt. The call returns before the engine answers, so
-    /// that a hung engine can't hold the caller past its own timeout.
+    /// Starts an attempt. Returns before the engine answers, so that a hung
+    /// engine can't block the caller beyond the caller's own timeout.
     fn generate(&self, address: SocketAddr, request: &GenerateRequest) -> Self::Events;
 
-    /// Stops an attempt. The call returns at once: an engine that hangs must
-    /// not hold up the attempt that replaces it.
+    /// Stops an attempt. Returns at once, so that a hung engine does not delay
+    /// the attempt that replaces it.
     fn cancel(&self, address: SocketAddr, request: &CancelRequest);
 
-    /// Reads what the engine serves, and its load.
+    /// Reads which model and weights the engine serves, and its load.
     ///
     /// # Errors
     ///
-    /// Fails where the engine can't be reached.
+    /// Returns an error if the engine can't be reached.
     fn state(&self, address: SocketAddr) -> Result<EngineState, SendError>;
 
-    /// Reads cache events from a sequence number on.
+    /// Reads the cache events starting at a sequence number.
     ///
     /// # Errors
     ///
-    /// Fails where the engine can't be reached.
+    /// Returns an error if the engine can't be reached.
     fn cache_events(
         &self,
         address: SocketAddr,
         from_sequence: u64,
     ) -> Result<CacheEvents, SendError>;
 
-    /// Gives an order.
+    /// Sends an order and returns the engine's answer.
     ///
     /// # Errors
     ///
-    /// [`SendError::Lost`] and [`SendError::TimedOut`] leave open whether the
-    /// order took effect.
+    /// After [`SendError::Lost`] or [`SendError::TimedOut`] the order may or may
+    /// not have taken effect.
     fn order(&self, address: SocketAddr, order: &Order) -> Result<OrderReply, SendError>;
 }
--- a/crates/core/src/edge/mod.rs
+++ b/crates/core/src/edge/mod.rs
@@ -1,7 +1,7 @@
-//! Interfaces to everything outside the process.
+//! Traits for the systems outside the process.
 //!
-//! Each outside system stands behind one trait, so that another dialect
-//! changes one implementation and no decision.
+//! Each outside system is accessed through one trait, so that a change of its
+//! protocol affects one implementation and none of the decision logic.
 
 mod clock;
 mod engines;
@@ -17,27 +17,27 @@
     services::{ServiceCall, ServiceReply, Services},
 };
 
-/// The set of edges that a process runs with.
+/// The edge implementations that a process runs with.
 pub trait Edges: Send + Sync + 'static {
-    /// Time.
+    /// Source of the current time.
     type Clock: Clock;
-    /// The platform's object API.
+    /// Client of the platform's object API.
     type Platform: Platform;
-    /// Model engines.
+    /// Client of model engines.
     type Engines: Engines;
-    /// Plain services.
+    /// Client of plain services.
     type Services: Services;
-    /// Other instances of the router.
+    /// Client of other instances of the router.
     type Peers: Peers;
 
-    /// Returns the clock.
+    /// Returns the source of the current time.
     fn clock(&self) -> &Self::Clock;
-    /// Returns the platform.
+    /// Returns the client of the platform.
     fn platform(&self) -> &Self::Platform;
-    /// Returns the engines.
+    /// Returns the client of model engines.
     fn engines(&self) -> &Self::Engines;
-    /// Returns the services.
+    /// Returns the client of plain services.
     fn services(&self) -> &Self::Services;
-    /// Returns the peers.
+    /// Returns the client of other instances.
     fn peers(&self) -> &Self::Peers;
 }
--- a/crates/core/src/edge/peers.rs
+++ b/crates/core/src/edge/peers.rs
@@ -4,20 +4,21 @@
     std::net::SocketAddr,
 };
 
-/// Why a peer gave no answer.
+/// Why a request to a peer failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum PeerError {
-    /// Nothing came in time; the request may have taken effect.
+    /// No answer arrived within the timeout; the request may have taken effect.
     #[display("The peer did not answer in time; check that it runs and is reachable.")]
     NoAnswer,
-    /// The answer can't be read.
+    /// The answer could not be parsed.
     #[display("The peer's answer can't be read; check that both run compatible versions.")]
     Unreadable,
 }
 
-/// Other instances of the router.
+/// Client of other instances of the router.
 pub trait Peers: Send + Sync + 'static {
-    /// Asks a peer and waits for its answer.
+    /// Sends a request to a peer and waits up to `timeout_ms` milliseconds for
+    /// its answer.
     ///
     /// # Errors
     ///
--- a/crates/core/src/edge/platform.rs
+++ b/crates/core/src/edge/platform.rs
@@ -7,13 +7,13 @@
 /// Why a call to the platform failed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum PlatformError {
-    /// The condition of the write did not hold; nothing was written.
+    /// The condition of the write was not met; nothing was written.
     #[display("The object is at version {version}, not as expected; read it and decide again.")]
     Conflict {
-        /// Version that the platform holds, 0 if there is none.
+        /// Current version of the object on the platform, 0 if it does not exist.
         version: u64,
     },
-    /// The platform was not reached; nothing was written.
+    /// The platform could not be reached; nothing was written.
     #[display("The platform was not reached; check --platform and the platform's health.")]
     Unreached,
     /// The call may or may not have taken effect.
@@ -27,41 +27,43 @@
     },
 }
 
-/// The platform's object API.
+/// Client of the platform's object API.
 pub trait Platform: Send + Sync + 'static {
-    /// Reads one object.
+    /// Reads one object; `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails where the platform can't be reached.
+    /// Returns an error if the platform can't be reached.
     fn get(&self, key: &ObjectKey) -> Result<Option<Object>, PlatformError>;
 
     /// Writes one object and returns its new version.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Lost`] leaves open whether the write took effect.
+    /// After [`PlatformError::Lost`] the write may or may not have taken effect.
     fn put(&self, key: &ObjectKey, expect: Expect, body: &Value) -> Result<u64, PlatformError>;
 
     /// Deletes one object and returns the version of its tombstone.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Lost`] leaves open whether the deletion took effect.
+    /// After [`PlatformError::Lost`] the deletion may or may not have taken
+    /// effect.
     fn delete(&self, key: &ObjectKey, expect: Expect) -> Result<u64, PlatformError>;
 
-    /// Lists every object of the kinds.
+    /// Lists all objects of the given kinds.
     ///
     /// # Errors
     ///
-    /// Fails where the platform can't be reached.
+    /// Returns an error if the platform can't be reached.
     fn list(&self, kinds: &[&str]) -> Result<ListReply, PlatformError>;
 
-    /// Waits for writes of the kinds after a revision.
+    /// Waits up to `wait_ms` milliseconds for writes to the given kinds after a
+    /// revision, and returns them.
     ///
     /// # Errors
     ///
-    /// Fails where the platform can't be reached.
+    /// Returns an error if the platform can't be reached.
     fn watch(
         &self,
         kinds: &[&str],
--- a/crates/core/src/edge/services.rs
+++ b/crates/core/src/edge/services.rs
@@ -1,21 +1,21 @@
 use {super::SendError, std::net::SocketAddr};
 
-/// A call of a plain service. It never carries the caller's key.
+/// A call to a plain service. It never contains the caller's API key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceCall<'a> {
-    /// Path on the service, with its query.
+    /// Path on the service, including the query.
     pub path: &'a str,
     /// HTTP method.
     pub method: &'a str,
     /// Media type of the body.
     pub content_type: &'a str,
-    /// Team that calls.
+    /// Name of the calling team.
     pub team: &'a str,
-    /// Identity of the request.
+    /// Id of the request.
     pub request_id: &'a str,
-    /// Idempotency key, passed on so that the service can check it too.
+    /// Idempotency key, forwarded so that the service can check it too.
     pub idempotency_key: Option<&'a str>,
-    /// Body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
@@ -26,18 +26,19 @@
     pub status: u16,
     /// Media type of the body.
     pub content_type: String,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// Plain services.
+/// Client of plain services.
 pub trait Services: Send + Sync + 'static {
-    /// Sends one call and waits for the whole answer.
+    /// Sends one call and waits up to `timeout_ms` milliseconds for the complete
+    /// answer.
     ///
     /// # Errors
     ///
-    /// Only [`SendError::NotConnected`] and [`SendError::Refused`] state that
-    /// nothing ran.
+    /// Only after [`SendError::NotConnected`] and [`SendError::Refused`] is it
+    /// known that nothing ran.
     fn call(
         &self,
         address: SocketAddr,
--- a/crates/core/src/engine/cache.rs
+++ b/crates/core/src/engine/cache.rs
@@ -8,7 +8,7 @@
     Stored(u64),
     /// The block with this chained digest was evicted.
     Evicted(u64),
-    /// Every block was dropped.
+    /// All blocks were dropped.
     Cleared,
 }
 
@@ -17,8 +17,8 @@
 pub struct CacheEvents {
     /// Incarnation of the engine that the events belong to.
     pub incarnation: u64,
-    /// Sequence number of the first change.
+    /// Sequence number of the first entry of `changes`.
     pub first_sequence: u64,
-    /// Changes in order.
+    /// Changes in order of their sequence numbers.
     pub changes: Vec<CacheChange>,
 }
--- a/crates/core/src/engine/load.rs
+++ b/crates/core/src/engine/load.rs
@@ -1,29 +1,29 @@
 use serde::{Deserialize, Serialize};
 
-/// A lagging report of an engine's load, `GET /load`.
+/// An engine's report of its load, `GET /load`. It lags behind the actual load.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that run now.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait in the engine.
+    /// Requests in the engine's queue.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Maximum number of requests that run at once.
     pub slots: u32,
 }
 
 /// What an engine serves now, `GET /state`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// Number drawn at each start of the engine.
+    /// Number that the engine draws anew at each start.
     pub incarnation: u64,
-    /// Model loaded.
+    /// Name of the loaded model.
     pub model: String,
-    /// Weights version loaded.
+    /// Loaded weights version.
     pub version: String,
-    /// Whether weights are being loaded, so that nothing is served.
+    /// Whether weights are being loaded; no request is served meanwhile.
     pub loading: bool,
-    /// Highest fencing number seen, 0 where the engine ignores it.
+    /// Highest fencing number received, 0 if the engine does not check it.
     pub fencing: u64,
-    /// Load as last reported.
+    /// Load at the last report.
     pub load: LoadReport,
 }
--- a/crates/core/src/engine/order.rs
+++ b/crates/core/src/engine/order.rs
@@ -1,9 +1,9 @@
 use serde::{Deserialize, Serialize};
 
-/// An order to an engine, `POST /order`.
+/// An order to an engine to load weights, `POST /order`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number of the lease under which the order is given.
+    /// Fencing number of the lease under which the order is sent.
     pub fencing: u64,
     /// Model to load.
     pub model: String,
@@ -11,29 +11,29 @@
     pub version: String,
 }
 
-/// The answer to an order.
+/// An engine's answer to an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "type")]
 pub enum OrderReply {
-    /// The engine started to load, or serves that version already.
+    /// The engine started loading, or already serves that version.
     Accepted,
-    /// The fencing number is older than one seen before.
+    /// The fencing number is lower than one received before.
     OldFencing {
-        /// Highest number seen.
+        /// Highest fencing number received.
         highest: u64,
     },
     /// The weights could not be loaded.
     Refused {
-        /// Why, for the record's status.
+        /// Reason, shown in the record's status.
         reason: String,
     },
 }
 
-/// Stops one attempt, `POST /cancel`.
+/// Body of a request to stop one attempt, `POST /cancel`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelRequest {
-    /// Identity of the request.
+    /// Id of the request.
     pub request_id: String,
-    /// Attempt to stop.
+    /// Number of the attempt to stop.
     pub attempt: u32,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions and wire types of the mangowalk router.
+//! Decision logic and wire types of the mangowalk router.
 //!
-//! Nothing in this crate opens a socket, reads a clock or starts a thread.
-//! Each function that decides takes the present time as an argument, in
-//! milliseconds of a monotonic clock unless its name says otherwise.
+//! This crate performs no I/O: it opens no socket, reads no clock and starts
+//! no thread. Functions that depend on time take the current time as an
+//! argument, in milliseconds of a monotonic clock unless the name says
+//! otherwise.
 
 pub mod admission;
 pub mod attempt;
--- a/crates/core/src/platform/mod.rs
+++ b/crates/core/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! Wire types of the platform's object API.
 //!
-//! One number, the revision, grows with each write of any object; an
-//! object's version is the revision of its last write. A deleted object
-//! keeps its version as a tombstone.
+//! The revision is a single number that increases with each write of any
+//! object. An object's version is the revision of its last write. A deleted
+//! object keeps its version in a tombstone.
 
 mod object;
 mod watch;
@@ -12,22 +12,22 @@
     watch::{Change, ListReply, WatchReply},
 };
 
-/// Kinds of object that the system itself writes.
+/// Kinds of objects that the system itself writes.
 pub mod own_kind {
-    /// A share of every rate, held by one instance at a time.
+    /// A share of every team's rate, held by one instance at a time.
     pub const SLOT: &str = "slot";
-    /// A claim to run one request that is not repeatable.
+    /// The claim of an instance to run one request that is not repeatable.
     pub const CLAIM: &str = "claim";
-    /// The epoch by which claims are kept.
+    /// The epoch counter by which the age of claims is measured.
     pub const CLAIM_EPOCH: &str = "claim_epoch";
-    /// A lease of one controller.
+    /// The lease of one controller.
     pub const LEASE: &str = "lease";
-    /// The platform's lagging list of live and departing instances.
+    /// An entry of the platform's lagging list of live and departing instances.
     pub const INSTANCE: &str = "instance";
-    /// A mark that an engine gets no new work.
+    /// Marks an engine that gets no new work.
     pub const DRAIN: &str = "drain";
-    /// How far a change of a model's version has come.
+    /// Progress of a change of a model's weights version.
     pub const ROLLOUT: &str = "rollout";
-    /// Status of a record: accepted, or why not.
+    /// Status of a record: accepted, or the reason for its refusal.
     pub const STATUS: &str = "status";
 }
--- a/crates/core/src/platform/object.rs
+++ b/crates/core/src/platform/object.rs
@@ -3,19 +3,19 @@
     serde_json::Value,
 };
 
-/// An object as the platform holds it.
+/// An object as stored by the platform.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// Kind and name.
+    /// Identity of the object.
     #[serde(flatten)]
     pub key: ObjectKey,
     /// Revision of the last write of this object.
     pub version: u64,
-    /// What the writer stored.
+    /// Content, as stored by the writer.
     pub body: Value,
 }
 
-/// The identity of an object.
+/// Identity of an object.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ObjectKey {
     /// Kind of the object, a path segment.
@@ -25,7 +25,7 @@
 }
 
 impl ObjectKey {
-    /// Returns the identity made of the two path segments.
+    /// Returns the identity for a kind and a name.
     pub fn new(kind: &str, name: &str) -> ObjectKey {
         ObjectKey {
             kind: kind.to_owned(),
@@ -34,12 +34,12 @@
     }
 }
 
-/// The condition of a write.
+/// Precondition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expect {
-    /// Write whatever is there.
+    /// Write unconditionally.
     Any,
-    /// Write only if no object of that name is there.
+    /// Write only if the object does not exist.
     Absent,
     /// Write only if the object has this version.
     Version(u64),
--- a/crates/core/src/platform/watch.rs
+++ b/crates/core/src/platform/watch.rs
@@ -3,15 +3,15 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A write as a watch reports it.
+/// A write reported by a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
     /// The object was written.
     Put(Object),
-    /// The object was deleted at this version.
+    /// The object was deleted.
     Delete {
-        /// Kind and name.
+        /// Identity of the object.
         #[serde(flatten)]
         key: ObjectKey,
         /// Revision of the deletion.
@@ -24,7 +24,7 @@
 pub struct ListReply {
     /// Revision at which the list was read.
     pub revision: u64,
-    /// Live objects.
+    /// Objects that exist, without tombstones.
     pub objects: Vec<Object>,
 }
 
@@ -33,10 +33,10 @@
 pub struct WatchReply {
     /// Revision up to which `changes` is complete.
     pub revision: u64,
-    /// Writes after the revision asked for, in order.
+    /// Writes after the requested revision, in order.
     pub changes: Vec<Change>,
-    /// Whether the platform no longer holds the writes asked for, so that
-    /// the watcher must list again.
+    /// Whether the platform no longer holds all requested writes. The watcher
+    /// must then list the objects again.
     #[serde(default)]
     pub compacted: bool,
 }
--- a/crates/core/src/poison/ledger.rs
+++ b/crates/core/src/poison/ledger.rs
@@ -3,21 +3,23 @@
     std::collections::{HashMap, HashSet},
 };
 
-/// Crashes after which a request is refused. One or two may be the upstream's
-/// own or a neighbour's; three different upstreams or starts are no accident.
+/// Number of crashes after which a request is refused. One or two may be caused
+/// by the upstream or by another request on it; crashes of three different
+/// upstreams or starts are no coincidence.
 pub const MAX_CRASHES: usize = 3;
 
-/// Time after which a crash counts no longer: an upstream's own fault, mended
-/// meanwhile, must not condemn a request for ever.
+/// Time after which a crash no longer counts, in milliseconds. Without expiry,
+/// a fault of an upstream that has been fixed would get a request refused
+/// forever.
 pub const CRASH_RETENTION_MS: u64 = 600_000;
 
-/// Requests that are remembered.
+/// Maximum number of requests with recorded crashes.
 const MAX_REQUESTS: usize = 4_096;
 
-/// Crashes that are remembered of one request.
+/// Maximum number of recorded crashes per request.
 const MAX_CRASHES_PER_REQUEST: usize = 16;
 
-/// Crashes that are told to a peer at once.
+/// Maximum number of crashes reported to a peer at once.
 const MAX_REPORTS: usize = 512;
 
 #[derive(Debug, Clone, Copy)]
@@ -27,14 +29,15 @@
     cleared: bool,
 }
 
-/// Crashes by request, those of other instances included.
+/// Crashes by the request they are attributed to, including crashes reported
+/// by other instances.
 #[derive(Debug, Clone, Default)]
 pub struct PoisonLedger {
     entries: HashMap<u64, Vec<CrashEntry>>,
 }
 
 impl PoisonLedger {
-    /// Charges a request with a crash.
+    /// Attributes a crash to a request.
     pub fn record_crash(&mut self, request: u64, crash: u64, now_ms: u64) {
         let report = CrashReport {
             request,
@@ -45,13 +48,13 @@
         self.merge(&[report], now_ms);
     }
 
-    /// Returns whether no crash is remembered.
+    /// Returns whether no crash is recorded.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Clears a request that completed of all crashes known by now. A crash
-    /// that comes later counts.
+    /// Clears a completed request of all crashes recorded so far. Later crashes
+    /// count again.
     pub fn clear(&mut self, request: u64) {
         let entries = self.entries.get_mut(&request);
         for entry in entries.into_iter().flatten() {
@@ -59,13 +62,14 @@
         }
     }
 
-    /// Returns for how many different crashes a request answers: those that it
-    /// is charged with while no other request charged with them is more
-    /// suspect.
+    /// Returns how many crashes count against a request: those attributed to it
+    /// and to no other request with more crashes.
     ///
-    /// Each instance charges what it runs itself, so requests that only stood
-    /// beside the one to blame are charged where that one is not known. Once
-    /// instances have told each other, its higher count clears them.
+    /// Each instance attributes crashes only to the requests that it ran
+    /// itself. An instance that did not run the request that caused a crash
+    /// attributes it to other requests on the same upstream. Once the instances
+    /// have exchanged reports, the higher count of the causing request clears
+    /// these others.
     pub fn crashes(&self, request: u64, now_ms: u64) -> usize {
         let own = self.active_count(request, now_ms);
         if own == 0 {
@@ -82,7 +86,8 @@
             .count()
     }
 
-    /// Returns how many crashes a request is charged with, whoever else is.
+    /// Returns the number of active crashes attributed to a request,
+    /// regardless of other requests.
     fn active_count(&self, request: u64, now_ms: u64) -> usize {
         self.active_crashes(request, now_ms).count()
     }
@@ -94,7 +99,7 @@
             .map(|entry| entry.crash)
     }
 
-    /// Returns what to tell a peer, the latest first.
+    /// Returns the crashes to report to a peer, the latest first.
     pub fn reports(&self, now_ms: u64) -> Vec<CrashReport> {
         let mut reports: Vec<CrashReport> = self
             .entries
@@ -113,8 +118,8 @@
         reports
     }
 
-    /// Takes what a peer told. Clearing wins over charging, in whichever
-    /// order both come.
+    /// Merges reports of a peer. A cleared crash stays cleared, whatever the
+    /// order in which reports arrive.
     pub fn merge(&mut self, reports: &[CrashReport], now_ms: u64) {
         for report in reports
             .iter()
@@ -137,7 +142,8 @@
         self.remove_expired(now_ms);
     }
 
-    /// Forgets what is old, and of the rest what is oldest if it is too much.
+    /// Removes expired crashes, then the requests with the oldest latest crash
+    /// until at most [`MAX_REQUESTS`] are left.
     fn remove_expired(&mut self, now_ms: u64) {
         self.entries.retain(|_, entries| {
             entries.retain(|entry| entry.expires_ms > now_ms);
--- a/crates/core/src/poison/mod.rs
+++ b/crates/core/src/poison/mod.rs
@@ -1,10 +1,9 @@
-//! Requests that crash each upstream that runs them.
+//! Detection of poison requests, which crash each upstream that runs them.
 //!
-//! Crashes are counted by the identity of the request, its team and content,
-//! and not by connection: its caller sends it again, through other instances.
-//! A request that was on the same upstream by chance shares the charge only
-//! while none of them is more suspect than the others, and one completed
-//! answer clears it.
+//! Crashes are counted per request identity (team and content), not per
+//! connection, because callers retry through other instances. A crash is
+//! attributed to all requests on the upstream only while none of them has more
+//! crashes than the others. One completed answer clears a request.
 
 mod crash_report;
 mod ledger;
--- a/crates/core/src/poison/suspects.rs
+++ b/crates/core/src/poison/suspects.rs
@@ -1,10 +1,12 @@
-/// Returns the requests to charge with a crash, out of all that were on the
-/// upstream, each with its crashes so far.
+/// Returns the requests to which a crash is attributed, out of all requests
+/// that ran on the upstream. `on_upstream` holds each request with its number
+/// of crashes so far.
 ///
-/// Only the most suspect ones are charged. If all were, a request that
-/// crashes upstreams would condemn whatever runs beside it: its neighbours
-/// are resumed on other engines, where the same request follows them. The
-/// first crash has no suspect and is charged to all, which condemns no one.
+/// A crash is attributed only to the requests with the most crashes. If it were
+/// attributed to all, a request that crashes upstreams would get the requests
+/// that run next to it refused as well: they are resumed on other engines, and
+/// the same request is sent there too. The first crash is attributed to all
+/// requests, since none has a crash yet; one crash gets no request refused.
 pub fn most_suspect(on_upstream: &[(u64, usize)]) -> Vec<u64> {
     let max_crashes = on_upstream.iter().map(|(_, crashes)| *crashes).max();
     on_upstream
--- a/crates/core/src/record/check.rs
+++ b/crates/core/src/record/check.rs
@@ -8,13 +8,13 @@
 const DIGEST_DIGITS: usize = 64;
 const LOWEST_PRIORITY: u8 = 9;
 
-/// Why a record was refused. Each message names the remedy.
+/// Why a record was refused. Each message says how to correct the record.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum RecordError {
-    /// The `schema` field is missing or is no number.
+    /// The `schema` field is missing, is no number or is 0.
     #[display("The record has no schema number; add \"schema\": {SCHEMA}.")]
     NoSchema,
-    /// The record is newer than this build.
+    /// The record's schema is newer than the one that this build reads.
     #[display(
         "Schema {schema} is newer than {SCHEMA}; upgrade this instance or write schema {SCHEMA}."
     )]
@@ -25,7 +25,7 @@
     /// A field is missing, unknown or of the wrong type.
     #[display("The record does not fit its kind: {detail}; correct that field.")]
     Shape {
-        /// What the decoder reported.
+        /// Error message of the decoder.
         detail: String,
     },
     /// A field's value is out of range.
@@ -33,16 +33,16 @@
     Range {
         /// Name of the field.
         field: &'static str,
-        /// Values that would be accepted.
+        /// Accepted values.
         remedy: &'static str,
     },
 }
 
-/// Parses and checks a record of the given kind.
+/// Parses and validates a record of the given kind.
 ///
 /// # Errors
 ///
-/// Returns why the record was refused and what would mend it.
+/// Returns why the record was refused and how to correct it.
 pub fn parse(kind: Kind, body: &Value) -> Result<Record, RecordError> {
     check_schema(body)?;
     match kind {
--- a/crates/core/src/record/key.rs
+++ b/crates/core/src/record/key.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// A key that authenticates a team. The key itself is never stored.
+/// An API key that authenticates a team. Only its digest is stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
@@ -12,7 +12,7 @@
     pub digest: String,
 }
 
-/// Returns the digest under which a key is recorded.
+/// Returns the value of [`Key::digest`] for a key.
 pub fn digest_of(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
--- a/crates/core/src/record/kind.rs
+++ b/crates/core/src/record/kind.rs
@@ -3,7 +3,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The kinds of record that operators write.
+/// Kinds of record.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Display, Serialize, Deserialize,
 )]
@@ -15,24 +15,25 @@
     /// A key that authenticates a team.
     #[display("key")]
     Key,
-    /// A team's rate and burst.
+    /// Rate and burst of a team.
     #[display("rate")]
     Rate,
-    /// A model and its offered weights version.
+    /// A model and the weights version offered to callers.
     #[display("model")]
     Model,
     /// A serving engine or a plain service.
     #[display("upstream")]
     Upstream,
-    /// A mark of the system's own: an engine that gets no new work while its
-    /// weights change.
+    /// An engine that gets no new work while its weights change. Written by the
+    /// system, not by operators.
     #[display("drain")]
     #[serde(skip)]
     Drain,
 }
 
 impl Kind {
-    /// Every kind that operators write, in the order in which a new fleet needs them.
+    /// All kinds that operators write, in the order in which a new fleet needs
+    /// them.
     pub const WRITTEN_BY_OPERATORS: [Kind; 5] = [
         Kind::Team,
         Kind::Rate,
@@ -41,8 +42,8 @@
         Kind::Upstream,
     ];
 
-    /// Every kind that instances hold: what operators write, and the marks
-    /// that the system writes for all its instances.
+    /// All kinds that instances hold: those that operators write, and the drain
+    /// marks that the system writes for all of its instances.
     pub const HELD_BY_INSTANCES: [Kind; 6] = [
         Kind::Team,
         Kind::Rate,
@@ -52,7 +53,7 @@
         Kind::Drain,
     ];
 
-    /// Returns the kind with the name that the platform's paths use.
+    /// Returns the kind with the given name, as used in the platform's paths.
     pub fn from_name(name: &str) -> Option<Kind> {
         Kind::HELD_BY_INSTANCES
             .into_iter()
--- a/crates/core/src/record/mod.rs
+++ b/crates/core/src/record/mod.rs
@@ -1,7 +1,7 @@
-//! Records: what operators write to the platform to drive the system.
+//! Records: objects on the platform with which operators control the system.
 //!
-//! Each record is one JSON object with a `schema` number. A reader that meets
-//! a newer schema keeps the last record that it could read.
+//! Each record is a JSON object with a `schema` number. A reader that finds a
+//! newer schema than it knows keeps the last version that it could read.
 
 mod check;
 mod drain;
@@ -23,17 +23,17 @@
     upstream::{Upstream, UpstreamRole},
 };
 
-/// The newest schema number that this build reads and writes.
+/// Newest schema number that this build reads and writes.
 pub const SCHEMA: u32 = 1;
 
-/// A record of any kind, parsed and checked.
+/// A parsed and validated record of any kind.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
     /// A team of callers.
     Team(Team),
-    /// A key that authenticates a team.
+    /// An API key that authenticates a team.
     Key(Key),
-    /// A team's rate and burst.
+    /// Rate and burst of a team.
     Rate(Rate),
     /// A model and the weights version offered to callers.
     Model(Model),
--- a/crates/core/src/record/model.rs
+++ b/crates/core/src/record/model.rs
@@ -1,14 +1,14 @@
 use serde::{Deserialize, Serialize};
 
-/// A model offered to callers, named by its record's name.
+/// A model offered to callers. The model's name is the record's name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
     /// Schema number of the record.
     pub schema: u32,
-    /// Weights version that engines shall serve.
+    /// Weights version that the engines should serve.
     pub version: String,
-    /// How many engines may load weights at the same time.
+    /// Maximum number of engines that load weights at the same time.
     #[serde(default = "default_loads")]
     pub concurrent_loads: u32,
 }
--- a/crates/core/src/record/rate.rs
+++ b/crates/core/src/record/rate.rs
@@ -1,13 +1,13 @@
 use serde::{Deserialize, Serialize};
 
-/// A team's rate over all instances together, named as the team.
+/// Rate of a team over all instances together. The record has the team's name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rate {
     /// Schema number of the record.
     pub schema: u32,
-    /// Tokens that the team may use in a second, prompt and answer together.
+    /// Tokens that the team may use per second, in prompts and answers together.
     pub tokens_per_s: u64,
-    /// Tokens that the team may use at once after a quiet time.
+    /// Tokens that the team may use at once after a time without requests.
     pub burst_tokens: u64,
 }
--- a/crates/core/src/record/upstream.rs
+++ b/crates/core/src/record/upstream.rs
@@ -3,19 +3,19 @@
     std::net::SocketAddr,
 };
 
-/// A serving engine or a plain service, named by its record's name.
+/// A serving engine or a plain service. Its name is the record's name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
     /// Schema number of the record.
     pub schema: u32,
-    /// Address, as IP number and port.
+    /// IP address and port of the upstream.
     pub address: SocketAddr,
     /// Failure domain in which the upstream runs.
     pub failure_domain: String,
     /// What the upstream serves.
     pub role: UpstreamRole,
-    /// Whether the upstream is to leave: it gets no new work.
+    /// Whether the upstream is departing; it then gets no new work.
     #[serde(default)]
     pub departing: bool,
 }
@@ -26,18 +26,18 @@
 pub enum UpstreamRole {
     /// A model engine.
     Engine {
-        /// Name of the model that it serves.
+        /// Name of the model that the engine serves.
         model: String,
-        /// Whether the engine refuses orders with an old fencing number.
+        /// Whether the engine rejects orders with an outdated fencing number.
         #[serde(default)]
         checks_fencing: bool,
     },
     /// A plain service.
     Service {
-        /// Name under which callers reach the service.
+        /// Name by which callers address the service.
         service: String,
-        /// Whether its calls may be repeated. A call that may not runs at
-        /// most once and needs an `Idempotency-Key`.
+        /// Whether calls may be repeated. Otherwise a call runs at most once and
+        /// needs an `Idempotency-Key`.
         #[serde(default)]
         repeatable: bool,
     },
--- a/crates/core/src/refusal/kind.rs
+++ b/crates/core/src/refusal/kind.rs
@@ -3,25 +3,25 @@
     derive_more::{Display, Error},
 };
 
-/// Why a request was refused. Each message names the remedy.
+/// Why a request was refused. Each message says what the caller can do.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum Refusal {
-    /// The request can't be read.
+    /// The request could not be parsed.
     #[display("{detail}")]
     Malformed {
-        /// What is wrong and what would mend it.
+        /// What is wrong and how to correct it.
         detail: String,
     },
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     #[display("The body is over {limit_bytes} bytes; send a shorter prompt.")]
     TooLarge {
-        /// Most bytes accepted.
+        /// Maximum size of a body, in bytes.
         limit_bytes: usize,
     },
-    /// The body did not come in time.
+    /// The body was not received within the timeout.
     #[display("The body did not come within {timeout_ms} ms; send it faster.")]
     TooSlow {
-        /// Longest time that is waited.
+        /// Maximum time to receive the body, in milliseconds.
         timeout_ms: u64,
     },
     /// The key is missing, wrong or withdrawn.
@@ -34,34 +34,35 @@
     NotFound {
         /// `Model` or `Service`.
         what: &'static str,
-        /// Name asked for.
+        /// Requested name.
         name: String,
     },
-    /// The path or method is unknown.
+    /// The path or method does not exist.
     #[display("No such path; see docs/api.md for the paths.")]
     NoSuchPath,
-    /// The team used its rate and burst.
+    /// The team has used up its rate and burst.
     #[display("The team's rate is used up; try again in {retry_ms} ms.")]
     RateLimited {
-        /// When tokens will be there.
+        /// Time until enough tokens are available, in milliseconds.
         retry_ms: u64,
     },
-    /// The request asks for more tokens than the team's burst, ever.
+    /// The request needs more tokens than the team's burst, so it can never be
+    /// admitted.
     #[display(
         "The request reserves {reserve_tokens} tokens, over the burst of {burst_tokens}; lower max_tokens or shorten the prompt."
     )]
     OverBurst {
         /// Tokens that the request would reserve.
         reserve_tokens: u64,
-        /// The team's burst.
+        /// Burst of the team, in tokens.
         burst_tokens: u64,
     },
-    /// Every upstream is full, or none is there.
+    /// Every upstream is full, or there is none.
     #[display("{reason}; try again in {retry_ms} ms.")]
     Unavailable {
-        /// What is full or missing.
+        /// What is full or missing, as the start of a sentence.
         reason: &'static str,
-        /// When to come back.
+        /// Time after which the caller should retry, in milliseconds.
         retry_ms: u64,
     },
     /// The request crashed several upstreams.
@@ -69,27 +70,27 @@
         "This request crashed {crashes} upstreams and is not run again; change it before sending it anew."
     )]
     Poisonous {
-        /// Upstreams that crashed while they ran it.
+        /// Number of upstreams that crashed while they ran the request.
         crashes: usize,
-        /// What is known of this sending of it.
+        /// What is known of the outcome of this request.
         outcome: Outcome,
     },
-    /// A request with the same idempotency key runs or ran elsewhere.
+    /// Another request with the same idempotency key is running or has run.
     #[display("{detail}")]
     Claimed {
-        /// What is known of the other run.
+        /// What is known of the other request.
         detail: &'static str,
         /// What is known of the outcome.
         outcome: Outcome,
-        /// When to ask again.
+        /// Time after which the caller should retry, in milliseconds.
         retry_ms: u64,
     },
-    /// The idempotency key came with another request before.
+    /// The idempotency key was used with a different request before.
     #[display(
         "This Idempotency-Key was used for another request; send each request with a key of its own."
     )]
     KeyReused,
-    /// It was sent to an upstream and the answer was lost.
+    /// The request was sent to an upstream and the answer was lost.
     #[display("The answer was lost after the request was sent; {remedy}.")]
     Lost {
         /// What the caller can do.
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Returns the `code` of the error body.
+    /// Returns the `code` field of the error body.
     pub fn code(&self) -> &'static str {
         match self {
             Refusal::Malformed { .. } => "invalid_request",
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Returns the `type` of the error body.
+    /// Returns the `type` field of the error body.
     pub fn error_type(&self) -> &'static str {
         match self.status() {
             401 => "authentication_error",
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Returns what is known of the outcome.
+    /// Returns what is known of the request's outcome.
     pub fn outcome(&self) -> Outcome {
         match self {
             Refusal::Claimed { outcome, .. }
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Returns when the caller should come back, if coming back helps.
+    /// Returns the time after which the caller should retry, in milliseconds;
+    /// `None` if a retry does not help.
     pub fn retry_ms(&self) -> Option<u64> {
         match self {
             Refusal::RateLimited { retry_ms }
--- a/crates/core/src/refusal/mod.rs
+++ b/crates/core/src/refusal/mod.rs
@@ -1,4 +1,4 @@
-//! Refusals: what a caller is told when its request is not answered.
+//! Refusals: errors returned to callers whose requests are not answered.
 
 mod kind;
 mod outcome;
--- a/crates/core/src/refusal/outcome.rs
+++ b/crates/core/src/refusal/outcome.rs
@@ -1,12 +1,12 @@
 use derive_more::Display;
 
-/// What is known of a request that was not answered in full.
+/// What is known of a request that was not answered completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Outcome {
     /// No upstream received it, or the upstream stated that nothing ran.
     #[display("not_run")]
     NotRun,
-    /// It was sent, and what became of it is not known.
+    /// It was sent, and it is unknown whether it ran.
     #[display("unknown")]
     Unknown,
     /// It ran.
--- a/crates/core/src/retries/budget.rs
+++ b/crates/core/src/retries/budget.rs
@@ -1,16 +1,17 @@
 use std::collections::VecDeque;
 
-/// Bounds on repeated sends to one service, over all instances together.
+/// Bounds on the retries to one service by all instances together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetrySettings {
-    /// Repeats for each request.
+    /// Allowed retries per request, as a fraction.
     pub ratio: f64,
-    /// Repeats beyond the ratio in a window.
+    /// Retries allowed in a window in addition to the ratio.
     pub slack: f64,
-    /// Length of a window.
+    /// Length of the sliding window, in milliseconds.
     pub window_ms: u64,
-    /// Part of both that this instance uses. The rest covers engines' own
-    /// calls, and that instances restart and forget what they have spent.
+    /// Fraction of both bounds that this instance uses. The rest covers calls
+    /// that engines make themselves, and instances that restart and lose their
+    /// counts.
     pub usable_fraction: f64,
 }
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// One instance's repeats to one service.
+/// Requests and retries of one instance to one service within the window.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     requests_ms: VecDeque<u64>,
@@ -33,14 +34,14 @@
 }
 
 impl RetryBudget {
-    /// Counts a request of a caller.
+    /// Records a caller's request.
     pub fn record_request(&mut self, settings: &RetrySettings, now_ms: u64) {
         remove_expired(&mut self.requests_ms, settings.window_ms, now_ms);
         self.requests_ms.push_back(now_ms);
     }
 
-    /// Returns the repeats that all instances together have left, if they
-    /// have as many requests and repeats as this one.
+    /// Returns the number of retries that all instances together have left,
+    /// assuming that each has as many requests and retries as this one.
     pub fn remaining(&mut self, settings: &RetrySettings, instances: usize, now_ms: u64) -> u32 {
         remove_expired(&mut self.requests_ms, settings.window_ms, now_ms);
         remove_expired(&mut self.repeats_ms, settings.window_ms, now_ms);
@@ -50,8 +51,8 @@
         (allowed - taken).max(0.0) as u32
     }
 
-    /// Takes one repeat, or says that there is none left. The slack is
-    /// divided evenly over the instances.
+    /// Takes one retry out of the budget; returns false if none is left. The
+    /// slack is divided evenly among the instances.
     pub fn try_repeat(&mut self, settings: &RetrySettings, instances: usize, now_ms: u64) -> bool {
         remove_expired(&mut self.requests_ms, settings.window_ms, now_ms);
         remove_expired(&mut self.repeats_ms, settings.window_ms, now_ms);
--- a/crates/core/src/retries/mod.rs
+++ b/crates/core/src/retries/mod.rs
@@ -1,4 +1,4 @@
-//! How often requests may be sent once more, over all instances.
+//! Retry budget per service, shared by all instances.
 
 mod budget;
 
--- a/crates/core/src/routing/configuration.rs
+++ b/crates/core/src/routing/configuration.rs
@@ -1,20 +1,21 @@
 use super::{Route, Service, Tenant};
 
-/// Bounds on what a caller may send, and how long it may take.
+/// Bounds on the size and duration of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest head of a request.
+    /// Maximum size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest body of a request.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head.
+    /// Maximum time to receive a head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest pause between two requests on a connection.
+    /// Maximum idle time between two requests on a connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// What holds until a configuration is known; then nothing is served.
+    /// Limits that apply before a configuration is known, while no request is
+    /// served.
     fn default() -> CallerLimits {
         CallerLimits {
             max_header_bytes: 16_384,
@@ -25,17 +26,17 @@
     }
 }
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Configuration {
-    /// Grows with each change.
+    /// Version number; increases with each change.
     pub version: u64,
-    /// All routes.
+    /// Routes, matched by host and longest path prefix.
     pub routes: Vec<Route>,
-    /// All services.
+    /// Services that routes refer to by name.
     pub services: Vec<Service>,
-    /// All teams; with none, requests carry no key.
+    /// Teams. If there are none, requests need no key.
     pub tenants: Vec<Tenant>,
-    /// Bounds on callers.
+    /// Bounds on callers' requests.
     pub limits: CallerLimits,
 }
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and the route of a request.
+//! The configuration in force, and the selection of a request's route.
 
 mod configuration;
 mod repeat_policy;
--- a/crates/core/src/routing/repeat_policy.rs
+++ b/crates/core/src/routing/repeat_policy.rs
@@ -1,14 +1,14 @@
-/// What may be repeated of a route's requests.
+/// Whether a request of a route may be sent to an upstream again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepeatPolicy {
     /// A request may run more than once.
     Idempotent,
-    /// A request runs once at most, whatever its answer.
+    /// A request runs at most once, whatever its result.
     AtMostOnce,
-    /// The answer is a stream of events; what ran once may not run again.
+    /// The answer is a stream of events. A request that ran may not run again.
     Stream,
-    /// The answer is a stream of events that may go on at another engine
-    /// behind the last event that the caller has.
+    /// The answer is a stream of events that may be resumed on another engine
+    /// after the last event that the caller received.
     ResumableStream,
 }
 
--- a/crates/core/src/routing/route.rs
+++ b/crates/core/src/routing/route.rs
@@ -1,43 +1,45 @@
 use super::RepeatPolicy;
 
-/// A service that gets part of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedService {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Its part, against the sum over the route's services.
+    /// Weight of the service, relative to the sum over the route's services.
     pub weight: u32,
 }
 
 /// One route of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Unique name.
+    /// Unique name of the route.
     pub name: String,
-    /// Host that the caller names.
+    /// Host name of the request.
     pub host: String,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix of the path; starts and ends with a slash.
     pub path_prefix: String,
-    /// Services that run the requests; never empty.
+    /// Services that handle the requests; never empty.
     pub services: Vec<WeightedService>,
-    /// What may be repeated.
+    /// Whether requests may be sent again.
     pub repeat: RepeatPolicy,
-    /// Longest time that a request is kept waiting.
+    /// Maximum time that a request waits, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer, or the first event of a stream, is on time.
+    /// Target for the time to the answer or to the first event of a stream, in
+    /// milliseconds.
     pub target_ms: u64,
-    /// Longest pause between two events of a stream that is on time.
+    /// Target for the time between two events of a stream, in milliseconds.
     pub target_gap_ms: u64,
-    /// Engines to which one request may be sent.
+    /// Maximum number of engines to which one request is sent.
     pub max_attempts: u32,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Whether no key is needed.
+    /// Whether requests need no key.
     pub anonymous: bool,
 }
 
 impl Route {
-    /// Returns the service for a number drawn by the caller.
+    /// Returns the name of a service, chosen by weight with the given random
+    /// number.
     pub fn service(&self, random: u32) -> &str {
         let sum: u32 = self.services.iter().map(|share| share.weight).sum();
         let mut remaining_weight = random % sum.max(1);
--- a/crates/core/src/routing/service.rs
+++ b/crates/core/src/routing/service.rs
@@ -1,32 +1,34 @@
 use std::net::SocketAddr;
 
-/// What an engine of a service holds at once.
+/// Capacity of each engine of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineLimits {
-    /// Requests that run at once.
+    /// Maximum number of requests that run at once.
     pub slots: u32,
-    /// Tokens of prompts, answers and cached parts in memory.
+    /// Capacity of the engine's memory for prompts, answers and cached parts, in
+    /// tokens.
     pub memory_tokens: u64,
 }
 
-/// A store of cached prompt parts that outlives an engine's memory.
+/// A store for cached parts of prompts, which outlives the engines' memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KvCacheStore {
-    /// Where it listens.
+    /// Address on which the store listens.
     pub address: SocketAddr,
-    /// Failure domain in which it stands.
+    /// Failure domain of the store.
     pub domain: String,
 }
 
 /// One service of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Unique name.
+    /// Unique name of the service.
     pub name: String,
-    /// Connections that one engine accepts from all instances together.
+    /// Maximum number of connections that one engine accepts from all instances
+    /// together.
     pub max_connections: u32,
-    /// Set for model engines.
+    /// Capacity of each engine; `None` for services that are no model engines.
     pub engine: Option<EngineLimits>,
-    /// Set where the service is a store of cached parts; it runs no request.
+    /// Set if the service is a KV cache store. Such a service runs no requests.
     pub kv_cache_store: Option<KvCacheStore>,
 }
--- a/crates/core/src/routing/table.rs
+++ b/crates/core/src/routing/table.rs
@@ -3,26 +3,26 @@
     std::{collections::HashMap, rc::Rc},
 };
 
-/// Why a request may not be passed on.
+/// Why a request is not routed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteError {
-    /// No route fits host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The route wants a key, and none that is known came.
+    /// The route requires a key, and the request has none or an unknown one.
     BadKey,
 }
 
-/// A configuration, prepared for look-ups.
+/// A configuration, indexed by host and key.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     configuration: Configuration,
-    /// Routes of a host, the longest prefix first.
+    /// Routes by lowercase host, the longest path prefix first.
     by_host: HashMap<String, Vec<Rc<Route>>>,
     by_key: HashMap<String, Rc<Tenant>>,
 }
 
 impl RouteTable {
-    /// Prepares a configuration.
+    /// Indexes a configuration.
     pub fn new(configuration: Configuration) -> RouteTable {
         let mut by_host: HashMap<String, Vec<Rc<Route>>> = HashMap::new();
         for route in &configuration.routes {
@@ -48,17 +48,17 @@
         }
     }
 
-    /// Returns the version in force; 0 where none is known.
+    /// Returns the version of the configuration; 0 before any is known.
     pub fn version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// Returns the configuration that was prepared.
+    /// Returns the indexed configuration.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Returns a service by name.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.configuration
             .services
@@ -66,11 +66,13 @@
             .find(|service| service.name == name)
     }
 
-    /// Returns route and team of a request. The host may carry a port.
+    /// Returns the route and team of a request. The team is `None` if the route
+    /// is anonymous or there are no teams. The host may include a port.
     ///
     /// # Errors
     ///
-    /// Fails where no route fits, or the key isn't known.
+    /// [`RouteError::NoRoute`] if no route matches, [`RouteError::BadKey`] if
+    /// the key is missing or unknown.
     pub fn admit(
         &self,
         host: &str,
--- a/crates/core/src/routing/tenant.rs
+++ b/crates/core/src/routing/tenant.rs
@@ -1,33 +1,34 @@
-/// Tokens a second and at once, over all instances.
+/// Rate and burst of a token bucket that all instances share.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct TokenRate {
-    /// Tokens that come back each second.
+    /// Tokens refilled per second.
     pub per_s: f64,
-    /// Tokens that may be spent at once.
+    /// Maximum number of tokens that may be used at once.
     pub burst: f64,
 }
 
 /// One team and its keys.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Unique name, passed on to engines in place of the key.
+    /// Unique name, sent to engines in place of the key.
     pub name: String,
-    /// Keys that callers present.
+    /// API keys of the team's callers.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's; 0 is the highest.
+    /// Priority that overrides the route's; 0 is the highest.
     pub priority: Option<u8>,
-    /// Tokens over all instances, or no limit.
+    /// Rate limit over all instances; `None` for no limit.
     pub rate: Option<TokenRate>,
-    /// Whether the rate counts tokens; requests otherwise.
+    /// Whether the rate counts tokens; it counts requests otherwise.
     pub counts_tokens: bool,
-    /// What a request without a token count is taken for.
+    /// Number of tokens charged for a request without a token count.
     pub plain_tokens: u64,
-    /// Whether no cached part is shared with other teams.
+    /// Whether cached parts of prompts are not shared with other teams.
     pub isolated: bool,
 }
 
 impl Tenant {
-    /// Returns what a request takes of the rate.
+    /// Returns the cost of a request in units of the rate. `tokens` is the
+    /// request's token count, if known.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         if self.counts_tokens {
             tokens.unwrap_or(self.plain_tokens)
--- a/crates/core/src/status/explain.rs
+++ b/crates/core/src/status/explain.rs
@@ -1,38 +1,39 @@
 use serde::{Deserialize, Serialize};
 
-/// Asks what an instance would do with a request, `POST /explain`.
+/// A request for the decision that an instance would make, `POST /explain`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExplainRequest {
-    /// Team.
+    /// Name of the team.
     pub team: String,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Prompt, as text.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
-/// What the instance would do now. Nothing is spent or sent.
+/// The decision that the instance would make now. Nothing is charged or sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExplainReply {
-    /// Engine that the request would go to, none if it would be refused.
+    /// Name of the engine that would get the request; `None` if the request
+    /// would be refused.
     pub engine: Option<String>,
-    /// What the caller would be told, if it would be refused.
+    /// Error message for the caller, if the request would be refused.
     pub refusal: Option<String>,
-    /// What was looked at, in order, one sentence each.
+    /// Steps of the decision in order, one sentence each.
     pub steps: Vec<String>,
     /// Engines of the model.
     pub candidates: Vec<Candidate>,
 }
 
-/// An engine that was looked at.
+/// An engine that was considered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// Name of the record.
+    /// Name of the engine's record.
     pub engine: String,
-    /// Whether it could take the request now.
+    /// Whether the engine could take the request now.
     pub usable: bool,
-    /// Why, in one sentence.
+    /// Reason, in one sentence.
     pub reason: String,
 }
--- a/crates/core/src/status/instance.rs
+++ b/crates/core/src/status/instance.rs
@@ -4,37 +4,37 @@
     std::net::SocketAddr,
 };
 
-/// The state of one instance, `GET /status` on its operator address.
+/// Status of one instance, `GET /status` on its operator address.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceStatus {
-    /// Address towards callers.
+    /// Address on which the instance serves callers.
     pub caller_address: SocketAddr,
-    /// Address towards peers.
+    /// Address on which the instance serves peers.
     pub peer_address: SocketAddr,
-    /// Failure domain.
+    /// Failure domain in which the instance runs.
     pub failure_domain: String,
-    /// Number drawn at start.
+    /// Number that the instance draws anew at each start.
     pub incarnation: u64,
     /// Version of the program.
     pub program_version: String,
-    /// Phase.
+    /// Phase of the instance's life cycle.
     pub phase: Phase,
     /// Revision up to which every record is in force.
     pub revision: u64,
-    /// Records that can't be put in force.
+    /// Records that the instance can't put in force.
     pub refused: Vec<RefusedRecord>,
-    /// Requests open now.
+    /// Number of open requests.
     pub open_requests: usize,
-    /// Requests that wait for an engine.
+    /// Number of requests that wait for an engine.
     #[serde(default)]
     pub queued: usize,
-    /// Shares of every rate that are held.
+    /// Number of slots (shares of every rate) that the instance holds.
     pub slots: u32,
-    /// Upstreams.
+    /// Upstreams as this instance sees them.
     pub upstreams: Vec<UpstreamStatus>,
-    /// Other instances.
+    /// Other instances as this instance sees them.
     pub peers: Vec<PeerStatus>,
-    /// What was spent on control.
+    /// Control traffic since the start.
     #[serde(default)]
     pub control: ControlTraffic,
 }
--- a/crates/core/src/status/mod.rs
+++ b/crates/core/src/status/mod.rs
@@ -1,7 +1,7 @@
-//! What an instance publishes to operators, and what they ask it.
+//! Types of the status API for operators.
 //!
-//! An old client meets newer instances during an upgrade, so unknown fields
-//! are ignored and new ones have defaults.
+//! During an upgrade an old client may read the status of newer instances.
+//! Unknown fields are therefore ignored, and new fields have defaults.
 
 mod explain;
 mod instance;
--- a/crates/core/src/status/peer.rs
+++ b/crates/core/src/status/peer.rs
@@ -3,17 +3,17 @@
     std::net::SocketAddr,
 };
 
-/// Another instance as one instance sees it.
+/// Status of another instance, as one instance sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Address towards callers.
+    /// Address on which the peer serves callers.
     pub caller_address: SocketAddr,
-    /// Failure domain.
+    /// Failure domain in which the peer runs.
     pub failure_domain: String,
-    /// Whether it takes new callers.
+    /// Whether the peer accepts new callers.
     pub ready: bool,
-    /// Whether it leaves.
+    /// Whether the peer is departing.
     pub departing: bool,
-    /// Time since its heartbeat last grew.
+    /// Time since its heartbeat counter last increased, in milliseconds.
     pub silent_ms: u64,
 }
--- a/crates/core/src/status/phase.rs
+++ b/crates/core/src/status/phase.rs
@@ -3,17 +3,17 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Phase of an instance's life.
+/// Phase of an instance's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// It has no records yet.
+    /// The instance has no records yet.
     #[display("starting")]
     Starting,
-    /// It serves.
+    /// The instance serves requests.
     #[display("ready")]
     Ready,
-    /// It ends what is open and sends callers elsewhere.
+    /// The instance finishes open requests and sends callers to other instances.
     #[display("departing")]
     Departing,
 }
--- a/crates/core/src/status/record.rs
+++ b/crates/core/src/status/record.rs
@@ -8,7 +8,7 @@
     std::collections::BTreeMap,
 };
 
-/// What became of a record, as written to the platform under `KIND.NAME`.
+/// Status of a record, written to the platform under the name `KIND.NAME`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordStatus {
     /// Schema number of this object.
@@ -17,25 +17,25 @@
     pub kind: String,
     /// Name of the record.
     pub name: String,
-    /// Version of the write that this tells of.
+    /// Version of the write that this status describes.
     pub version: u64,
     /// Whether that write is in force.
     pub accepted: bool,
-    /// Why not, and what would mend it.
+    /// Why it was refused and how to correct it; `None` if it is in force.
     pub why: Option<String>,
     /// Version in force, 0 if there is none.
     pub version_in_force: u64,
-    /// Newest schema number that the writer reads.
+    /// Newest schema number that the writer of this status can read.
     pub reader_schema: u32,
 }
 
 impl RecordStatus {
-    /// Returns the identity of the status of a record.
+    /// Returns the object key of a record's status.
     pub fn key(kind: &str, name: &str) -> ObjectKey {
         ObjectKey::new(own_kind::STATUS, &format!("{kind}.{name}"))
     }
 
-    /// Returns the status in words.
+    /// Returns the status as text for operators.
     pub fn text(&self) -> String {
         let Some(why) = &self.why else {
             return format!("Version {} is in force.", self.version);
@@ -48,7 +48,7 @@
     }
 
     /// Returns the status of every record that operators wrote and did not
-    /// withdraw, by the name of its object.
+    /// withdraw, by the name of the status object.
     pub fn of_all(store: &Store) -> BTreeMap<String, RecordStatus> {
         store
             .entries()
@@ -74,11 +74,12 @@
         }
     }
 
-    /// Returns whether this status is to be written over one.
+    /// Returns whether this status may overwrite the one that was written
+    /// before.
     ///
-    /// While builds are mixed, the writer may be an older one than before. It
-    /// can't read what the newer one accepted, and must not say that the
-    /// record is bad.
+    /// While instances run different builds, an older build may write the
+    /// status after a newer one. It can't read what the newer build accepted,
+    /// and must not report the record as invalid.
     pub fn replaces(&self, written: Option<&RecordStatus>) -> bool {
         let Some(written) = written else {
             return true;
--- a/crates/core/src/status/refused.rs
+++ b/crates/core/src/status/refused.rs
@@ -6,20 +6,21 @@
 /// A record that an instance can't put in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedRecord {
-    /// Kind. Text, since an old client may meet kinds that it doesn't know.
+    /// Kind of the record, as text, since an old client may read kinds that it
+    /// does not know.
     pub kind: String,
-    /// Name.
+    /// Name of the record.
     pub name: String,
     /// Version of the refused write.
     pub version: u64,
-    /// Why, and what would mend it.
+    /// Why it was refused and how to correct it.
     pub why: String,
-    /// Whether an earlier write stays in force.
+    /// Whether an earlier version of the record stays in force.
     pub earlier_in_force: bool,
 }
 
 impl RefusedRecord {
-    /// Returns every record of a store that is refused.
+    /// Returns all refused records of a store.
     pub fn of(store: &Store) -> Vec<RefusedRecord> {
         store
             .entries()
--- a/crates/core/src/status/traffic.rs
+++ b/crates/core/src/status/traffic.rs
@@ -1,19 +1,19 @@
 use serde::{Deserialize, Serialize};
 
-/// What an instance has spent on control since it started: everything but
-/// requests and their answers.
+/// Control traffic of an instance since it started: everything except requests
+/// and their answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlTraffic {
-    /// Calls of the platform; a waiting watch is one.
+    /// Number of calls to the platform; a long poll of a watch counts as one.
     pub platform_calls: u64,
-    /// Bytes to and from the platform.
+    /// Bytes sent to and received from the platform.
     pub platform_bytes: u64,
-    /// Exchanges with peers that this instance started.
+    /// Number of exchanges with peers that this instance started.
     pub peer_messages: u64,
-    /// Bytes of those exchanges, both ways.
+    /// Bytes sent and received in these exchanges.
     pub peer_bytes: u64,
-    /// Reads of engines' state and cache events.
+    /// Number of reads of engines' state and cache events.
     pub engine_calls: u64,
-    /// Bytes of those reads, both ways.
+    /// Bytes sent and received in these reads.
     pub engine_bytes: u64,
 }
--- a/crates/core/src/status/upstream.rs
+++ b/crates/core/src/status/upstream.rs
@@ -3,26 +3,26 @@
     std::net::SocketAddr,
 };
 
-/// An upstream as one instance sees it.
+/// Status of an upstream, as one instance sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
-    /// Name of the record.
+    /// Name of the upstream's record.
     pub name: String,
-    /// Address.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Model or service.
+    /// Name of the model or service that it serves.
     pub serves: String,
-    /// Whether it gets no new work.
+    /// Whether it is departing and gets no new work.
     pub departing: bool,
-    /// What it does, in one word: `serving`, `loading`, `silent`, or `unseen`
-    /// where this instance never heard of it.
+    /// State in one word: `serving`, `loading`, `silent` or `unseen`. `unseen`
+    /// means that this instance has received nothing about it.
     pub state: String,
-    /// Weights version that it last reported.
+    /// Last reported weights version, if any.
     pub version: Option<String>,
-    /// Attempts and calls that this instance runs on it.
+    /// Number of attempts and calls that this instance runs on it.
     pub in_flight: u32,
-    /// Requests that run on it, as it last reported.
+    /// Last reported number of running requests.
     pub running: u32,
-    /// Requests that wait in it, as it last reported.
+    /// Last reported number of queued requests.
     pub waiting: u32,
 }
--- a/crates/core/src/stream/event_splitter.rs
+++ b/crates/core/src/stream/event_splitter.rs
@@ -1,7 +1,8 @@
-/// Splits a stream of events into whole events.
+/// Splits a byte stream of server-sent events at event boundaries.
 ///
-/// An engine that crashes may stop in the middle of an event. Passed on, the
-/// half event would be joined with the first one of the engine that goes on.
+/// An engine that crashes may stop in the middle of an event. If the partial
+/// event were forwarded, it would be joined with the first event of the engine
+/// that resumes the stream.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: Vec<u8>,
@@ -9,7 +10,8 @@
 }
 
 impl EventSplitter {
-    /// Returns a splitter for a stream that goes on behind an event.
+    /// Returns a splitter for a stream that resumes after the event with this
+    /// id; `None` for a stream from the start.
     pub fn resume_after(last_id: Option<String>) -> EventSplitter {
         EventSplitter {
             partial: Vec::new(),
@@ -17,7 +19,8 @@
         }
     }
 
-    /// Takes bytes, and returns those up to the end of the last whole event.
+    /// Adds received bytes, and returns all bytes up to the end of the last
+    /// complete event.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.partial.extend_from_slice(bytes);
         let Some(end) = end_of_last_event(&self.partial) else {
@@ -31,12 +34,13 @@
         whole
     }
 
-    /// Returns whether part of an event is left.
+    /// Returns whether an incomplete event is buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the last event id among the complete events, or the id that the
+    /// stream resumed after.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
@@ -49,8 +53,9 @@
     ends.into_iter().flatten().max()
 }
 
-/// Returns the last id among events. Their data may be any bytes; an id that
-/// was overlooked would repeat events when the stream goes on.
+/// Returns the last id among the events. It searches bytes, since the data need
+/// not be UTF-8: with a missed id, events would be repeated when the stream
+/// resumes.
 fn last_id(events: &[u8]) -> Option<String> {
     let mut lines = events.split(|byte| *byte == b'\n').rev();
     let id = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/core/src/stream/mod.rs
+++ b/crates/core/src/stream/mod.rs
@@ -1,4 +1,4 @@
-//! One answer, put together from the events of its attempts.
+//! Assembly of one answer from the events of its attempts.
 
 mod event_splitter;
 mod sequencer;
--- a/crates/core/src/stream/sequencer.rs
+++ b/crates/core/src/stream/sequencer.rs
@@ -1,6 +1,6 @@
 use crate::engine::{GenerateEvent, GeneratePayload, Usage};
 
-/// What the caller's stream does next.
+/// What to do with the caller's stream after an event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Write this token.
@@ -12,31 +12,31 @@
         /// Token counts.
         usage: Usage,
     },
-    /// The event is late, repeated or another request's; write nothing.
+    /// The event is late, repeated or belongs to another request; write nothing.
     Skip,
-    /// The attempt can't go on.
+    /// The attempt failed.
     Fail(Fault),
 }
 
-/// Why an attempt can't go on.
+/// Why the events of an attempt make it fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A token is missing before the one that came.
+    /// At least one token is missing.
     Gap,
     /// The engine answered under other weights or another incarnation.
     OtherWeights,
-    /// The engine failed after it may have started.
+    /// The engine failed, and the request may have run.
     Failed,
     /// The engine stated that nothing ran.
     NotRun,
 }
 
-/// Puts the events of one request's attempts in order.
+/// Merges the events of one request's attempts into one sequence of tokens.
 ///
-/// Without it a late answer of an attempt that was given up, or an answer
-/// that the engine sent on the wrong connection, would reach the caller as
-/// repeated or foreign text. Request identity, attempt number and token index
-/// together name each token exactly once.
+/// Without it, a late answer of an abandoned attempt, or an answer that an
+/// engine sent on the wrong connection, would reach the caller as repeated text
+/// or as text of another request. Request id, attempt number and token index
+/// together identify each token uniquely.
 #[derive(Debug, Clone)]
 pub struct Sequencer {
     request_id: String,
@@ -47,7 +47,8 @@
 }
 
 impl Sequencer {
-    /// Returns the sequencer of a request that is bound to a weights version.
+    /// Returns a sequencer for a request. `version` is the weights version that
+    /// the answer is expected from.
     pub fn new(request_id: &str, version: &str) -> Sequencer {
         Sequencer {
             request_id: request_id.to_owned(),
@@ -58,35 +59,35 @@
         }
     }
 
-    /// Starts the next attempt on an incarnation of an engine and returns its
-    /// number. Events of the attempts before it are skipped from now on.
+    /// Starts the next attempt on an engine's incarnation and returns the
+    /// attempt's number. Events of earlier attempts are skipped from now on.
     pub fn next_attempt(&mut self, incarnation: u64) -> u32 {
         self.attempt += 1;
         self.incarnation = incarnation;
         self.attempt
     }
 
-    /// Returns the weights version that the answer is bound to; none while no
-    /// token has been written, so that any version may still serve it.
+    /// Returns the weights version that the answer is bound to; `None` while no
+    /// token has been written and any version may still serve the request.
     pub fn bound_version(&self) -> Option<&str> {
         (!self.tokens.is_empty()).then_some(self.version.as_str())
     }
 
-    /// Binds the answer to another version, as long as nothing was written.
-    /// Behind a written token the version stays: a text that two weights
-    /// versions wrote in turn is the answer of neither.
+    /// Changes the expected weights version, unless a token was written.
+    /// After that the version is fixed: a text generated partly by each of two
+    /// versions is not a valid answer of either.
     pub fn rebind(&mut self, version: &str) {
         if self.tokens.is_empty() {
             self.version = version.to_owned();
         }
     }
 
-    /// Returns the tokens that the caller has.
+    /// Returns the tokens written to the caller so far.
     pub fn tokens(&self) -> &[String] {
         &self.tokens
     }
 
-    /// Takes one event.
+    /// Processes one event, and returns what to do with the caller's stream.
     pub fn take(&mut self, event: &GenerateEvent) -> Step {
         if event.request_id != self.request_id || event.attempt != self.attempt {
             return Step::Skip;
--- a/crates/core/src/upstream/breaker.rs
+++ b/crates/core/src/upstream/breaker.rs
@@ -7,16 +7,16 @@
     Probing { since_ms: u64, pause_ms: u64 },
 }
 
-/// Keeps work from an upstream that fails all it gets.
+/// Circuit breaker that stops attempts to an upstream that fails repeatedly.
 ///
-/// Load pattern: an engine is dead, or answers everything with an error.
-/// Without a breaker each request placed there pays a failed attempt first,
-/// and an engine that fails quickly looks idle, so placement by load sends it
-/// even more.
+/// Load pattern: an engine is down or answers every request with an error.
+/// Without a breaker each request placed there first spends a failed attempt.
+/// An engine that fails quickly also looks idle, so placement by load would
+/// send it even more requests.
 ///
-/// When the pause is over one attempt goes through as a probe. Letting all
-/// through at once would hand every waiting request to an engine that most
-/// likely is still down.
+/// After the pause a single attempt is let through as a probe. Closing the
+/// breaker at once would send every waiting request to an engine that is most
+/// likely still down.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Breaker {
     settings: BreakerSettings,
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Returns whether an attempt would be let through.
+    /// Returns whether [`try_enter`](Breaker::try_enter) would let an attempt
+    /// through. Changes nothing.
     pub fn allows(&self, now_ms: u64) -> bool {
         match self.phase {
             Phase::Closed { .. } => true,
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Returns when the next attempt would be let through, 0 for now.
+    /// Returns the time until the next attempt is let through, in
+    /// milliseconds; 0 if one is allowed now.
     pub fn wait_ms(&self, now_ms: u64) -> u64 {
         match self.phase {
             Phase::Closed { .. } => 0,
@@ -54,7 +56,9 @@
         }
     }
 
-    /// Lets an attempt through, or not. The first behind a pause is a probe.
+    /// Returns whether the attempt may be sent. The first attempt after a
+    /// pause becomes the probe, and further ones are held back until it ends
+    /// or times out.
     pub fn try_enter(&mut self, now_ms: u64) -> bool {
         if !self.allows(now_ms) {
             return false;
@@ -68,13 +72,14 @@
         true
     }
 
-    /// Notes that the upstream works.
+    /// Records a successful attempt and closes the breaker.
     pub fn succeeded(&mut self) {
         self.phase = Phase::Closed { failures: 0 };
     }
 
-    /// Notes an attempt that tells nothing: the probe it may have been is
-    /// given back.
+    /// Records an attempt that gives no information on the upstream, for example
+    /// because the caller disconnected. If it was the probe, the next attempt
+    /// may probe at once.
     pub fn inconclusive(&mut self, now_ms: u64) {
         if let Phase::Probing { pause_ms, .. } = self.phase {
             self.phase = Phase::Open {
@@ -84,15 +89,16 @@
         }
     }
 
-    /// Notes a failed attempt.
+    /// Records a failed attempt. Opens the breaker after the configured number
+    /// of consecutive failures, and doubles the pause after a failed probe.
     pub fn failed(&mut self, now_ms: u64) {
         self.phase = match self.phase {
             Phase::Closed { failures } if failures + 1 < self.settings.failures => Phase::Closed {
                 failures: failures + 1,
             },
             Phase::Closed { .. } => self.open(self.settings.pause_ms, now_ms),
-            // Attempts that were out before it opened fail late. They tell
-            // nothing new, and must not lengthen the pause.
+            // Attempts sent before the breaker opened may fail only now. They
+            // carry no new information and must not extend the pause.
             Phase::Open { .. } => self.phase,
             Phase::Probing { pause_ms, .. } => {
                 self.open((pause_ms * 2).min(self.settings.max_pause_ms), now_ms)
--- a/crates/core/src/upstream/breaker_settings.rs
+++ b/crates/core/src/upstream/breaker_settings.rs
@@ -1,16 +1,19 @@
-/// Figures of a [`super::Breaker`].
+/// Settings of a [`super::Breaker`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BreakerSettings {
-    /// Failures in a row that open it. One may be the request's own fault (it
-    /// crashed the engine), two a coincidence; a dead engine gives three
-    /// within a fraction of a second at 20 requests a second.
+    /// Consecutive failures that open the breaker. One may be caused by the
+    /// request itself (it crashed the engine), two may be a coincidence. At 20
+    /// requests a second a dead engine produces three within a fraction of a
+    /// second.
     pub failures: u32,
-    /// First pause, about the time in which an engine's process starts.
+    /// First pause, in milliseconds: about the start time of an engine process.
     pub pause_ms: u64,
-    /// Longest pause: an engine that came back is found within this time.
+    /// Maximum pause, in milliseconds: bounds the time until an engine that
+    /// recovered is detected.
     pub max_pause_ms: u64,
-    /// Longest time that a probe may be out before another is let through. A
-    /// probe whose end is never reported would keep the breaker shut.
+    /// Time after which another probe is let through while the previous one has
+    /// not ended, in milliseconds. Without it, a probe whose end is never
+    /// reported would keep the breaker open.
     pub probe_timeout_ms: u64,
 }
 
--- a/crates/core/src/upstream/health.rs
+++ b/crates/core/src/upstream/health.rs
@@ -3,13 +3,13 @@
     crate::attempt::{End, EndedAttempt},
 };
 
-/// All that one instance knows of one upstream through its own attempts.
+/// State of one upstream as one instance observes it through its own attempts.
 ///
-/// The limit holds for attempts that wait for their first token. Those that
-/// stream already are part of the engine's batch, stay there for tens of
-/// seconds and slow the first token of others only through the engine's own
-/// queue, which the waiting ones show. Counting them too would refuse work to
-/// healthy engines that hold many long streams.
+/// The concurrency limit applies only to attempts that wait for their first
+/// token. Attempts that already stream are part of the engine's batch for tens
+/// of seconds. They delay the first token of others only through the engine's
+/// queue, which the waiting attempts already reflect. Counting them too would
+/// refuse work to healthy engines that run many long streams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Health {
     limit: ConcurrencyLimit,
@@ -30,54 +30,59 @@
 }
 
 impl Health {
-    /// Returns whether it may get one more attempt within its limit.
+    /// Returns whether one more attempt may be sent: the breaker allows it, the
+    /// limit is not reached and the upstream is not stalled.
     pub fn usable(&self, now_ms: u64) -> bool {
         self.breaker.allows(now_ms)
             && self.waiting < self.limit.attempts()
             && !self.stall_detector.is_stalled(now_ms)
     }
 
-    /// Returns whether it has fallen silent to all of its streams.
+    /// Returns whether the upstream is stalled, see [`StallDetector`].
     pub fn is_stalled(&self, now_ms: u64) -> bool {
         self.stall_detector.is_stalled(now_ms)
     }
 
-    /// Notes a token.
+    /// Records a token of any stream.
     pub fn record_token(&mut self, now_ms: u64) {
         self.stall_detector.record_token(now_ms);
     }
 
-    /// Notes that a stream listened and heard nothing.
+    /// Records that a stream was read and no token arrived.
     pub fn record_silence(&mut self, now_ms: u64) {
         self.stall_detector.record_silence(now_ms);
     }
 
-    /// Returns whether its breaker lets an attempt through.
+    /// Returns whether the breaker would let an attempt through.
     pub fn allows(&self, now_ms: u64) -> bool {
         self.breaker.allows(now_ms)
     }
 
-    /// Returns when its breaker lets the next attempt through.
+    /// Returns the time until the breaker lets the next attempt through, in
+    /// milliseconds; 0 if it allows one now.
     pub fn wait_ms(&self, now_ms: u64) -> u64 {
         self.breaker.wait_ms(now_ms)
     }
 
-    /// Returns how many more attempts may wait there.
+    /// Returns how many more attempts may wait for their first token.
     pub fn free(&self) -> u32 {
         self.limit.attempts().saturating_sub(self.waiting)
     }
 
-    /// Returns how many attempts may wait there at once.
+    /// Returns the maximum number of attempts that may wait for their first
+    /// token at once.
     pub fn limit(&self) -> u32 {
         self.limit.attempts()
     }
 
-    /// Returns the smoothed time to first token.
+    /// Returns the smoothed time to first token of recent answers, in
+    /// milliseconds; `None` before the first answer.
     pub fn recent_ms(&self) -> Option<f64> {
         self.limit.recent_ms()
     }
 
-    /// Counts an attempt, unless the breaker holds it back.
+    /// Counts a waiting attempt and returns true, or returns false if the
+    /// breaker holds it back.
     pub fn start(&mut self, now_ms: u64) -> bool {
         if !self.breaker.try_enter(now_ms) {
             return false;
@@ -86,7 +91,9 @@
         true
     }
 
-    /// Takes the time to first token of an attempt that goes on.
+    /// Records the first token of an attempt that continues. `peers_ms` is the
+    /// median recent time to first token of the other upstreams that serve the
+    /// same model or service, in milliseconds.
     pub fn first_token(&mut self, took_ms: u64, peers_ms: Option<f64>, now_ms: u64) {
         self.breaker.succeeded();
         self.stall_detector.record_token(now_ms);
@@ -95,12 +102,12 @@
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Takes back a waiting attempt whose end is not known.
+    /// Stops counting a waiting attempt whose result is unknown.
     pub fn cancel_waiting(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Takes the end of an attempt.
+    /// Records the end of an attempt.
     pub fn end(&mut self, ended: &EndedAttempt, now_ms: u64) {
         if ended.first_token_ms().is_none() {
             self.waiting = self.waiting.saturating_sub(1);
--- a/crates/core/src/upstream/limit.rs
+++ b/crates/core/src/upstream/limit.rs
@@ -1,21 +1,21 @@
 use super::LimitSettings;
 
-/// How many attempts may wait for one upstream's first token at once.
+/// Adaptive limit of the attempts that may wait for one upstream's first token.
 ///
-/// Load pattern: one engine among many turns slow (a noisy neighbour, a bad
+/// Load pattern: one engine among many becomes slow (a noisy neighbour, a bad
 /// clock, long jobs in its batch). Without a limit it keeps its share of new
-/// work, its queue grows without bound, and the tail of the time to first
-/// token is that engine's.
+/// requests, its queue grows without bound, and it alone determines the tail
+/// of the time to first token.
 ///
-/// The limit falls by a factor and grows by steps: at most to half in one
-/// cut, and by 1 for each full round of answers. A slow upstream thus loses
-/// nine tenths of its work within four cuts, and takes as many rounds to
-/// regain it as it has attempts to regain. The other way round, work would
-/// swing between engines faster than their answers tell how they fare.
+/// Additive increase, multiplicative decrease: one decrease at most halves the
+/// limit, and each full round of answers raises it by 1. A slow upstream loses
+/// nine tenths of its requests within four decreases and regains one attempt
+/// per round. With a fast increase and a slow decrease, load would oscillate
+/// between engines faster than their answers show the effect.
 ///
-/// "Slow" is told from the upstream's own usual time and from what its peers
-/// need now, whichever is less. Its own time alone would take a lasting
-/// slowness for the usual after some hundred answers.
+/// An upstream counts as slow relative to the smaller of its own baseline and
+/// the current times of its peers. Relative to its baseline alone, lasting
+/// slowness would become the baseline after about a hundred answers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConcurrencyLimit {
     settings: LimitSettings,
@@ -26,7 +26,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Returns the limit of an upstream that nothing is known of.
+    /// Returns the initial limit, for an upstream without any answers yet.
     pub fn new(settings: LimitSettings) -> ConcurrencyLimit {
         ConcurrencyLimit {
             settings,
@@ -37,19 +37,22 @@
         }
     }
 
-    /// Returns how many attempts it may have at once, at least 1.
+    /// Returns the maximum number of waiting attempts, at least 1.
     pub fn attempts(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Returns the smoothed time to first token of the last few answers.
+    /// Returns the smoothed time to first token of the last few answers, in
+    /// milliseconds; `None` before the first answer.
     pub fn recent_ms(&self) -> Option<f64> {
         self.recent_ms
     }
 
-    /// Takes the time to first token of one attempt.
+    /// Records the time to first token of one attempt and adjusts the limit.
     ///
-    /// `waiting` counts the attempts that waited, `peers_ms` is the middle of the short averages of the others that serve the same.
+    /// `waiting` is the number of waiting attempts, this one included.
+    /// `peers_ms` is the median recent time of the other upstreams that serve
+    /// the same model or service.
     pub fn first_token(&mut self, took_ms: u64, waiting: u32, peers_ms: Option<f64>, now_ms: u64) {
         let recent_ms = self.smooth(took_ms as f64);
         let baseline_ms = self.baseline_ms.unwrap_or(recent_ms);
@@ -58,12 +61,13 @@
         if recent_ms > bound_ms {
             self.reduce(bound_ms / recent_ms, now_ms);
         } else if f64::from(waiting) * 2.0 >= self.limit {
-            // A limit that is not in use says nothing about what more would do.
+            // While less than half of the limit is in use, answers do not
+            // show the effect of a higher limit.
             self.limit = (self.limit + 1.0 / self.limit).min(self.settings.max_limit);
         }
     }
 
-    /// Takes an attempt that failed or brought nothing in time.
+    /// Records an attempt that failed or timed out, and lowers the limit.
     pub fn failed(&mut self, now_ms: u64) {
         self.reduce(self.settings.min_factor, now_ms);
     }
@@ -79,9 +83,9 @@
         recent_ms
     }
 
-    /// Cuts once for each round of answers: those that were already out when
-    /// the last cut was made tell of the queue before it, and each would cut
-    /// again for the same cause.
+    /// Lowers the limit at most once per round of answers. Attempts that were
+    /// already sent at the last decrease reflect the queue before it, and would
+    /// each lower the limit again for the same cause.
     fn reduce(&mut self, factor: f64, now_ms: u64) {
         let round_ms = self.recent_ms.unwrap_or_default() as u64;
         if self
--- a/crates/core/src/upstream/limit_settings.rs
+++ b/crates/core/src/upstream/limit_settings.rs
@@ -1,29 +1,30 @@
-/// Figures of a [`super::ConcurrencyLimit`].
+/// Settings of a [`super::ConcurrencyLimit`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitSettings {
-    /// Limit of an upstream that nothing is known of. At 20 requests a second
-    /// a node and 16 engines, 32 that wait are 25 s of one engine's share: a
-    /// healthy engine never meets it, and a new one gets work at once.
+    /// Limit of an upstream without answers. At 20 requests a second per node
+    /// and 16 engines, 32 waiting attempts are 25 s of one engine's share: a
+    /// healthy engine never reaches the limit, and a new one gets work at once.
     pub initial_limit: f64,
-    /// Lowest limit. One attempt at a time must stay, or the upstream could
-    /// never show that it recovered.
+    /// Minimum limit. One attempt at a time must remain allowed, or a recovery
+    /// of the upstream could never be detected.
     pub min_limit: f64,
-    /// Highest limit, about half the streams that one instance may hold.
+    /// Maximum limit, about half of the streams that one instance may hold.
     pub max_limit: f64,
-    /// Time to first token counts as slow above this many times the usual.
-    /// A missed prefix alone makes one answer several times slower than a
-    /// hit, so single answers are smoothed first, and twice the usual of a
-    /// smoothed time is more than the mix of hits and misses moves it.
+    /// Factor of the baseline above which the smoothed time to first token
+    /// counts as slow. A prefix cache miss alone makes one answer several times
+    /// slower than a hit, so times are smoothed before the comparison; the mix
+    /// of hits and misses changes the smoothed time by less than a factor of 2.
     pub slow_factor: f64,
-    /// Added to the usual time before it counts as slow, so that a few
-    /// milliseconds of scheduling on a fast engine are no sign of load.
+    /// Milliseconds added to the bound, so that a few milliseconds of
+    /// scheduling delay on a fast engine do not count as slow.
     pub slack_ms: f64,
-    /// Weight of one answer in the short average. At 0.25 four answers are
-    /// two thirds of it: three slow ones in a row are enough to react.
+    /// Weight of one answer in the recent average. At 0.25 four answers make up
+    /// two thirds of it, so three slow answers in a row are enough to react.
     pub recent_weight: f64,
-    /// Weight of one answer in the usual time, some hundred answers.
+    /// Weight of one answer in the baseline, which averages over about a
+    /// hundred answers.
     pub baseline_weight: f64,
-    /// Smallest factor of one decrease.
+    /// Minimum factor of one decrease.
     pub min_factor: f64,
 }
 
--- a/crates/core/src/upstream/mod.rs
+++ b/crates/core/src/upstream/mod.rs
@@ -1,14 +1,14 @@
-//! What one upstream can take, judged from what it answers.
+//! Load and failure control per upstream, derived from its answers.
 //!
-//! Each router judges alone, from its own attempts: no load report is needed,
-//! so the judgement works while reports lag and the platform is down.
+//! Each instance uses only its own attempts and needs no load reports, so this
+//! works while reports lag and while the platform is down.
 //!
-//! | part | load pattern | without it |
+//! | component | load pattern | without it |
 //! | --- | --- | --- |
-//! | [`ConcurrencyLimit`] | one engine turns slow | its queue grows until every request behind it times out |
-//! | [`Breaker`] | an engine is dead or fails all it gets | each request pays a failed attempt first |
-//! | [`StallDetector`] | an engine stalls for some seconds | requests sent to it wait for the whole timeout |
-//! | [`RetryBudget`] | many engines fail at once | retries multiply the load that made them fail |
+//! | [`ConcurrencyLimit`] | one engine becomes slow | its queue grows until every request in it times out |
+//! | [`Breaker`] | an engine is down or fails every request | each request spends a failed attempt first |
+//! | [`StallDetector`] | an engine stalls for some seconds | requests sent to it wait for the full timeout |
+//! | [`RetryBudget`] | many engines fail at once | retries multiply the load that caused the failures |
 
 mod breaker;
 mod breaker_settings;
--- a/crates/core/src/upstream/retry_budget.rs
+++ b/crates/core/src/upstream/retry_budget.rs
@@ -1,29 +1,29 @@
-/// Retries that one request pays in, in hundredths.
+/// Hundredths of a retry that each request adds to the budget.
 const EARNED_HUNDREDTHS: u64 = 10;
 
-/// Hundredths of one retry.
+/// Hundredths that one retry costs.
 const RETRY_HUNDREDTHS: u64 = 100;
 
-/// Retries that may be saved up, in hundredths.
+/// Capacity of the budget, in hundredths of a retry.
 ///
-/// When one engine dies, each request that waited on it needs one retry at
-/// once. At 20 requests a second and 16 engines that is one or two; 20 leaves
-/// room for a failure domain of four engines, and is spent in one second by a
-/// retry storm.
+/// When one engine dies, each request that waited on it needs a retry at once.
+/// At 20 requests a second and 16 engines these are one or two. A capacity of
+/// 20 covers the loss of a failure domain of four engines, and a retry storm
+/// uses it up within one second.
 const MAX_SAVED_HUNDREDTHS: u64 = 2_000;
 
-/// Retries that an instance may send.
+/// Token bucket of the retries that an instance may send.
 ///
 /// Load pattern: many engines fail or time out at once, most often because
-/// they are overloaded. Without a budget each request is tried up to its
-/// limit of attempts, so the load grows by that factor just when there is too
-/// much of it, and stays there after the cause has gone.
+/// they are overloaded. Without a budget each request uses all of its attempts,
+/// which multiplies the load during the overload and keeps it high after the
+/// cause is gone.
 ///
-/// Each request pays in a tenth of a retry, so retries stay a tenth of the
-/// traffic. A retry after a refused connection counts too: it is cheap for
-/// the dead engine and not for the next. To resume a stream is always
-/// allowed, since its caller already reads the answer, and is charged; the
-/// streams to resume are never more than those that the dead engine ran.
+/// Each request adds a tenth of a retry, so retries stay at a tenth of the
+/// traffic. A retry after a refused connection counts too: it costs the dead
+/// engine little, but not the next one. Resuming a stream is always allowed,
+/// because its caller already reads the answer, and it is charged; there are
+/// never more streams to resume than the dead engine ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RetryBudget {
     hundredths: u64,
@@ -38,12 +38,12 @@
 }
 
 impl RetryBudget {
-    /// Notes a request that is tried for the first time.
+    /// Adds the share of a request that is sent for the first time.
     pub fn record_first_attempt(&mut self) {
         self.hundredths = (self.hundredths + EARNED_HUNDREDTHS).min(MAX_SAVED_HUNDREDTHS);
     }
 
-    /// Takes a retry out, if one is left.
+    /// Takes one retry out of the budget; returns false if none is left.
     pub fn try_retry(&mut self) -> bool {
         if self.hundredths < RETRY_HUNDREDTHS {
             return false;
@@ -52,7 +52,7 @@
         true
     }
 
-    /// Charges a stream that is resumed, whatever is left.
+    /// Charges one retry for a stream that is resumed, down to an empty budget.
     pub fn charge_resume(&mut self) {
         self.hundredths = self.hundredths.saturating_sub(RETRY_HUNDREDTHS);
     }
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What is known of an attempt in each phase.
+//! Outcomes and timeouts of an attempt by phase.
 
 use mangowalk_core::{
     attempt::{Attempt, End, Timeouts},
@@ -7,8 +7,8 @@
     stream::Fault,
 };
 
-/// "Not run" is said only where the connection was refused or the engine
-/// stated it. A timeout leaves open whether the request waits in a queue.
+/// The outcome is "not run" only if the connection was refused or the engine
+/// stated it. After a timeout the request may still be in the engine's queue.
 #[test]
 fn only_refused_attempts_are_reported_as_not_run() {
     let ends = [
@@ -49,8 +49,8 @@
     assert_eq!(streaming.first_token_ms(), 650);
 }
 
-/// An engine that was restarted or given new weights refuses what was meant
-/// for its old self. That is no fault of its own.
+/// An engine that restarted or loaded other weights refuses requests for its
+/// previous incarnation or weights. This must not count as an engine failure.
 #[test]
 fn a_refusal_for_stale_engine_data_is_not_a_failure() {
     let end = End::Send(SendError::Refused { status: 409 });
--- a/crates/core/tests/burn.rs
+++ b/crates/core/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Counting of the burn report: windows, sums over instances, memory.
+//! Burn report: counting by window, sums over instances, levels and memory use.
 
 use {
     mangowalk_core::{
@@ -48,9 +48,9 @@
 }
 
 proptest! {
-    /// Requests are spread over several instances in any way. The report must
-    /// not depend on it: an operator who sees other figures after a restart
-    /// would not know which to believe.
+    /// The report must not depend on how requests are distributed over the
+    /// instances, or its figures would change with a restart and operators
+    /// could not rely on them.
     #[test]
     fn the_report_does_not_depend_on_the_instance_that_counted(
         requests in prop::collection::vec((0u64..20_000, end(), 0usize..5), 1..200),
@@ -71,8 +71,8 @@
         );
     }
 
-    /// A request is in a window for its whole length, and out of it a cell
-    /// later at the latest.
+    /// A request is counted in a window for the window's full length, and for
+    /// at most one cell more.
     #[test]
     fn a_request_is_counted_for_the_window_and_at_most_one_cell_more(at_ms in 0u64..100_000_000, later_ms in 0u64..50_000_000) {
         let mut ledger = Ledger::default();
@@ -80,16 +80,16 @@
         for (i, window) in Window::ALL.into_iter().enumerate() {
             let counted = counts(&ledger, i, at_ms + later_ms).complete == 1;
             if later_ms <= window.length_ms() {
-                prop_assert!(counted, "{window} lost it after {later_ms} ms");
+                prop_assert!(counted, "{window} no longer counts it after {later_ms} ms");
             }
             if later_ms > window.length_ms() + window.length_ms() / CELLS_PER_WINDOW {
-                prop_assert!(!counted, "{window} kept it for {later_ms} ms");
+                prop_assert!(!counted, "{window} still counts it after {later_ms} ms");
             }
         }
     }
 
-    /// A thread that waited for the lock notes with an older time than the
-    /// last one. Nothing that was counted may go.
+    /// A thread that waited for the lock records with an older time than the
+    /// previous thread. This must not clear any counts.
     #[test]
     fn recording_with_an_older_time_keeps_existing_counts(at_ms in 400_000u64..1_000_000, back_ms in 0u64..400_000) {
         let mut ledger = Ledger::default();
@@ -100,10 +100,10 @@
     }
 }
 
-/// One instance refuses for the rate although the team as a whole asked for a
-/// tenth of it: shares are in the wrong places, and the team's callers are
-/// refused wrongly. The same refusals count for nothing once the team asks for
-/// more than its rate.
+/// Instances refuse requests for the rate although the team requested less than
+/// its rate in total, because the shares of the rate are at the wrong
+/// instances. These refusals count as bad. Once the team requests more than its
+/// rate, the same refusals must not count.
 #[test]
 fn rate_refusals_are_bad_only_while_the_team_is_within_its_rate() {
     let mut ledger = Ledger::default();
@@ -129,7 +129,7 @@
             .find(|r| r.objective == Objective::Admitted);
         row.map(|r| r.windows[0].bad)
     };
-    // 200 tokens were asked for within 300 s.
+    // 200 tokens were requested within 300 s.
     assert_eq!(bad(1), Some(10));
     assert_eq!(bad(0), Some(0));
     let hungry = 100_000;
@@ -150,9 +150,9 @@
     assert_eq!(row.map(|r| r.windows[0].bad), Some(0));
 }
 
-/// An engine fails for five minutes and is well again. The level rises while
-/// both windows burn, and falls soon after, although an hour's window still
-/// holds the failure.
+/// An engine fails for five minutes and recovers. The level is fast while the
+/// burn rate is high in both windows, and drops soon after the failure,
+/// although the one-hour window still contains it.
 #[test]
 fn the_level_falls_soon_after_the_failure_ends() {
     let mut ledger = Ledger::default();
@@ -220,8 +220,8 @@
     }
 }
 
-/// 230 teams, the size of two years from now, and then as many names as the
-/// ledger takes.
+/// Memory use for 230 teams, the expected number in two years, and for more
+/// team names than the ledger accepts.
 #[test]
 fn memory_is_bounded() {
     let mut ledger = Ledger::default();
--- a/crates/core/tests/outside_input.rs
+++ b/crates/core/tests/outside_input.rs
@@ -1,5 +1,5 @@
-//! What is read from outside: records, engine events, watches and peers'
-//! messages. Nothing that comes may stop the process or be taken for sound.
+//! Parsing of outside input: records, engine events and platform replies.
+//! Invalid input must neither panic nor be accepted.
 
 use {
     mangowalk_core::{
@@ -13,7 +13,7 @@
     serde_json::{Value, json},
 };
 
-/// Any JSON value, a few levels deep.
+/// Generates JSON values a few levels deep.
 fn any_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -31,7 +31,7 @@
     })
 }
 
-/// Names that the decoders know, and others.
+/// Generates field names that the decoders know, and others.
 fn any_field() -> impl Strategy<Value = String> {
     let known = [
         "schema",
@@ -65,8 +65,8 @@
 }
 
 proptest! {
-    /// Whatever stands in a record, reading it ends with a record or with an
-    /// error whose message tells what to do.
+    /// Parsing any JSON value returns a record or an error whose message says
+    /// how to correct it.
     #[test]
     fn any_json_record_is_parsed_or_refused_with_a_remedy(kind in any_kind(), body in any_json()) {
         if let Err(error) = parse(kind, &body) {
@@ -75,8 +75,8 @@
         }
     }
 
-    /// A record that is refused leaves the one before it in force, and every
-    /// other record too. Without that, one bad write would take a team away.
+    /// A refused record must leave all other records in force. Otherwise one bad
+    /// write could remove a team.
     #[test]
     fn a_refused_record_leaves_other_records_in_force(kind in any_kind(), text in ".{0,64}") {
         let mut store = Store::default();
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Any text in place of an engine's event is read or refused.
+    /// Any text or JSON value in place of an engine's event is parsed or
+    /// refused without a panic.
     #[test]
     fn any_engine_event_is_parsed_or_refused_without_panic(text in ".{0,200}", body in any_json()) {
         let _ = serde_json::from_str::<GenerateEvent>(&text);
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Any reply in place of the platform's is read or refused, and merging
-    /// what could be read keeps the store usable.
+    /// Any JSON value in place of a platform reply is parsed or refused without
+    /// a panic, and the store stays usable after merging what was parsed.
     #[test]
     fn any_platform_reply_is_parsed_or_refused_without_panic(body in any_json()) {
         let mut store = Store::default();
@@ -118,7 +119,7 @@
         let _ = View::of(&store);
     }
 
-    /// An event of another request or attempt never writes.
+    /// Events of another request or attempt must write nothing.
     #[test]
     fn events_of_other_requests_are_skipped(
         id in "[a-z]{1,4}",
--- a/crates/core/tests/poison.rs
+++ b/crates/core/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Whom a crash is charged to, and how instances tell each other.
+//! Attribution of crashes to requests, and its exchange between instances.
 
 use {
     mangowalk_core::poison::{
@@ -11,10 +11,11 @@
 const POISON: u64 = 0;
 
 proptest! {
-    /// One request crashes whatever runs it, and others run beside it. Nobody
-    /// knows which it is. It is refused after three crashes all the same, and
-    /// none of its neighbours answers for any: from the second crash on it is
-    /// the most suspect, and the first is its own too.
+    /// One request crashes every upstream that runs it, with other requests on
+    /// the same upstream. It must reach the limit after three crashes, and no
+    /// crash may count against the others: from the second crash on, the poison
+    /// request has the most crashes, and the first crash is attributed to it as
+    /// well.
     #[test]
     fn only_the_poison_request_reaches_the_crash_limit(
         crashes in prop::collection::vec(prop::collection::btree_set(1u64..20, 0..6), 3..8),
@@ -37,9 +38,9 @@
         }
     }
 
-    /// Exchanges come in any order, twice or late. Every instance ends with
-    /// the same count, and a request that completed anywhere is clear
-    /// everywhere.
+    /// Reports arrive in any order, repeated or late. All instances must end
+    /// with the same counts, and a request that completed on one instance must
+    /// be cleared on all.
     #[test]
     fn merging_reports_does_not_depend_on_their_order(
         reports in prop::collection::vec(
@@ -75,9 +76,10 @@
     }
 }
 
-/// Two instances tell each other of a crash, one long after it. It is forgotten all
-/// the same: told with a time of receipt, each would keep it alive for the
-/// other, and an engine's own fault would condemn a request for ever.
+/// Two instances keep exchanging reports of one crash. The crash must still
+/// expire: if reports were dated by their time of receipt, each instance would
+/// extend the retention on the other, and a request would be refused forever
+/// for a fault of an engine.
 #[test]
 fn exchanging_reports_does_not_extend_their_retention() {
     let (mut a, mut b) = (PoisonLedger::default(), PoisonLedger::default());
@@ -96,8 +98,8 @@
     assert!(a.reports(CRASH_RETENTION_MS).is_empty());
 }
 
-/// A caller sends ever new requests that crash engines. What is remembered
-/// stays bounded, and the latest are kept.
+/// A caller keeps sending new requests that crash engines. The number of
+/// recorded requests must stay bounded, and the latest must be kept.
 #[test]
 fn the_ledger_stays_bounded() {
     let mut ledger = PoisonLedger::default();
--- a/crates/core/tests/streams.rs
+++ b/crates/core/tests/streams.rs
@@ -1,4 +1,4 @@
-//! One answer out of the events of several attempts.
+//! Assembly of one answer from the events of several attempts.
 
 use {
     mangowalk_core::{
@@ -45,8 +45,8 @@
     sequencer
 }
 
-/// The first attempt was given up and its engine answers after all, between
-/// the tokens of the second. The caller must see the second attempt's alone.
+/// The engine of an abandoned attempt sends its answer late, between the tokens
+/// of the second attempt. The caller must receive only those of the second.
 #[test]
 fn late_events_of_an_abandoned_attempt_are_skipped() {
     let mut sequencer = started_sequencer();
@@ -66,8 +66,9 @@
     assert_eq!(sequencer.take(&token(1, 1, "b")), Step::Fail(Fault::Gap));
 }
 
-/// The engine says that it is done while tokens it counts never came. With a
-/// closing marker the caller would take half an answer for the whole.
+/// The engine reports completion with more tokens than were received. If the
+/// closing marker were written, the caller would take a partial answer for a
+/// complete one.
 #[test]
 fn a_done_event_with_missing_tokens_fails_the_attempt() {
     let mut sequencer = started_sequencer();
@@ -76,8 +77,8 @@
     assert_eq!(step, Step::Fail(Fault::Gap));
 }
 
-/// The engine restarted or changed its weights under the request, and says so
-/// only at the end. What it wrote is not the answer of the chosen weights.
+/// The engine restarted or changed its weights during the request, which only
+/// its last event shows. The text is not the answer of the selected weights.
 #[test]
 fn a_done_event_of_other_weights_fails_the_attempt() {
     for (version, incarnation) in [("v2", INCARNATION), ("v1", INCARNATION + 1)] {
@@ -97,7 +98,7 @@
     assert_eq!(sequencer.bound_version(), Some("v2"));
 }
 
-/// What may come from one of three attempts, in any order.
+/// Inputs to the sequencer: events of up to three attempts, in any order.
 #[derive(Debug, Clone)]
 enum Input {
     NextAttempt,
@@ -109,7 +110,7 @@
 
 const LENGTH: u64 = 6;
 
-/// The true answer's text at a position.
+/// Returns the text of the correct answer at a position.
 fn expected_token(index: u64) -> String {
     format!("t{index} ")
 }
@@ -144,8 +145,8 @@
 }
 
 proptest! {
-    /// Whatever comes in whatever order, the caller has the head of the true
-    /// answer, and is told that it is complete only with as many tokens as
+    /// For any events in any order, the text written is a prefix of the correct
+    /// answer, and the answer is reported complete only with as many tokens as
     /// the engine counted.
     #[test]
     fn written_text_is_always_a_prefix_of_the_answer(
@@ -176,9 +177,9 @@
     }
 }
 
-/// Events arrive in any pieces, their data holds any bytes, and the last one
-/// may be a half. What is passed on are whole events, and the last id is that
-/// of the last one passed on.
+/// Events arrive in chunks of any size, their data contains arbitrary bytes,
+/// and the last event is incomplete. Only complete events may be forwarded, and
+/// the last id must be that of the last forwarded event.
 #[test]
 fn only_complete_events_are_forwarded() {
     use mangowalk_core::stream::EventSplitter;
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Model engines as instances see them, for the models of a loaded fleet.
+//! Helpers for tests that simulate a loaded fleet.
 
 use mangowalk_core::pool::{Belief, EngineEntry, Incarnation, Load, ModelVersion};
 
-/// Returns the entry of an engine of one model.
+/// Returns an engine list entry of an engine that serves one model.
 pub(crate) fn entry(number: usize, slots: u32) -> EngineEntry {
     EngineEntry {
         incarnation: Incarnation {
--- a/crates/core/tests/upstreams.rs
+++ b/crates/core/tests/upstreams.rs
@@ -1,4 +1,5 @@
-//! What one upstream is given, as it turns slow, fails and recovers.
+//! Load and failure control of one upstream that becomes slow, fails and
+//! recovers.
 
 use mangowalk_core::{
     attempt::{Attempt, End, EndedAttempt},
@@ -16,8 +17,8 @@
     Attempt::plan(1).send(0).end(End::Send(SendError::Lost))
 }
 
-/// Gives an upstream that is kept busy a number of answers, and returns the
-/// time after them.
+/// Records `count` answers of a fully used upstream, and returns the time after
+/// the last.
 fn answers(limit: &mut ConcurrencyLimit, count: u32, took_ms: u64, mut now_ms: u64) -> u64 {
     for _ in 0..count {
         now_ms += took_ms;
@@ -27,9 +28,9 @@
     now_ms
 }
 
-/// One engine of several needs twenty times as long. Its queue must not go on
-/// growing: it loses nine tenths of its work within ten answers, and regains
-/// it by one attempt a round, not at once.
+/// One of several engines becomes twenty times slower. Its queue must not keep
+/// growing: it loses nine tenths of its requests within ten answers, and after
+/// recovery regains one attempt per round instead of all at once.
 #[test]
 fn a_slow_upstream_loses_work_quickly_and_regains_it_gradually() {
     let mut limit = ConcurrencyLimit::new(LimitSettings::default());
@@ -47,8 +48,8 @@
     assert!(during * 10 <= before && soon < before / 2 && limit.attempts() >= before);
 }
 
-/// An engine stays slow for a thousand answers. Its own average then calls
-/// that usual; beside its peers it is still slow.
+/// An engine stays slow for a thousand answers. Its own baseline has then
+/// adapted, but compared with its peers it must still count as slow.
 #[test]
 fn lasting_slowness_does_not_become_the_baseline() {
     let mut limit = ConcurrencyLimit::new(LimitSettings::default());
@@ -56,7 +57,8 @@
     assert!(limit.attempts() <= 2, "{}", limit.attempts());
 }
 
-/// A mix of hits (20 ms) and missed prefixes (200 ms) is no slowness.
+/// A mix of prefix cache hits (20 ms) and misses (200 ms) must not count as
+/// slow.
 #[test]
 fn prefix_cache_misses_do_not_lower_the_limit() {
     let mut limit = ConcurrencyLimit::new(LimitSettings::default());
@@ -68,8 +70,8 @@
     assert!(limit.attempts() >= before, "{}", limit.attempts());
 }
 
-/// All attempts in the queue of one slow moment answer slowly. They tell one
-/// thing, so they cut once.
+/// All attempts that were queued during one slow moment answer slowly. They
+/// have the same cause and must lower the limit only once.
 #[test]
 fn one_slow_round_lowers_the_limit_once() {
     let mut limit = ConcurrencyLimit::new(LimitSettings::default());
@@ -81,8 +83,9 @@
     assert!(limit.attempts() >= before / 2 - 1, "{}", limit.attempts());
 }
 
-/// A dead engine costs three requests an attempt. Then one probe goes through
-/// after each pause, each pause twice as long, and one success closes it.
+/// A dead engine fails three attempts, which opens the breaker. After each
+/// pause one probe is let through, a failed probe doubles the pause, and one
+/// success closes the breaker.
 #[test]
 fn an_open_breaker_lets_one_probe_through_per_pause() {
     let mut breaker = Breaker::new(BreakerSettings::default());
@@ -100,8 +103,8 @@
     assert!(breaker.try_enter(1_511) && breaker.try_enter(1_511));
 }
 
-/// Requests that were out when the breaker opened fail one after another.
-/// They must not lengthen the pause.
+/// Requests sent before the breaker opened fail one after another. They must
+/// not extend the pause.
 #[test]
 fn late_failures_do_not_lengthen_the_pause() {
     let mut breaker = Breaker::new(BreakerSettings::default());
@@ -111,8 +114,8 @@
     assert_eq!(breaker.wait_ms(20), 482);
 }
 
-/// Every engine fails. Retries stay a tenth of the traffic, beside the few
-/// that were saved up.
+/// All engines fail. Retries must stay at a tenth of the traffic, plus the
+/// capacity of the budget.
 #[test]
 fn retries_stay_a_tenth_of_the_traffic() {
     let mut budget = RetryBudget::default();
@@ -124,24 +127,28 @@
     assert!((100..=120).contains(&retries), "{retries}");
 }
 
-/// A long queue does not silence the streams beside it; a stall does. One
-/// stream that listened for a second shows it, until any hears a token.
+/// A long queue does not interrupt running streams, a stall does. One stream
+/// that was read for a second without a token indicates a stall, until any
+/// stream receives one.
 #[test]
 fn an_upstream_without_tokens_on_any_stream_is_stalled() {
     let mut detector = StallDetector::default();
     detector.record_token(1_000);
-    assert!(!detector.is_stalled(5_000), "nobody listened");
+    assert!(!detector.is_stalled(5_000), "no stream was read");
     detector.record_silence(2_100);
     assert!(detector.is_stalled(2_100));
     detector.record_token(2_200);
     assert!(!detector.is_stalled(2_300));
     detector.record_silence(2_400);
-    assert!(!detector.is_stalled(2_500), "another stream just heard");
-    assert!(!detector.is_stalled(9_000), "a report of long ago");
+    assert!(
+        !detector.is_stalled(2_500),
+        "another stream just received a token"
+    );
+    assert!(!detector.is_stalled(9_000), "the report has expired");
 }
 
-/// An engine holds as many streams as it may have waiting. They stream, so it
-/// gets more; only those that wait for a first token count.
+/// An engine runs as many streams as its limit of waiting attempts. It must
+/// still get more attempts, since only those that wait for a first token count.
 #[test]
 fn only_attempts_waiting_for_a_first_token_count() {
     let mut health = Health::default();
