--- a/crates/core/examples/burn_capacity.rs
+++ b/crates/core/examples/burn_capacity.rs
@@ -8,7 +8,7 @@
 };
 
 /// Number of requests recorded per measurement.
-const NOTES: u64 = 1_000_000;
+const REQUESTS: u64 = 1_000_000;
 
 /// Number of reports computed per measurement; the median is printed.
 const REPORTS: usize = 5;
@@ -18,8 +18,8 @@
 fn main() {
     println!("teams  note_ns  memory_kib  published_kib");
     for teams in [23, 115, 230] {
-        let (ledger, note_ns) = filled(teams);
-        let published = serde_json::to_vec(&burn_of(&ledger)).map_or(0, |body| body.len());
+        let (ledger, note_ns) = filled_ledger(teams);
+        let published = serde_json::to_vec(&instance_burn(&ledger)).map_or(0, |body| body.len());
         let memory_kib = ledger.memory_bytes() / 1_024;
         println!(
             "{teams:5}  {note_ns:7}  {memory_kib:10}  {:13}",
@@ -28,36 +28,36 @@
     }
     println!("instances  teams  report_ms");
     for instances in [7, 70, 350] {
-        let (ledger, _) = filled(230);
-        let published = vec![burn_of(&ledger); instances];
+        let (ledger, _) = filled_ledger(230);
+        let published = vec![instance_burn(&ledger); instances];
         println!("{instances:9}    230  {:9.1}", report_ms(&published));
     }
 }
 
 /// Returns a ledger in which every cell holds counts, and the mean time to
 /// record one request in nanoseconds.
-fn filled(teams: u64) -> (Ledger, u64) {
+fn filled_ledger(teams: u64) -> (Ledger, u64) {
     let names: Vec<String> = (0..teams).map(|t| format!("team-{t:03}")).collect();
     let mut ledger = Ledger::default();
     let started = Instant::now();
-    for note in 0..NOTES {
+    for request in 0..REQUESTS {
         let observation = Observation {
-            first_token_ms: Some(note % 1_000),
+            first_token_ms: Some(request % 1_000),
             end: End::Complete,
-            tokens: 4_000 + note % 100,
+            tokens: 4_000 + request % 100,
         };
-        let now_ms = note * 21_600_000 / NOTES;
+        let now_ms = request * 21_600_000 / REQUESTS;
         ledger.record(
-            &names[(note % teams) as usize],
+            &names[(request % teams) as usize],
             &observation,
             OBJECTIVE_MS,
             now_ms,
         );
     }
-    (ledger, started.elapsed().as_nanos() as u64 / NOTES)
+    (ledger, started.elapsed().as_nanos() as u64 / REQUESTS)
 }
 
-fn burn_of(ledger: &Ledger) -> InstanceBurn {
+fn instance_burn(ledger: &Ledger) -> InstanceBurn {
     InstanceBurn {
         caller_address: SocketAddr::from(([127, 0, 0, 1], 7_000)),
         teams: ledger.publish(21_600_000),
--- a/crates/core/src/burn/report.rs
+++ b/crates/core/src/burn/report.rs
@@ -33,12 +33,12 @@
 }
 
 #[derive(Debug, Default)]
-struct Sum {
+struct TeamSum {
     tokens_per_s: u64,
     windows: BTreeMap<Window, (u64, Counts)>,
 }
 
-impl Sum {
+impl TeamSum {
     fn add(&mut self, window: &WindowCounts) {
         let (covered_ms, counts) = self.windows.entry(window.window).or_default();
         *covered_ms = (*covered_ms).max(window.covered_ms);
@@ -79,7 +79,7 @@
 impl BurnReport {
     /// Computes the report from the counts that all instances published.
     pub fn of<'a>(published: impl IntoIterator<Item = &'a TeamBurn>) -> BurnReport {
-        let mut sums: BTreeMap<&str, Sum> = BTreeMap::new();
+        let mut sums: BTreeMap<&str, TeamSum> = BTreeMap::new();
         for team in published {
             let sum = sums.entry(&team.team).or_default();
             sum.tokens_per_s = sum.tokens_per_s.max(team.tokens_per_s);
@@ -100,7 +100,7 @@
     }
 }
 
-fn row(team: &str, objective: Objective, sum: &Sum) -> BurnRow {
+fn row(team: &str, objective: Objective, sum: &TeamSum) -> BurnRow {
     let windows: Vec<WindowBurn> = Window::ALL
         .into_iter()
         .map(|w| sum.burn(objective, w))
@@ -113,7 +113,7 @@
     }
 }
 
-fn summary(team: &str, sum: &Sum) -> TeamSummary {
+fn summary(team: &str, sum: &TeamSum) -> TeamSummary {
     let (_, longest) = sum.window(Window::SixHours);
     TeamSummary {
         team: team.to_owned(),
--- a/crates/core/tests/burn.rs
+++ b/crates/core/tests/burn.rs
@@ -132,11 +132,11 @@
     // 200 tokens were requested within 300 s.
     assert_eq!(bad(1), Some(10));
     assert_eq!(bad(0), Some(0));
-    let hungry = 100_000;
+    let over_rate_tokens = 100_000;
     ledger.record(
         "gallery",
         &Observation {
-            tokens: hungry,
+            tokens: over_rate_tokens,
             ..observation(1, End::OverRate)
         },
         OBJECTIVE_MS,
--- a/crates/core/tests/upstreams.rs
+++ b/crates/core/tests/upstreams.rs
@@ -39,13 +39,13 @@
     let now_ms = answers(&mut limit, 10, SLOW_MS, now_ms);
     let during = limit.attempts();
     let now_ms = answers(&mut limit, 30, USUAL_MS, now_ms);
-    let soon = limit.attempts();
+    let after_30 = limit.attempts();
     answers(&mut limit, 2_000, USUAL_MS, now_ms);
     insta::assert_snapshot!(
-        format!("before {before}, slow {during}, 30 answers on {soon}, 2000 on {}", limit.attempts()),
+        format!("before {before}, slow {during}, 30 answers on {after_30}, 2000 on {}", limit.attempts()),
         @"before 33, slow 1, 30 answers on 6, 2000 on 63"
     );
-    assert!(during * 10 <= before && soon < before / 2 && limit.attempts() >= before);
+    assert!(during * 10 <= before && after_30 < before / 2 && limit.attempts() >= before);
 }
 
 /// An engine stays slow for a thousand answers. Its own baseline has then
