--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -23,8 +23,9 @@
     }
 }
 
-/// Lets each instance hear what the others have sent to each engine; the
-/// beliefs are by instance, then by engine.
+/// Exchanges load reports between all instances: sets the load that each
+/// instance knows the others have placed on each engine. `beliefs` is indexed
+/// by instance, then by engine.
 pub(crate) fn exchange(beliefs: &mut [Vec<Belief>]) {
     for engine in 0..beliefs.first().map_or(0, Vec::len) {
         let own: Vec<Load> = beliefs.iter().map(|belief| belief[engine].own).collect();
