--- a/crates/core/src/pool/table.rs
+++ b/crates/core/src/pool/table.rs
@@ -1,60 +1,65 @@
 use {
-    super::{Belief, Departure, EngineEntry, Load, Standing, departures::Departures, rendezvous},
+    super::{
+        Departure, EngineEntry, KnownEngine, ListingStatus, Load, departures::Departures,
+        rendezvous,
+    },
     std::collections::{BTreeMap, HashMap},
 };
 
-/// Longest time for which an answer that told of leaving is believed without
-/// the list saying so. Engines also close connections at other times.
-const LEAVING_MS: u64 = 4_000;
+/// Maximum time for which an answer that announced a departure applies without
+/// confirmation by the list. Engines also close connections for other reasons.
+const LEAVING_REPORT_MS: u64 = 4_000;
 
-/// Returns a short hash of an engine's name, for peers.
+/// Returns a short hash of the name of an engine, which peers exchange.
 pub fn short_hash(id: &str) -> u32 {
     rendezvous(0, id) as u32
 }
 
-/// Engines that are listed, and what is believed of each.
+/// The listed engines and the known state of each.
 #[derive(Debug, Default)]
 pub struct EngineTable {
-    engines: BTreeMap<String, Belief>,
+    engines: BTreeMap<String, KnownEngine>,
     departures: Departures,
     peer_loads: HashMap<String, HashMap<String, Load>>,
     list_revision: u64,
-    list_heard_ms: u64,
+    list_received_ms: u64,
 }
 
 impl EngineTable {
-    /// Notes that the store answered, and that the list is known up to a
-    /// revision.
-    pub fn listed_up_to(&mut self, revision: u64, now_ms: u64) {
+    /// Records that the store answered and that the list is known up to a
+    /// revision. Drops the reports of peers that the list now covers.
+    pub fn set_list_revision(&mut self, revision: u64, now_ms: u64) {
         self.list_revision = self.list_revision.max(revision);
-        self.list_heard_ms = now_ms;
-        let missing = self.missing_starts();
-        self.departures.forget_up_to(self.list_revision, &missing);
+        self.list_received_ms = now_ms;
+        let missing = self.missing_incarnations();
+        self.departures.remove_up_to(self.list_revision, &missing);
     }
 
-    /// Returns the revision up to which the list is known; 0 before it was read.
+    /// Returns the revision up to which the list is known; 0 before the first
+    /// read.
     pub fn list_revision(&self) -> u64 {
         self.list_revision
     }
 
-    /// Returns the revision beyond which peers know more: that of the list, or of
-    /// the entry of an engine that the list lacks for an unknown reason.
+    /// Returns the revision after which peers may know more: that of the list,
+    /// or that of the oldest entry that the list lacks for an unknown reason.
     pub fn known_revision(&self) -> u64 {
-        let beliefs = self.engines.values();
-        let missing = beliefs.filter(|belief| belief.missing_since_ms.is_some());
-        let revisions = missing.map(|belief| belief.entry.revision);
+        let engines = self.engines.values();
+        let missing = engines.filter(|engine| engine.missing_since_ms.is_some());
+        let revisions = missing.map(|engine| engine.entry.revision);
         revisions.fold(self.list_revision, u64::min)
     }
 
-    /// Returns what list and peers say of whether an engine is there.
-    pub fn standing(&self, id: &str, now_ms: u64) -> Option<Standing> {
-        let belief = self.engines.get(id)?;
-        let report = self.departures.report_of(&belief.entry);
-        Some(Standing {
-            entry_revision: belief.entry.revision,
+    /// Returns what the list and the peers say about the presence of an engine;
+    /// `None` if it is not in the table.
+    pub fn listing_status(&self, id: &str, now_ms: u64) -> Option<ListingStatus> {
+        let engine = self.engines.get(id)?;
+        let report = self.departures.report_of(&engine.entry);
+        Some(ListingStatus {
+            entry_revision: engine.entry.revision,
             list_revision: self.list_revision,
-            list_age_ms: now_ms.saturating_sub(self.list_heard_ms),
-            missing_ms: belief
+            list_age_ms: now_ms.saturating_sub(self.list_received_ms),
+            missing_ms: engine
                 .missing_since_ms
                 .map(|since_ms| now_ms.saturating_sub(since_ms)),
             departure: report.map(|report| report.departure),
@@ -63,229 +68,238 @@
         })
     }
 
-    /// Takes over an entry. A new start under the same name, or another
-    /// address, begins with nothing believed.
+    /// Applies an entry of the list. A new incarnation, address or service
+    /// resets the known state of the engine, except for the work sent to it.
     ///
-    /// Returns whether anything but the engine's models changed.
-    pub fn list(&mut self, entry: EngineEntry) -> bool {
+    /// Returns whether the engine is new, or its incarnation, address, service
+    /// or draining state changed.
+    pub fn apply_entry(&mut self, entry: EngineEntry) -> bool {
         let id = entry.incarnation.id.clone();
-        self.departures.list(&entry);
-        let others = self.sent_by_peers(&id);
-        let Some(belief) = self.engines.get_mut(&id) else {
-            let mut belief = Belief::new(entry);
-            belief.others = others;
-            self.engines.insert(id, belief);
+        self.departures.record_entry(&entry);
+        let others = self.peer_load(&id);
+        let Some(engine) = self.engines.get_mut(&id) else {
+            let mut engine = KnownEngine::new(entry);
+            engine.others = others;
+            self.engines.insert(id, engine);
             return true;
         };
-        let same = belief.entry.incarnation == entry.incarnation
-            && belief.entry.address == entry.address
-            && belief.entry.service == entry.service;
+        let same = engine.entry.incarnation == entry.incarnation
+            && engine.entry.address == entry.address
+            && engine.entry.service == entry.service;
         if !same {
-            if belief.entry.incarnation != entry.incarnation {
-                self.departures.unlist(&belief.entry, entry.revision);
+            if engine.entry.incarnation != entry.incarnation {
+                self.departures
+                    .record_removal(&engine.entry, entry.revision);
             }
-            let own = belief.own;
-            *belief = Belief::new(entry);
-            belief.own = own;
-            belief.others = others;
+            let own = engine.own;
+            *engine = KnownEngine::new(entry);
+            engine.own = own;
+            engine.others = others;
             return true;
         }
         for model in &entry.models {
-            // An entry lies up to a beat behind what answers have told.
-            if model.version > belief.version(&model.model) {
-                belief.set_version(&model.model, model.version);
+            // An entry may be up to one heartbeat older than the version in the
+            // last answer.
+            if model.version > engine.version(&model.model) {
+                engine.set_version(&model.model, model.version);
             }
         }
-        let changed = belief.entry.draining != entry.draining;
-        belief.entry = entry;
-        belief.missing_since_ms = None;
-        belief.missing_until_ms = None;
+        let changed = engine.entry.draining != entry.draining;
+        engine.entry = entry;
+        engine.missing_since_ms = None;
+        engine.missing_until_ms = None;
         changed
     }
 
-    /// Removes an engine that left the list. Returns whether it is gone now.
+    /// Removes an engine that left the list. Returns whether it was removed
+    /// now.
     ///
-    /// Entries lapse while the store is away, as engines can't renew them, and
-    /// come back within seconds of its return. Without a grace all engines were
-    /// gone for that time and every request was refused; with `keep_until_ms`
-    /// an engine is used until then, and whether it answers shows itself. Those
-    /// that peers saw leave are not used.
-    pub fn unlist(
+    /// Entries expire while the store is unavailable, as engines cannot renew
+    /// them, and are written again within seconds of its return. Without a
+    /// grace period, all engines would be gone during that time and every
+    /// request would be refused. With `keep_until_ms`, the engine is used until
+    /// then; requests show whether it answers. Engines that peers have reported
+    /// as departed are not used.
+    pub fn remove_entry(
         &mut self,
         id: &str,
         revision: u64,
         keep_until_ms: Option<u64>,
         now_ms: u64,
     ) -> bool {
-        let Some(belief) = self.engines.get_mut(id) else {
+        let Some(engine) = self.engines.get_mut(id) else {
             return false;
         };
         if let Some(until_ms) = keep_until_ms.filter(|until_ms| now_ms < *until_ms) {
-            belief.missing_since_ms.get_or_insert(now_ms);
-            belief.missing_until_ms = Some(until_ms);
+            engine.missing_since_ms.get_or_insert(now_ms);
+            engine.missing_until_ms = Some(until_ms);
             return false;
         }
-        self.departures.unlist(&belief.entry, revision);
+        self.departures.record_removal(&engine.entry, revision);
         self.engines.remove(id);
         true
     }
 
-    /// Removes an engine whose entry can't be read. It may be another writer's
-    /// doing, so peers aren't told that the engine has left.
-    pub fn refuse(&mut self, id: &str) {
+    /// Removes an engine whose entry cannot be decoded. Another writer may
+    /// have caused it, so no departure is reported to peers.
+    pub fn remove_unreadable(&mut self, id: &str) {
         self.engines.remove(id);
     }
 
-    /// Returns the engines that a whole reading of the list lacks.
-    pub fn unlisted(&self, is_listed: impl Fn(&str) -> bool) -> Vec<String> {
+    /// Returns the engines that a complete read of the list lacks.
+    pub fn missing_from(&self, is_listed: impl Fn(&str) -> bool) -> Vec<String> {
         let ids = self.engines.keys().filter(|id| !is_listed(id));
         ids.cloned().collect()
     }
 
-    /// Returns the engines that the list still lacks when their grace is over.
-    pub fn missing(&self, now_ms: u64) -> Vec<String> {
-        let over = |belief: &Belief| belief.missing_until_ms.is_some_and(|ms| now_ms >= ms);
-        let missing = self.engines.iter().filter(|(_, belief)| over(belief));
+    /// Returns the engines that the list still lacks at the end of their grace
+    /// period.
+    pub fn grace_expired(&self, now_ms: u64) -> Vec<String> {
+        let is_over = |engine: &KnownEngine| engine.missing_until_ms.is_some_and(|ms| now_ms >= ms);
+        let missing = self.engines.iter().filter(|(_, engine)| is_over(engine));
         missing.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns the engines that leave or have left, for peers of which one knows
-    /// the list only up to a revision.
+    /// Returns the departures for peers that know the list up to a revision.
     pub fn departures(&self, known_revision: u64) -> Vec<Departure> {
         self.departures.since(known_revision)
     }
 
-    /// Takes over which engines a peer saw leave. The list read here may be
-    /// older, and its engines would get work after their time.
+    /// Applies the departures that a peer reported. The own list may be older,
+    /// and the engines would get work after they left.
     ///
-    /// Returns the engines of which that is news.
+    /// Returns the names of the engines that were not known to be departing
+    /// before.
     pub fn merge_departures(
         &mut self,
         peer: &str,
         departures: &[Departure],
         now_ms: u64,
     ) -> Vec<String> {
-        let mut news = Vec::new();
-        let missing = self.missing_starts();
+        let mut newly_departing = Vec::new();
+        let missing = self.missing_incarnations();
         for &departure in departures {
             if departure.revision <= self.list_revision && !missing.contains(&departure.start) {
                 continue;
             }
             if self.departures.merge(peer, departure, now_ms) {
-                let id = self.started(departure.start);
-                news.extend(id.map(|belief| belief.entry.incarnation.id.clone()));
+                let id = self.find_incarnation(departure.start);
+                newly_departing.extend(id.map(|engine| engine.entry.incarnation.id.clone()));
             }
         }
-        news
+        newly_departing
     }
 
-    fn started(&self, start: u32) -> Option<&Belief> {
-        let mut beliefs = self.engines.values();
-        beliefs.find(|belief| belief.entry.incarnation.short_hash() == start)
+    /// Returns the engine with a short hash of its incarnation.
+    fn find_incarnation(&self, start: u32) -> Option<&KnownEngine> {
+        let mut engines = self.engines.values();
+        engines.find(|engine| engine.entry.incarnation.short_hash() == start)
     }
 
-    /// Returns the starts that the list lacks. Peers may know more of them: whether
-    /// their entries lapsed or they left.
-    fn missing_starts(&self) -> Vec<u32> {
-        let beliefs = self.engines.values();
-        let missing = beliefs.filter(|belief| belief.missing_since_ms.is_some());
+    /// Returns the incarnations that the list lacks. Peers may know more:
+    /// whether the entry expired or the engine has left.
+    fn missing_incarnations(&self) -> Vec<u32> {
+        let engines = self.engines.values();
+        let missing = engines.filter(|engine| engine.missing_since_ms.is_some());
         missing
-            .map(|belief| belief.entry.incarnation.short_hash())
+            .map(|engine| engine.entry.incarnation.short_hash())
             .collect()
     }
 
-    /// Returns one engine.
-    pub fn get(&self, id: &str) -> Option<&Belief> {
+    /// Returns the known state of an engine.
+    pub fn get(&self, id: &str) -> Option<&KnownEngine> {
         self.engines.get(id)
     }
 
-    /// Returns one engine.
-    pub fn get_mut(&mut self, id: &str) -> Option<&mut Belief> {
+    /// Returns the known state of an engine.
+    pub fn get_mut(&mut self, id: &str) -> Option<&mut KnownEngine> {
         self.engines.get_mut(id)
     }
 
-    /// Returns all engines in the order of their names.
-    pub fn iter(&self) -> impl Iterator<Item = &Belief> + Clone {
+    /// Returns all engines, ordered by name.
+    pub fn iter(&self) -> impl Iterator<Item = &KnownEngine> + Clone {
         self.engines.values()
     }
 
-    /// Returns the engines that stay, as far as the list and peers tell.
-    pub fn staying(&self, now_ms: u64) -> impl Iterator<Item = &Belief> + Clone {
-        self.engines.values().filter(move |belief| {
-            let is_gone = belief
+    /// Returns the engines that neither the list nor a peer reports as leaving
+    /// or gone.
+    pub fn staying_engines(&self, now_ms: u64) -> impl Iterator<Item = &KnownEngine> + Clone {
+        self.engines.values().filter(move |engine| {
+            let is_gone = engine
                 .missing_until_ms
                 .is_some_and(|until_ms| now_ms >= until_ms);
-            let is_leaving = belief.entry.draining || is_gone;
-            !is_leaving && !self.departures.is_reported(&belief.entry)
+            let is_leaving = engine.entry.draining || is_gone;
+            !is_leaving && !self.departures.is_reported(&engine.entry)
         })
     }
 
-    /// Returns the engines of a service that take new work.
-    pub fn takers<'a>(
+    /// Returns the engines of a service that accept new work.
+    pub fn accepting_engines<'a>(
         &'a self,
         service: &'a str,
         now_ms: u64,
-    ) -> impl Iterator<Item = &'a Belief> + Clone {
-        let staying = self.staying(now_ms);
-        staying.filter(move |belief| {
-            belief.entry.service == service
-                && belief
+    ) -> impl Iterator<Item = &'a KnownEngine> + Clone {
+        let staying_engines = self.staying_engines(now_ms);
+        staying_engines.filter(move |engine| {
+            engine.entry.service == service
+                && engine
                     .leaving_since_ms
-                    .is_none_or(|since_ms| now_ms > since_ms + LEAVING_MS)
+                    .is_none_or(|since_ms| now_ms > since_ms + LEAVING_REPORT_MS)
         })
     }
 
-    /// Takes over what a peer has sent to each engine.
-    pub fn peer_load(&mut self, peer: &str, loads: &[(String, Load)]) {
-        self.forget_peer(peer);
+    /// Replaces the work that a peer has reported for each engine.
+    pub fn set_peer_load(&mut self, peer: &str, loads: &[(String, Load)]) {
+        self.remove_peer(peer);
         for (id, load) in loads {
-            if let Some(belief) = self.engines.get_mut(id) {
-                belief.others.add(*load);
+            if let Some(engine) = self.engines.get_mut(id) {
+                engine.others.add(*load);
             }
         }
         let loads = loads.iter().cloned().collect();
         self.peer_loads.insert(peer.to_owned(), loads);
     }
 
-    /// Forgets a peer's work, once the peer is gone.
-    pub fn forget_peer(&mut self, peer: &str) {
+    /// Removes the work of a peer that is gone.
+    pub fn remove_peer(&mut self, peer: &str) {
         for (id, load) in self.peer_loads.remove(peer).unwrap_or_default() {
-            if let Some(belief) = self.engines.get_mut(&id) {
-                belief.others.remove(load);
+            if let Some(engine) = self.engines.get_mut(&id) {
+                engine.others.remove(load);
             }
         }
     }
 
-    /// Takes over which shared parts engines have read for a peer.
-    pub fn placed(&mut self, placed: &[(u64, u32)], now_ms: u64) {
+    /// Records the shared parts that engines have read for a peer, as pairs of
+    /// part and name hash of the engine.
+    pub fn record_peer_parts(&mut self, placed: &[(u64, u32)], now_ms: u64) {
         for &(part, hash) in placed {
             let mut engines = self.engines.values_mut();
-            if let Some(belief) = engines.find(|belief| belief.name_hash == hash) {
-                belief.record_part(part, now_ms);
+            if let Some(engine) = engines.find(|engine| engine.name_hash == hash) {
+                engine.record_part(part, now_ms);
             }
         }
     }
 
-    /// Returns the engines that don't answer this instance.
-    pub fn silent(&self) -> Vec<String> {
+    /// Returns the engines that do not answer this instance.
+    pub fn silent_engines(&self) -> Vec<String> {
         self.engines
             .iter()
-            .filter(|(_, belief)| belief.health.is_silent())
+            .filter(|(_, engine)| engine.health.is_silent())
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    /// Returns what this instance has sent to each engine, for its peers.
+    /// Returns the work that this instance has sent to each engine.
     pub fn own_loads(&self) -> Vec<(String, Load)> {
         self.engines
             .iter()
-            .filter(|(_, belief)| belief.own != Load::default())
-            .map(|(id, belief)| (id.clone(), belief.own))
+            .filter(|(_, engine)| engine.own != Load::default())
+            .map(|(id, engine)| (id.clone(), engine.own))
             .collect()
     }
 
-    /// Returns what all peers have sent to one engine.
-    fn sent_by_peers(&self, id: &str) -> Load {
+    /// Returns the work that all peers have sent to an engine.
+    fn peer_load(&self, id: &str) -> Load {
         let mut others = Load::default();
         for loads in self.peer_loads.values() {
             others.add(loads.get(id).copied().unwrap_or_default());
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! Helpers for tests that simulate a loaded fleet.
 
-use mangowalk_core::pool::{Belief, EngineEntry, Incarnation, Load, ModelVersion};
+use mangowalk_core::pool::{EngineEntry, Incarnation, KnownEngine, Load, ModelVersion};
 
 /// Returns an engine list entry of an engine that serves one model.
 pub(crate) fn entry(number: usize, slots: u32) -> EngineEntry {
@@ -26,7 +26,7 @@
 /// Exchanges load reports between all instances: sets the load that each
 /// instance knows the others have placed on each engine. `beliefs` is indexed
 /// by instance, then by engine.
-pub(crate) fn exchange(beliefs: &mut [Vec<Belief>]) {
+pub(crate) fn exchange(beliefs: &mut [Vec<KnownEngine>]) {
     for engine in 0..beliefs.first().map_or(0, Vec::len) {
         let own: Vec<Load> = beliefs.iter().map(|belief| belief[engine].own).collect();
         for (at, belief) in beliefs.iter_mut().enumerate() {
--- a/crates/gateway/src/weights/orderer.rs
+++ b/crates/gateway/src/weights/orderer.rs
@@ -8,7 +8,7 @@
     mangowalk_core::{
         mesh::OrderPhase,
         pool::EngineEntry,
-        weights::{Step, Turn, plan},
+        weights::{OutdatedEngine, Step, plan},
     },
     mangowalk_platform::{EngineReport, OrderAnswer, WeightsOrder},
     std::{rc::Rc, time::Duration},
@@ -44,7 +44,7 @@
 }
 
 /// Gives orders to engines whenever some lack the newest weights.
-pub async fn order_weights(instance: Rc<Instance>, store: Rc<CallClient>) {
+pub async fn run_weights_updater(instance: Rc<Instance>, store: Rc<CallClient>) {
     let (tell, heard) = unbounded_channel();
     let mut orderer = Orderer {
         right: Right::new(instance.clone(), store),
@@ -105,7 +105,7 @@
         let newest = self.instance.newest.borrow();
         let engines = self.instance.engines.borrow();
         let mut lagging = Vec::new();
-        for belief in engines.staying(now_ms()) {
+        for belief in engines.staying_engines(now_ms()) {
             for model in &belief.entry.models {
                 let version = newest.get(&model.model).map_or(0, |named| named.newest());
                 if belief.version(&model.model) < version {
@@ -213,7 +213,7 @@
         for model in models {
             let of_model: Vec<&Lagging> =
                 lagging.iter().filter(|one| one.model == *model).collect();
-            let turns: Vec<Turn> = of_model
+            let turns: Vec<OutdatedEngine> = of_model
                 .iter()
                 .map(|one| self.progress.turn(one, now_ms))
                 .collect();
@@ -255,7 +255,7 @@
         let engines = self.instance.engines.borrow();
         let serves = |entry: &EngineEntry| entry.models.iter().any(|m| m.model == model);
         let answering = engines
-            .staying(now_ms)
+            .staying_engines(now_ms)
             .filter(|belief| serves(&belief.entry) && !belief.is_silent(now_ms));
         let requests = answering.clone().map(|belief| belief.load().requests).sum();
         (answering.count(), requests)
--- a/crates/mangowalkd/src/caller/handler.rs
+++ b/crates/mangowalkd/src/caller/handler.rs
@@ -10,7 +10,7 @@
     },
     crate::serve::Router,
     log::info,
-    mangowalk_core::{edge::Edges, limits::minting_ms, refusal::Refusal},
+    mangowalk_core::{edge::Edges, limits::refill_ms, refusal::Refusal},
     std::mem,
     tiny_http::{Method, Request},
 };
@@ -73,8 +73,8 @@
     }
 
     fn ready(&self, request: Request) {
-        let board = self.router.board();
-        let ready = board.life.is_ready();
+        let board = self.router.shared();
+        let ready = board.lifecycle.is_ready();
         self.json(request, if ready { 200 } else { 503 }, b"{}".to_vec());
     }
 
@@ -146,14 +146,14 @@
     /// hold more of the team's tokens, so a request over what remains here is
     /// not refused for that alone.
     pub(super) fn add_rate(&self, head: &mut Head, team: &str) {
-        let board = self.router.board();
+        let board = self.router.shared();
         let view = board.config.view();
         let Some(rate) = view.rates.get(team) else {
             return;
         };
         let remaining_tokens = board.limits.tokens(team, rate, self.router.now_ms());
         let missing_tokens = rate.burst_tokens.saturating_sub(remaining_tokens);
-        let reset_ms = minting_ms(rate, missing_tokens);
+        let reset_ms = refill_ms(rate, missing_tokens);
         head.add("x-ratelimit-limit-tokens", rate.burst_tokens.to_string());
         head.add("x-ratelimit-remaining-tokens", remaining_tokens.to_string());
         head.add("x-ratelimit-reset-tokens", format!("{reset_ms}ms"));
--- a/crates/mangowalkd/src/operator/explain.rs
+++ b/crates/mangowalkd/src/operator/explain.rs
@@ -1,10 +1,10 @@
 use {
     super::candidates::Weighing,
-    crate::{board::Board, serve::version_of},
+    crate::{serve::version_of, shared_state::SharedState},
     mangowalk_core::{
         config::View,
-        limits::minting_ms,
-        placement::tokens_of,
+        limits::refill_ms,
+        placement::estimate_tokens,
         record::Rate,
         refusal::Refusal,
         status::{ExplainReply, ExplainRequest},
@@ -13,7 +13,7 @@
 
 /// Returns what the instance would do with a request now. Nothing is spent,
 /// queued or sent.
-pub(super) fn explain(board: &Board, request: &ExplainRequest, now_ms: u64) -> ExplainReply {
+pub(super) fn explain(board: &SharedState, request: &ExplainRequest, now_ms: u64) -> ExplainReply {
     let view = board.config.view();
     let mut reply = ExplainReply {
         engine: None,
@@ -30,7 +30,7 @@
 /// Follows the checks that a request passes before its turn.
 fn admit(
     steps: &mut Vec<String>,
-    board: &Board,
+    board: &SharedState,
     view: &View,
     request: &ExplainRequest,
     now_ms: u64,
@@ -50,7 +50,7 @@
     };
     let version = &offered.version;
     steps.push(format!("Model {model} is offered at version {version}."));
-    let tokens = tokens_of(&request.prompt) + u64::from(request.max_tokens);
+    let tokens = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
     let Some(rate) = view.rates.get(team) else {
         steps.push(format!("Team {team} has no rate, so nothing is let in."));
         return Err(Refusal::RateLimited { retry_ms: 60_000 });
@@ -71,7 +71,7 @@
 /// Tells whether the request would get its tokens. They are put back at once.
 fn reserve(
     steps: &mut Vec<String>,
-    board: &Board,
+    board: &SharedState,
     rate: &Rate,
     request: &ExplainRequest,
     tokens: u64,
@@ -89,13 +89,13 @@
     steps.push(format!(
         "This instance holds {shares} slots and lacks the tokens; it would ask other instances."
     ));
-    match limits.scarcity(|s| s.hopeless(team, rate, tokens, now_ms)) {
+    match limits.shortages(|s| s.missing_tokens(team, rate, tokens, now_ms)) {
         Some(short) => {
             steps.push(format!(
                 "A look at the other instances a moment ago found {short} tokens too few."
             ));
             Err(Refusal::RateLimited {
-                retry_ms: minting_ms(rate, short),
+                retry_ms: refill_ms(rate, short),
             })
         }
         None => Ok(()),
@@ -105,7 +105,7 @@
 /// Weighs the engines as placement does.
 fn place(
     reply: &mut ExplainReply,
-    board: &Board,
+    board: &SharedState,
     view: &View,
     request: &ExplainRequest,
     now_ms: u64,
@@ -128,7 +128,7 @@
         .ok_or_else(|| unavailable("Every engine is full; the request would wait or be refused"))?;
     reply.steps.push(format!(
         "Of {} engines weighed, {} is expected to bring the first token soonest.",
-        choice.weighed, choice.engine
+        choice.candidate_count, choice.engine
     ));
     reply.engine = Some(choice.engine);
     Ok(())
--- a/crates/mangowalkd/src/board/claims.rs
+++ b/crates/mangowalkd/src/shared_state/claims.rs
@@ -2,7 +2,7 @@
     super::lock,
     flume::{Receiver, Sender},
     mangowalk_core::{
-        claim::{Claim, Claimed, EpochBody, EpochWatch, Settled},
+        claim::{Claim, Claimed, EpochBody, EpochTracker, Settled},
         platform::{Expect, ObjectKey},
     },
     serde_json::Value,
@@ -46,22 +46,22 @@
         /// Nonce of the claim.
         nonce: u64,
         /// Looks that are left: the claim's write may still be under way.
-        looks: u32,
+        checks_left: u32,
     },
 }
 
 /// Claims of this instance whose outcome is still to be written.
 #[derive(Debug)]
-pub struct ClaimBoard {
+pub struct SharedClaims {
     sender: Sender<ClaimWrite>,
     receiver: Receiver<ClaimWrite>,
-    epoch: Mutex<EpochWatch>,
+    epoch: Mutex<EpochTracker>,
 }
 
-impl Default for ClaimBoard {
-    fn default() -> ClaimBoard {
+impl Default for SharedClaims {
+    fn default() -> SharedClaims {
         let (sender, receiver) = flume::bounded(MOST_WAITING);
-        ClaimBoard {
+        SharedClaims {
             sender,
             receiver,
             epoch: Mutex::default(),
@@ -69,12 +69,12 @@
     }
 }
 
-impl ClaimBoard {
+impl SharedClaims {
     /// Has an outcome written. One that does not fit any more is dropped:
     /// later callers are then told that it is unknown, which is true.
     pub fn settle(&self, mut claim: Claim<Settled>) {
         if self.sender.len() > MOST_WITH_REPLY {
-            claim.without_reply();
+            claim.drop_reply();
         }
         let write = ClaimWrite::Settle {
             key: claim.key(),
@@ -98,13 +98,13 @@
         let write = ClaimWrite::WithdrawNonce {
             key,
             nonce,
-            looks: MOST_LOOKS,
+            checks_left: MOST_LOOKS,
         };
         let _ = self.sender.try_send(write);
     }
 
     /// Puts a write back that the platform did not take.
-    pub fn put_back(&self, write: ClaimWrite) {
+    pub fn requeue(&self, write: ClaimWrite) {
         let _ = self.sender.try_send(write);
     }
 
@@ -114,22 +114,22 @@
     }
 
     /// Returns how many writes wait.
-    pub fn waiting(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.receiver.len()
     }
 
     /// Notes the epoch that the platform holds.
-    pub fn see_epoch(&self, version: u64, body: EpochBody, now_ms: u64) {
-        lock(&self.epoch).see(version, body, now_ms);
+    pub fn observe_epoch(&self, version: u64, body: EpochBody, now_ms: u64) {
+        lock(&self.epoch).observe(version, body, now_ms);
     }
 
     /// Returns the present epoch, if it is known.
     pub fn epoch(&self, now_ms: u64) -> Option<u64> {
-        lock(&self.epoch).number(now_ms)
+        lock(&self.epoch).current_epoch(now_ms)
     }
 
     /// Returns a copy of what is known of epochs.
-    pub fn epoch_watch(&self) -> EpochWatch {
+    pub fn epoch_tracker(&self) -> EpochTracker {
         lock(&self.epoch).clone()
     }
 }
