--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -24,19 +24,22 @@
 }
 
 /// Exchanges load reports between all instances: sets the load that each
-/// instance knows the others have placed on each engine. `beliefs` is indexed
+/// instance knows the others have placed on each engine. `engines_by_instance` is indexed
 /// by instance, then by engine.
-pub(crate) fn exchange(beliefs: &mut [Vec<KnownEngine>]) {
-    for engine in 0..beliefs.first().map_or(0, Vec::len) {
-        let own: Vec<Load> = beliefs.iter().map(|belief| belief[engine].own).collect();
-        for (at, belief) in beliefs.iter_mut().enumerate() {
+pub(crate) fn exchange(engines_by_instance: &mut [Vec<KnownEngine>]) {
+    for engine in 0..engines_by_instance.first().map_or(0, Vec::len) {
+        let own: Vec<Load> = engines_by_instance
+            .iter()
+            .map(|engines| engines[engine].own)
+            .collect();
+        for (at, engines) in engines_by_instance.iter_mut().enumerate() {
             let mut others = Load::default();
             for (other, load) in own.iter().enumerate() {
                 if other != at {
                     others.add(*load);
                 }
             }
-            belief[engine].others = others;
+            engines[engine].others = others;
         }
     }
 }
