--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -24,8 +24,8 @@
 }
 
 /// Exchanges load reports between all instances: sets the load that each
-/// instance knows the others have placed on each engine. `engines_by_instance` is indexed
-/// by instance, then by engine.
+/// instance knows the others have placed on each engine. `engines_by_instance`
+/// is indexed by instance, then by engine.
 pub(crate) fn exchange(engines_by_instance: &mut [Vec<KnownEngine>]) {
     for engine in 0..engines_by_instance.first().map_or(0, Vec::len) {
         let own: Vec<Load> = engines_by_instance
