--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Model engines as instances see them, for the models of a loaded fleet.
+//! Helpers for tests that simulate a loaded fleet.
 
 use mangowalk_core::pool::{EngineEntry, Incarnation, KnownEngine, Load, ModelVersion};
 
-/// Returns the entry of an engine of one model.
+/// Returns an engine list entry of an engine that serves one model.
 pub(crate) fn entry(number: usize, slots: u32) -> EngineEntry {
     EngineEntry {
         incarnation: Incarnation {
@@ -23,19 +23,23 @@
     }
 }
 
-/// Lets each instance hear what the others have sent to each engine; the
-/// beliefs are by instance, then by engine.
-pub(crate) fn exchange(beliefs: &mut [Vec<KnownEngine>]) {
-    for engine in 0..beliefs.first().map_or(0, Vec::len) {
-        let own: Vec<Load> = beliefs.iter().map(|belief| belief[engine].own).collect();
-        for (at, belief) in beliefs.iter_mut().enumerate() {
+/// Exchanges load reports between all instances: sets the load that each
+/// instance knows the others have placed on each engine. `engines_by_instance`
+/// is indexed by instance, then by engine.
+pub(crate) fn exchange(engines_by_instance: &mut [Vec<KnownEngine>]) {
+    for engine in 0..engines_by_instance.first().map_or(0, Vec::len) {
+        let own: Vec<Load> = engines_by_instance
+            .iter()
+            .map(|engines| engines[engine].own)
+            .collect();
+        for (at, engines) in engines_by_instance.iter_mut().enumerate() {
             let mut others = Load::default();
             for (other, load) in own.iter().enumerate() {
                 if other != at {
                     others.add(*load);
                 }
             }
-            belief[engine].others = others;
+            engines[engine].others = others;
         }
     }
 }
