--- a/crates/mangowalk/src/ask/addresses.rs
+++ b/crates/mangowalk/src/ask/addresses.rs
@@ -10,9 +10,9 @@
 
 /// Returns the instances to use, the nearest first: those that the given one
 /// names, and the given one where it names none.
-pub(super) fn addresses(url: &str) -> Vec<String> {
+pub(super) fn instance_urls(url: &str) -> Vec<String> {
     let url = url.trim_end_matches('/');
-    let named = minreq::get(format!("{url}/v1/addresses"))
+    let listed = minreq::get(format!("{url}/v1/addresses"))
         .with_timeout(TIMEOUT_S)
         .with_follow_redirects(false)
         .send()
@@ -20,8 +20,8 @@
         .and_then(|reply| serde_json::from_slice::<Addresses>(reply.as_bytes()).ok())
         .map(|reply| reply.addresses)
         .unwrap_or_default();
-    if named.is_empty() {
+    if listed.is_empty() {
         return vec![url.to_owned()];
     }
-    named.iter().map(|a| format!("http://{a}")).collect()
+    listed.iter().map(|a| format!("http://{a}")).collect()
 }
--- a/crates/mangowalk/src/ask/command.rs
+++ b/crates/mangowalk/src/ask/command.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        addresses::addresses,
+        addresses::instance_urls,
         answer::Answer,
-        send::{Attempt, Question, send},
+        send::{Attempt, ChatRequest, send},
     },
     crate::{
         failure::Failure,
@@ -18,7 +18,7 @@
 };
 
 /// Shortest pause between two tries.
-const SHORTEST_PAUSE_MS: u64 = 100;
+const MIN_RETRY_PAUSE_MS: u64 = 100;
 
 /// Arguments of `ask`.
 #[derive(Debug, Clone, Bpaf)]
@@ -62,13 +62,13 @@
 impl Ask {
     /// Sends the question and prints the answer as it streams.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
-        let until = Instant::now() + Duration::from_millis(self.patience_ms);
+        let deadline = Instant::now() + Duration::from_millis(self.patience_ms);
         loop {
             match self.attempt()? {
                 Attempt::Answered(answer) => return self.finish(&answer),
                 Attempt::NotRun { detail, retry_ms } => {
-                    let pause = Duration::from_millis(retry_ms.max(SHORTEST_PAUSE_MS));
-                    if Instant::now() + pause > until {
+                    let pause = Duration::from_millis(retry_ms.max(MIN_RETRY_PAUSE_MS));
+                    if Instant::now() + pause > deadline {
                         return Err(Report::new(Failure::NotAnswered { detail }));
                     }
                     progress(&detail);
@@ -80,9 +80,9 @@
 
     /// Tries the addresses that the instance names, one behind the other.
     fn attempt(&self) -> Result<Attempt, Report<Failure>> {
-        let mut last = Attempt::unreached(&self.url);
-        for url in addresses(&self.url) {
-            let question = Question {
+        let mut last = Attempt::unreachable(&self.url);
+        for url in instance_urls(&self.url) {
+            let question = ChatRequest {
                 url: &url,
                 key: &self.key,
                 body: &self.body().to_string(),
--- a/crates/mangowalk/src/ask/send.rs
+++ b/crates/mangowalk/src/ask/send.rs
@@ -12,10 +12,10 @@
 /// Longest time of a request, in seconds.
 const TIMEOUT_S: u64 = 300;
 
-const DONE: &str = "[DONE]";
+const STREAM_END: &str = "[DONE]";
 
 /// A request to one instance.
-pub(super) struct Question<'a> {
+pub(super) struct ChatRequest<'a> {
     pub(super) url: &'a str,
     pub(super) key: &'a str,
     pub(super) body: &'a str,
@@ -33,7 +33,7 @@
 
 impl Attempt {
     /// Returns the outcome of a request that no instance took.
-    pub(super) fn unreached(url: &str) -> Attempt {
+    pub(super) fn unreachable(url: &str) -> Attempt {
         Attempt::NotRun {
             detail: format!("{url} was not reached; check --url."),
             retry_ms: 0,
@@ -42,42 +42,42 @@
 }
 
 /// Sends a request, and prints the text as it comes.
-pub(super) fn send(question: &Question<'_>) -> Result<Attempt, Report<Failure>> {
+pub(super) fn send(request: &ChatRequest<'_>) -> Result<Attempt, Report<Failure>> {
     let started = Instant::now();
-    let response = minreq::post(format!("{}/v1/chat/completions", question.url))
-        .with_header("Authorization", format!("Bearer {}", question.key))
+    let response = minreq::post(format!("{}/v1/chat/completions", request.url))
+        .with_header("Authorization", format!("Bearer {}", request.key))
         .with_header("Content-Type", "application/json")
         .with_header("Connection", "close")
         .with_follow_redirects(false)
         .with_timeout(TIMEOUT_S)
-        .with_body(question.body)
+        .with_body(request.body)
         .send_lazy();
     let response = match response {
         Ok(response) => response,
         Err(minreq::Error::IoError(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
-            return Ok(Attempt::unreached(question.url));
+            return Ok(Attempt::unreachable(request.url));
         }
-        Err(error) => return Err(cut(&error.to_string())),
+        Err(error) => return Err(connection_lost(&error.to_string())),
     };
     if response.status_code != 200 {
-        return refused(response);
+        return classify_refusal(response);
     }
     let mut answer = Answer {
-        instance: question.url.to_owned(),
+        instance: request.url.to_owned(),
         request_id: header(&response, "x-request-id"),
         ..Answer::default()
     };
     for line in BufReader::new(response).lines() {
         let Ok(line) = line else { break };
         if let Some(data) = line.strip_prefix("data:") {
-            take(&mut answer, data.trim(), started, question.print);
+            apply_event(&mut answer, data.trim(), started, request.print);
         }
     }
     Ok(Attempt::Answered(answer))
 }
 
-fn take(answer: &mut Answer, data: &str, started: Instant, print: bool) {
-    if data == DONE {
+fn apply_event(answer: &mut Answer, data: &str, started: Instant, print: bool) {
+    if data == STREAM_END {
         answer.complete = true;
         return;
     }
@@ -106,7 +106,7 @@
 }
 
 /// Tells a refusal that may come back from one that stands.
-fn refused(mut response: minreq::ResponseLazy) -> Result<Attempt, Report<Failure>> {
+fn classify_refusal(mut response: minreq::ResponseLazy) -> Result<Attempt, Report<Failure>> {
     let status = response.status_code;
     let outcome = header(&response, "x-mangowalk-outcome");
     let retry_ms = header(&response, "retry-after-ms").parse::<u64>().ok();
@@ -123,7 +123,7 @@
     }
 }
 
-fn cut(detail: &str) -> Report<Failure> {
+fn connection_lost(detail: &str) -> Report<Failure> {
     Report::new(Failure::NotAnswered {
         detail: format!("The answer was lost ({detail}); ask again."),
     })
--- a/crates/mangowalk/src/burn/command.rs
+++ b/crates/mangowalk/src/burn/command.rs
@@ -27,7 +27,7 @@
 }
 
 #[derive(Serialize)]
-struct Printed<'a> {
+struct BurnOutput<'a> {
     answered: Vec<SocketAddr>,
     silent: Vec<&'a str>,
     #[serde(flatten)]
@@ -38,20 +38,20 @@
     /// Sums what every instance published and prints the report.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let instances = instances(&self.common.platform())?;
-        let survey = Survey::<InstanceBurn>::of(&instances, BURN_PATH);
+        let survey = Survey::<InstanceBurn>::collect(&instances, BURN_PATH);
         let published = survey
             .answered
             .iter()
             .flat_map(|s| &s.teams)
             .filter(|b| self.team.as_ref().is_none_or(|team| *team == b.team));
         let report = BurnReport::of(published);
-        let printed = Printed {
+        let output = BurnOutput {
             answered: survey.answered.iter().map(|s| s.caller_address).collect(),
             silent: survey.silent.iter().map(|s| s.name.as_str()).collect(),
             report: &report,
         };
         let text = table::text(&report, &survey);
-        self.common.output().print(&printed, &text);
-        survey.complete()
+        self.common.output().print(&output, &text);
+        survey.ensure_complete()
     }
 }
--- a/crates/mangowalk/src/burn/table.rs
+++ b/crates/mangowalk/src/burn/table.rs
@@ -13,11 +13,11 @@
     if report.rows.is_empty() {
         return format!("{head}\n\nNo requests in the last six hours.");
     }
-    let parts = [head, burn(&report.rows), teams(&report.teams)];
+    let parts = [head, burn_table(&report.rows), teams_table(&report.teams)];
     parts.join("\n\n")
 }
 
-fn burn(rows: &[BurnRow]) -> String {
+fn burn_table(rows: &[BurnRow]) -> String {
     let mut table = Table::new(&[
         "TEAM",
         "OBJECTIVE",
@@ -32,14 +32,14 @@
             row.objective.to_string(),
             row.level.to_string(),
         ];
-        let cells = head.into_iter().chain(row.windows.iter().map(cell));
+        let cells = head.into_iter().chain(row.windows.iter().map(burn_cell));
         table.row(cells.collect());
     }
     table.text()
 }
 
 /// Returns the burn, with the requests that missed out of all.
-fn cell(burn: &WindowBurn) -> String {
+fn burn_cell(burn: &WindowBurn) -> String {
     let all = burn.good + burn.bad;
     if all == 0 {
         return "-".to_owned();
@@ -47,7 +47,7 @@
     format!("{:.1} ({} of {all})", burn.burn, burn.bad)
 }
 
-fn teams(teams: &[TeamSummary]) -> String {
+fn teams_table(teams: &[TeamSummary]) -> String {
     let mut table = Table::new(&[
         "TEAM",
         "HALF OF FIRST TOKENS",
@@ -58,20 +58,20 @@
     for team in teams {
         table.row(vec![
             team.team.clone(),
-            within(team.first_token_half_ms),
-            within(team.first_token_99_percent_ms),
-            by_window(&team.over_rate, ""),
-            by_window(&team.asked_percent, "%"),
+            format_bound(team.first_token_half_ms),
+            format_bound(team.first_token_99_percent_ms),
+            join_windows(&team.over_rate, ""),
+            join_windows(&team.asked_percent, "%"),
         ]);
     }
     table.text()
 }
 
-fn within(bound_ms: Option<u64>) -> String {
+fn format_bound(bound_ms: Option<u64>) -> String {
     bound_ms.map_or("-".to_owned(), |ms| format!("within {ms} ms"))
 }
 
-fn by_window(values: &[u64], unit: &str) -> String {
+fn join_windows(values: &[u64], unit: &str) -> String {
     debug_assert_eq!(values.len(), Window::ALL.len());
     let cells: Vec<String> = values.iter().map(|v| format!("{v}{unit}")).collect();
     cells.join("/")
--- a/crates/mangowalk/src/cli/completion.rs
+++ b/crates/mangowalk/src/cli/completion.rs
@@ -5,7 +5,7 @@
 #[bpaf(ignore_rustdoc)]
 pub(super) struct Completion {
     /// Shell: bash, zsh, fish or elvish
-    #[bpaf(positional::<String>("SHELL"), parse(shell))]
+    #[bpaf(positional::<String>("SHELL"), parse(parse_shell))]
     shell: Shell,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-fn shell(text: String) -> Result<Shell, &'static str> {
+fn parse_shell(text: String) -> Result<Shell, &'static str> {
     if !SHELLS.contains(&text.as_str()) {
         return Err("no such shell; give bash, zsh, fish or elvish");
     }
--- a/crates/mangowalk/src/cli/run.rs
+++ b/crates/mangowalk/src/cli/run.rs
@@ -12,12 +12,12 @@
     };
     match command.run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(report) => failed(&report),
+        Err(report) => print_failure(&report),
     }
 }
 
 /// Prints the failure first and what led to it below.
-fn failed(report: &Report<Failure>) -> ExitCode {
+fn print_failure(report: &Report<Failure>) -> ExitCode {
     let failure = report.current_context();
     eprintln!("mangowalk: {failure}");
     for cause in report.frames().filter_map(|f| f.downcast_ref::<String>()) {
--- a/crates/mangowalk/src/explain/command.rs
+++ b/crates/mangowalk/src/explain/command.rs
@@ -44,13 +44,13 @@
     /// Asks one instance and prints the decision and its grounds.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let address = self.address()?;
-        let question = ExplainRequest {
+        let request = ExplainRequest {
             team: self.team.clone(),
             model: self.model.clone(),
             prompt: self.prompt.clone(),
             max_tokens: self.max_tokens,
         };
-        let body = serde_json::to_string(&question).unwrap_or_default();
+        let body = serde_json::to_string(&request).unwrap_or_default();
         let reply: ExplainReply =
             call(address, "/explain", Some(&body)).map_err(|why| Failure::Incomplete {
                 detail: format!("The instance at {address} did not explain ({why})"),
--- a/crates/mangowalk/src/failure/kind.rs
+++ b/crates/mangowalk/src/failure/kind.rs
@@ -10,13 +10,13 @@
     #[display(
         "The platform was not reached; check --platform-address and the platform's health. Nothing was written."
     )]
-    Unreached,
+    PlatformUnreachable,
     /// A write was sent, its reply was lost, and it can't be read back.
     #[display(
         "Whether {}/{} was written is not known; run the command again once the platform answers, it writes nothing twice.",
         key.kind, key.name
     )]
-    Unknown {
+    UnknownOutcome {
         /// The object.
         key: ObjectKey,
     },
@@ -24,7 +24,7 @@
     #[display(
         "None of {lines} log lines names request {request}; give the logs of all instances around its time. A line that is missing may have been dropped: look for dropped_lines."
     )]
-    NoStory {
+    RequestNotLogged {
         /// Its id.
         request: String,
         /// Lines that were read.
@@ -52,7 +52,7 @@
         "{}/{} exists at version {version} and differs. Put \"version\": {version} beside its name to change just that, or give --overwrite.",
         key.kind, key.name
     )]
-    Differs {
+    VersionRequired {
         /// The object.
         key: ObjectKey,
         /// Version that the platform holds.
@@ -60,7 +60,7 @@
     },
     /// A record was refused by its check; nothing was sent.
     #[display("{}/{} was refused, nothing was sent. {error}", key.kind, key.name)]
-    BadRecord {
+    InvalidRecord {
         /// The object.
         key: ObjectKey,
         /// Why, and what would mend it.
@@ -68,7 +68,7 @@
     },
     /// A file or argument can't be read as records.
     #[display("{what} can't be used: {detail}; nothing was sent. See docs/records.md.")]
-    BadFile {
+    InvalidInput {
         /// File or argument.
         what: String,
         /// Why.
@@ -76,7 +76,7 @@
     },
     /// There is no such record.
     #[display("There is no {}/{}; `mangowalk list {}` shows the names.", key.kind, key.name, key.kind)]
-    Missing {
+    RecordNotFound {
         /// The object.
         key: ObjectKey,
     },
@@ -98,22 +98,22 @@
     /// Returns the exit code, as the help lists them.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
-            Failure::PlatformRefused { .. } | Failure::Missing { .. } | Failure::NoStory { .. } => {
-                1
-            }
-            Failure::BadRecord { .. } | Failure::BadFile { .. } => 3,
-            Failure::Conflict { .. } | Failure::Differs { .. } => 4,
-            Failure::Unreached | Failure::Unknown { .. } => 5,
+            Failure::PlatformRefused { .. }
+            | Failure::RecordNotFound { .. }
+            | Failure::RequestNotLogged { .. } => 1,
+            Failure::InvalidRecord { .. } | Failure::InvalidInput { .. } => 3,
+            Failure::Conflict { .. } | Failure::VersionRequired { .. } => 4,
+            Failure::PlatformUnreachable | Failure::UnknownOutcome { .. } => 5,
             Failure::Incomplete { .. } => 6,
             Failure::NotAnswered { .. } => 7,
         }
     }
 
     /// Returns what a failed read means.
-    pub(crate) fn of_read(error: &PlatformError) -> Failure {
+    pub(crate) fn from_platform_error(error: &PlatformError) -> Failure {
         match error {
             PlatformError::Refused { status } => Failure::PlatformRefused { status: *status },
-            _ => Failure::Unreached,
+            _ => Failure::PlatformUnreachable,
         }
     }
 }
--- a/crates/mangowalk/src/fleet/command.rs
+++ b/crates/mangowalk/src/fleet/command.rs
@@ -21,11 +21,11 @@
     /// Shows instances, upstreams, and what configuration is in force.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let platform = self.common.platform();
-        let survey = Survey::<InstanceStatus>::of(&instances(&platform)?, STATUS_PATH);
+        let survey = Survey::<InstanceStatus>::collect(&instances(&platform)?, STATUS_PATH);
         let newest = newest_record(&platform)?;
         let text = tables::text(&survey, newest);
         self.common.output().print(&survey, &text);
-        survey.complete()
+        survey.ensure_complete()
     }
 }
 
@@ -36,7 +36,9 @@
         .map(Kind::to_string)
         .collect();
     let kinds: Vec<&str> = kinds.iter().map(String::as_str).collect();
-    let list = platform.list(&kinds).map_err(|e| Failure::of_read(&e))?;
+    let list = platform
+        .list(&kinds)
+        .map_err(|e| Failure::from_platform_error(&e))?;
     let versions = list.objects.iter().map(|o| o.version);
     Ok(versions.max().unwrap_or(0))
 }
--- a/crates/mangowalk/src/fleet/instance.rs
+++ b/crates/mangowalk/src/fleet/instance.rs
@@ -19,7 +19,7 @@
 }
 
 impl Instance {
-    fn of(object: &Object) -> Instance {
+    fn from_object(object: &Object) -> Instance {
         let address = object.body["operator_address"].as_str();
         Instance {
             name: object.key.name.clone(),
@@ -32,6 +32,6 @@
 pub(crate) fn instances(platform: &dyn Platform) -> Result<Vec<Instance>, Report<Failure>> {
     let list = platform
         .list(&[own_kind::INSTANCE])
-        .map_err(|e| Failure::of_read(&e))?;
-    Ok(list.objects.iter().map(Instance::of).collect())
+        .map_err(|e| Failure::from_platform_error(&e))?;
+    Ok(list.objects.iter().map(Instance::from_object).collect())
 }
--- a/crates/mangowalk/src/fleet/survey.rs
+++ b/crates/mangowalk/src/fleet/survey.rs
@@ -15,7 +15,7 @@
 
 /// Instances asked at the same time. At 350 instances of which a rack is dead,
 /// asking one by one would take minutes.
-const ASKED_AT_ONCE: usize = 16;
+const MAX_CONCURRENT_CALLS: usize = 16;
 
 /// What all instances answered to one question.
 #[derive(Debug, Serialize)]
@@ -23,12 +23,12 @@
     /// Answers, in the order of the instances' names.
     pub(crate) answered: Vec<T>,
     /// Instances that did not, and why.
-    pub(crate) silent: Vec<Silent>,
+    pub(crate) silent: Vec<SilentInstance>,
 }
 
 /// An instance that did not answer.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub(crate) struct Silent {
+pub(crate) struct SilentInstance {
     /// Address towards callers.
     pub(crate) name: String,
     /// Why.
@@ -37,14 +37,14 @@
 
 impl<T: DeserializeOwned + Send> Survey<T> {
     /// Reads a path of every instance's operator edge.
-    pub(crate) fn of(instances: &[Instance], path: &str) -> Survey<T> {
+    pub(crate) fn collect(instances: &[Instance], path: &str) -> Survey<T> {
         let next = AtomicUsize::new(0);
         let replies = Mutex::new(BTreeMap::new());
         thread::scope(|scope| {
-            for _ in 0..ASKED_AT_ONCE.min(instances.len()) {
+            for _ in 0..MAX_CONCURRENT_CALLS.min(instances.len()) {
                 scope.spawn(|| {
                     while let Some(instance) = instances.get(next.fetch_add(1, Ordering::Relaxed)) {
-                        let reply = ask(instance, path);
+                        let reply = call_instance(instance, path);
                         let mut replies = replies.lock().unwrap_or_else(PoisonError::into_inner);
                         replies.insert(instance.name.clone(), reply);
                     }
@@ -69,7 +69,7 @@
     }
 
     /// Returns a failure that names the instances that did not answer.
-    pub(crate) fn complete(&self) -> Result<(), Report<Failure>> {
+    pub(crate) fn ensure_complete(&self) -> Result<(), Report<Failure>> {
         if self.silent.is_empty() {
             return Ok(());
         }
@@ -83,8 +83,11 @@
     }
 }
 
-fn ask<T: DeserializeOwned>(instance: &Instance, path: &str) -> Result<T, Silent> {
-    let silent = |why: String| Silent {
+fn call_instance<T: DeserializeOwned>(
+    instance: &Instance,
+    path: &str,
+) -> Result<T, SilentInstance> {
+    let silent = |why: String| SilentInstance {
         name: instance.name.clone(),
         why,
     };
--- a/crates/mangowalk/src/fleet/tables.rs
+++ b/crates/mangowalk/src/fleet/tables.rs
@@ -8,17 +8,17 @@
 /// Returns the fleet as text.
 pub(super) fn text(survey: &Survey<InstanceStatus>, newest_record: u64) -> String {
     let mut parts = vec![
-        instances(survey, newest_record),
-        upstreams(&survey.answered),
+        instances_table(survey, newest_record),
+        upstreams_table(&survey.answered),
     ];
-    let refused = refused(&survey.answered);
+    let refused = refused_records(&survey.answered);
     if !refused.is_empty() {
         parts.push(refused);
     }
     parts.join("\n\n")
 }
 
-fn instances(survey: &Survey<InstanceStatus>, newest_record: u64) -> String {
+fn instances_table(survey: &Survey<InstanceStatus>, newest_record: u64) -> String {
     let mut table = Table::new(&[
         "INSTANCE", "DOMAIN", "PHASE", "REVISION", "RECORDS", "OPEN", "QUEUED", "SHARES",
     ]);
@@ -47,7 +47,7 @@
 
 /// What all instances say of one upstream.
 #[derive(Default)]
-struct Seen<'a> {
+struct UpstreamSummary<'a> {
     serves: &'a str,
     states: BTreeMap<&'a str, usize>,
     versions: BTreeMap<&'a str, usize>,
@@ -55,7 +55,7 @@
     departing: usize,
 }
 
-impl<'a> Seen<'a> {
+impl<'a> UpstreamSummary<'a> {
     fn add(&mut self, upstream: &'a UpstreamStatus) {
         self.serves = &upstream.serves;
         *self.states.entry(&upstream.state).or_default() += 1;
@@ -67,8 +67,8 @@
     }
 }
 
-fn upstreams(answered: &[InstanceStatus]) -> String {
-    let mut all: BTreeMap<&str, Seen<'_>> = BTreeMap::new();
+fn upstreams_table(answered: &[InstanceStatus]) -> String {
+    let mut all: BTreeMap<&str, UpstreamSummary<'_>> = BTreeMap::new();
     for upstream in answered.iter().flat_map(|s| &s.upstreams) {
         all.entry(&upstream.name).or_default().add(upstream);
     }
@@ -80,14 +80,14 @@
         "IN FLIGHT",
         "DEPARTING",
     ]);
-    for (name, seen) in &all {
+    for (name, summary) in &all {
         table.row(vec![
             (*name).to_owned(),
-            seen.serves.to_owned(),
-            agreed(&seen.states),
-            agreed(&seen.versions),
-            seen.in_flight.to_string(),
-            departing(seen.departing, answered.len()),
+            summary.serves.to_owned(),
+            value_counts(&summary.states),
+            value_counts(&summary.versions),
+            summary.in_flight.to_string(),
+            departing_cell(summary.departing, answered.len()),
         ]);
     }
     table.text()
@@ -95,7 +95,7 @@
 
 /// Returns the value that all instances see, or each value with how many see
 /// it.
-fn agreed(values: &BTreeMap<&str, usize>) -> String {
+fn value_counts(values: &BTreeMap<&str, usize>) -> String {
     match values.len() {
         0 => "-".to_owned(),
         1 => values.keys().copied().collect(),
@@ -107,7 +107,7 @@
     }
 }
 
-fn departing(count: usize, answered: usize) -> String {
+fn departing_cell(count: usize, answered: usize) -> String {
     match count {
         0 => "no".to_owned(),
         n if n == answered => "yes".to_owned(),
@@ -115,7 +115,7 @@
     }
 }
 
-fn refused(answered: &[InstanceStatus]) -> String {
+fn refused_records(answered: &[InstanceStatus]) -> String {
     let mut lines: BTreeMap<String, usize> = BTreeMap::new();
     for record in answered.iter().flat_map(|s| &s.refused) {
         let earlier = if record.earlier_in_force {
--- a/crates/mangowalk/src/fleet/wait.rs
+++ b/crates/mangowalk/src/fleet/wait.rs
@@ -12,7 +12,7 @@
 };
 
 /// Pause between two looks at the fleet.
-const PAUSE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Whether and how long to wait until a write is in force everywhere.
 #[derive(Debug, Clone, Bpaf)]
@@ -38,87 +38,87 @@
         if !self.wait {
             return Ok(());
         }
-        let until = Instant::now() + Duration::from_millis(self.wait_timeout_ms);
-        let mut waiting = Waiting::new(version);
+        let deadline = Instant::now() + Duration::from_millis(self.wait_timeout_ms);
+        let mut wait_progress = WaitProgress::new(version);
         loop {
-            waiting.look(&instances(platform)?);
-            if waiting.is_over() {
+            wait_progress.poll(&instances(platform)?);
+            if wait_progress.is_in_force() {
                 return Ok(());
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(Report::new(Failure::Incomplete {
-                    detail: not_in_force(version, &waiting.behind),
+                    detail: not_in_force(version, &wait_progress.behind),
                 }));
             }
-            thread::sleep(PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
 /// Instances that are waited for. One that has the version keeps it, so only
 /// the others are asked again.
-struct Waiting {
+struct WaitProgress {
     version: u64,
     in_force: HashSet<String>,
     behind: Vec<String>,
-    shown: String,
+    last_shown: String,
 }
 
-impl Waiting {
-    fn new(version: u64) -> Waiting {
-        Waiting {
+impl WaitProgress {
+    fn new(version: u64) -> WaitProgress {
+        WaitProgress {
             version,
             in_force: HashSet::new(),
             behind: Vec::new(),
-            shown: String::new(),
+            last_shown: String::new(),
         }
     }
 
     /// Asks the listed instances that are not known to have the version.
-    fn look(&mut self, listed: &[Instance]) {
-        let open: Vec<Instance> = listed
+    fn poll(&mut self, listed: &[Instance]) {
+        let pending: Vec<Instance> = listed
             .iter()
             .filter(|i| !self.in_force.contains(&i.name))
             .cloned()
             .collect();
-        let survey = Survey::<InstanceStatus>::of(&open, STATUS_PATH);
+        let survey = Survey::<InstanceStatus>::collect(&pending, STATUS_PATH);
         let reached = survey
             .answered
             .iter()
             .filter(|s| s.revision >= self.version);
         self.in_force
             .extend(reached.map(|s| s.caller_address.to_string()));
-        let behind = open.into_iter().map(|i| i.name);
+        let behind = pending.into_iter().map(|i| i.name);
         self.behind = behind
             .filter(|name| !self.in_force.contains(name))
             .collect();
-        self.show(listed.len());
+        self.show_progress(listed.len());
     }
 
     /// A lagging list may show no instance at all; the write is in force
     /// nowhere then.
-    fn is_over(&self) -> bool {
+    fn is_in_force(&self) -> bool {
         self.behind.is_empty() && !self.in_force.is_empty()
     }
 
-    fn show(&mut self, listed: usize) {
+    fn show_progress(&mut self, listed: usize) {
         let line = format!(
             "Version {} is in force on {} of {listed} instances.",
             self.version,
             listed - self.behind.len()
         );
-        if line != self.shown {
+        if line != self.last_shown {
             progress(&line);
-            self.shown = line;
+            self.last_shown = line;
         }
     }
 }
 
 fn not_in_force(version: u64, behind: &[String]) -> String {
-    let where_not = if behind.is_empty() {
+    let missing_on = if behind.is_empty() {
         "any instance, since the platform lists none".to_owned()
     } else {
         behind.join(", ")
     };
-    format!("The write took effect, but version {version} is not in force on {where_not}")
+    format!("The write took effect, but version {version} is not in force on {missing_on}")
 }
--- a/crates/mangowalk/src/keys/issue.rs
+++ b/crates/mangowalk/src/keys/issue.rs
@@ -18,7 +18,7 @@
 };
 
 /// Digits of the digest in the name of a key that is given none.
-const NAME_DIGITS: usize = 8;
+const NAME_DIGEST_DIGITS: usize = 8;
 
 /// Arguments of `key issue`.
 #[derive(Debug, Clone, Bpaf)]
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Issued {
+struct IssuedKey {
     name: String,
     team: String,
     version: u64,
@@ -54,9 +54,9 @@
         let platform = self.common.platform();
         let team = ObjectKey::new(&Kind::Team.to_string(), &self.team);
         if read(&platform, &team)?.is_none() {
-            return Err(Report::new(Failure::Missing { key: team }));
+            return Err(Report::new(Failure::RecordNotFound { key: team }));
         }
-        let key = secret::draw().map_err(|error| Failure::BadFile {
+        let key = secret::generate().map_err(|error| Failure::InvalidInput {
             what: "The system's random generator".to_owned(),
             detail: error.to_string(),
         })?;
@@ -64,7 +64,7 @@
         let name = self
             .name
             .clone()
-            .unwrap_or_else(|| format!("{}-{}", self.team, &digest[..NAME_DIGITS]));
+            .unwrap_or_else(|| format!("{}-{}", self.team, &digest[..NAME_DIGEST_DIGITS]));
         let file = RecordFile {
             kind: Kind::Key,
             name: name.clone(),
@@ -76,7 +76,7 @@
         progress(&format!(
             "Issued key/{name} at version {version}. The key is shown this once; `mangowalk key withdraw {name}` ends it."
         ));
-        let issued = Issued {
+        let issued = IssuedKey {
             name,
             team: self.team.clone(),
             version,
--- a/crates/mangowalk/src/keys/secret.rs
+++ b/crates/mangowalk/src/keys/secret.rs
@@ -10,7 +10,7 @@
 const PREFIX: &str = "mw-";
 
 /// Draws a new key from the operating system's generator.
-pub(super) fn draw() -> Result<String, OsError> {
+pub(super) fn generate() -> Result<String, OsError> {
     let mut bytes = [0; SECRET_BYTES];
     OsRng.try_fill_bytes(&mut bytes)?;
     let mut key = PREFIX.to_owned();
--- a/crates/mangowalk/src/keys/withdraw.rs
+++ b/crates/mangowalk/src/keys/withdraw.rs
@@ -30,8 +30,8 @@
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let key = ObjectKey::new(&Kind::Key.to_string(), &self.name);
         let platform = self.common.platform();
-        let written = withdraw_record(&platform, key, None)?;
-        self.common.output().print(&written, &written.text());
-        self.wait.until_in_force(&platform, written.version)
+        let result = withdraw_record(&platform, key, None)?;
+        self.common.output().print(&result, &result.text());
+        self.wait.until_in_force(&platform, result.version)
     }
 }
--- a/crates/mangowalk/src/output/print.rs
+++ b/crates/mangowalk/src/output/print.rs
@@ -15,15 +15,15 @@
     pub(crate) fn print(self, result: &impl Serialize, text: &str) {
         if self.json {
             let json = serde_json::to_string_pretty(result).unwrap_or_default();
-            line(&json);
+            print_line(&json);
         } else if !text.is_empty() {
-            line(text.trim_end());
+            print_line(text.trim_end());
         }
     }
 }
 
 /// A reader that has gone, such as `head`, is no failure of the command.
-fn line(text: &str) {
+fn print_line(text: &str) {
     let _ = writeln!(io::stdout(), "{text}");
 }
 
--- a/crates/mangowalk/src/output/table.rs
+++ b/crates/mangowalk/src/output/table.rs
@@ -4,7 +4,7 @@
     rows: Vec<Vec<String>>,
 }
 
-const GAP: &str = "  ";
+const COLUMN_GAP: &str = "  ";
 
 impl Table {
     /// Returns a table with a row of headings.
@@ -24,7 +24,7 @@
         let widths = self.widths();
         self.rows
             .iter()
-            .map(|row| line(row, &widths))
+            .map(|row| format_row(row, &widths))
             .collect::<Vec<String>>()
             .join("\n")
     }
@@ -40,11 +40,11 @@
     }
 }
 
-fn line(row: &[String], widths: &[usize]) -> String {
+fn format_row(row: &[String], widths: &[usize]) -> String {
     let cells: Vec<String> = row
         .iter()
         .zip(widths)
         .map(|(cell, width)| format!("{cell:<width$}"))
         .collect();
-    cells.join(GAP).trim_end().to_owned()
+    cells.join(COLUMN_GAP).trim_end().to_owned()
 }
--- a/crates/mangowalk/src/records/apply.rs
+++ b/crates/mangowalk/src/records/apply.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Action, RecordFile, Written, plan::Plan, put},
+    super::{Action, RecordFile, WriteResult, plan::Plan, put},
     crate::{
         cli::{Common, common},
         failure::Failure,
@@ -44,21 +44,21 @@
             .iter()
             .map(|r| Plan::new(&platform, r, self.overwrite))
             .collect::<Result<Vec<Plan<'_>>, _>>()?;
-        let written = if self.dry_run {
+        let results = if self.dry_run {
             progress("Dry run: nothing is written.");
             plans
                 .into_iter()
-                .map(|p| p.written)
-                .collect::<Vec<Written>>()
+                .map(|p| p.result)
+                .collect::<Vec<WriteResult>>()
         } else {
             self.write(&platform, &plans)?
         };
-        let text = Written::texts(&written);
-        self.common.output().print(&written, &text);
+        let text = WriteResult::join_texts(&results);
+        self.common.output().print(&results, &text);
         if self.dry_run {
             return Ok(());
         }
-        let newest = written.iter().map(|w| w.version).max().unwrap_or(0);
+        let newest = results.iter().map(|w| w.version).max().unwrap_or(0);
         self.wait.until_in_force(&platform, newest)
     }
 
@@ -73,7 +73,7 @@
         for record in &records {
             record.check()?;
             if !seen.insert(record.key()) {
-                return Err(Report::new(Failure::BadFile {
+                return Err(Report::new(Failure::InvalidInput {
                     what: format!("{}/{}", record.kind, record.name),
                     detail: "it is there twice; leave one out".to_owned(),
                 }));
@@ -87,14 +87,14 @@
         &self,
         platform: &dyn Platform,
         plans: &[Plan<'_>],
-    ) -> Result<Vec<Written>, Report<Failure>> {
-        let mut done: Vec<Written> = Vec::new();
+    ) -> Result<Vec<WriteResult>, Report<Failure>> {
+        let mut done: Vec<WriteResult> = Vec::new();
         for plan in plans {
             match write_one(platform, plan) {
-                Ok(written) => done.push(written),
+                Ok(result) => done.push(result),
                 Err(report) => {
                     let left = plans.len() - done.len() - 1;
-                    let before = Written::texts(&done);
+                    let before = WriteResult::join_texts(&done);
                     self.common.output().print(&done, &before);
                     return Err(report.attach(format!("{left} records behind it were not tried.")));
                 }
@@ -104,11 +104,11 @@
     }
 }
 
-fn write_one(platform: &dyn Platform, plan: &Plan<'_>) -> Result<Written, Report<Failure>> {
-    let mut written = plan.written.clone();
-    if written.action != Action::Unchanged {
-        let seen = written.version;
-        written.version = put(platform, &written.key, seen, &plan.record.record)?;
+fn write_one(platform: &dyn Platform, plan: &Plan<'_>) -> Result<WriteResult, Report<Failure>> {
+    let mut result = plan.result.clone();
+    if result.action != Action::Unchanged {
+        let expected_version = result.version;
+        result.version = put(platform, &result.key, expected_version, &plan.record.record)?;
     }
-    Ok(written)
+    Ok(result)
 }
--- a/crates/mangowalk/src/records/fields.rs
+++ b/crates/mangowalk/src/records/fields.rs
@@ -29,8 +29,8 @@
 }
 
 /// Returns the fields in which two records differ.
-pub(super) fn changes(before: &Value, after: &Value) -> Vec<FieldChange> {
-    let (before, after) = (flat(before), flat(after));
+pub(super) fn changed_fields(before: &Value, after: &Value) -> Vec<FieldChange> {
+    let (before, after) = (flatten(before), flatten(after));
     let names: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
     names
         .into_iter()
@@ -43,13 +43,13 @@
         .collect()
 }
 
-fn flat(value: &Value) -> BTreeMap<String, Value> {
+fn flatten(value: &Value) -> BTreeMap<String, Value> {
     let mut fields = BTreeMap::new();
-    collect("", value, &mut fields);
+    flatten_into("", value, &mut fields);
     fields
 }
 
-fn collect(path: &str, value: &Value, fields: &mut BTreeMap<String, Value>) {
+fn flatten_into(path: &str, value: &Value, fields: &mut BTreeMap<String, Value>) {
     let Value::Object(object) = value else {
         fields.insert(path.to_owned(), value.clone());
         return;
@@ -60,6 +60,6 @@
         } else {
             format!("{path}.{name}")
         };
-        collect(&path, value, fields);
+        flatten_into(&path, value, fields);
     }
 }
--- a/crates/mangowalk/src/records/file.rs
+++ b/crates/mangowalk/src/records/file.rs
@@ -16,7 +16,7 @@
 
 /// Characters of a name beside letters and digits. Names are segments of the
 /// platform's paths.
-const NAME_MARKS: &str = "._:-";
+const NAME_PUNCTUATION: &str = "._:-";
 
 /// File name that stands for standard input.
 const STDIN: &str = "-";
@@ -45,7 +45,7 @@
     /// Checks name and record as an instance would.
     pub(crate) fn check(&self) -> Result<(), Report<Failure>> {
         check_name(&self.name)?;
-        parse(self.kind, &self.record).map_err(|error| Failure::BadRecord {
+        parse(self.kind, &self.record).map_err(|error| Failure::InvalidRecord {
             key: self.key(),
             error,
         })?;
@@ -55,37 +55,39 @@
     /// Reads every record of a file, `-` for standard input: one object, an
     /// array of objects, or several of these one behind the other.
     pub(crate) fn read(path: &Path) -> Result<Vec<RecordFile>, Report<Failure>> {
-        let text = text_of(path).map_err(|e| bad(path, &e.to_string()))?;
+        let text = read_text(path).map_err(|e| invalid_file(path, &e.to_string()))?;
         let mut records = Vec::new();
         for value in Deserializer::from_str(&text).into_iter::<Value>() {
-            let value = value.map_err(|e| bad(path, &e.to_string()))?;
+            let value = value.map_err(|e| invalid_file(path, &e.to_string()))?;
             let items = match value {
                 Value::Array(items) => items,
                 item => vec![item],
             };
             for item in items {
-                records.push(serde_json::from_value(item).map_err(|e| bad(path, &e.to_string()))?);
+                records.push(
+                    serde_json::from_value(item).map_err(|e| invalid_file(path, &e.to_string()))?,
+                );
             }
         }
         if records.is_empty() {
-            return Err(bad(path, "it holds no record"));
+            return Err(invalid_file(path, "it holds no record"));
         }
         Ok(records)
     }
 }
 
 fn check_name(name: &str) -> Result<(), Report<Failure>> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || NAME_MARKS.contains(c);
-    if !name.is_empty() && name.chars().all(fits) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || NAME_PUNCTUATION.contains(c);
+    if !name.is_empty() && name.chars().all(is_allowed) {
         return Ok(());
     }
-    Err(Report::new(Failure::BadFile {
+    Err(Report::new(Failure::InvalidInput {
         what: format!("The name {name:?}"),
-        detail: format!("a name has letters, digits and {NAME_MARKS} only"),
+        detail: format!("a name has letters, digits and {NAME_PUNCTUATION} only"),
     }))
 }
 
-fn text_of(path: &Path) -> io::Result<String> {
+fn read_text(path: &Path) -> io::Result<String> {
     if path != Path::new(STDIN) {
         return fs::read_to_string(path);
     }
@@ -94,8 +96,8 @@
     Ok(text)
 }
 
-fn bad(path: &Path, detail: &str) -> Report<Failure> {
-    Report::new(Failure::BadFile {
+fn invalid_file(path: &Path, detail: &str) -> Report<Failure> {
+    Report::new(Failure::InvalidInput {
         what: if path == Path::new(STDIN) {
             "Standard input".to_owned()
         } else {
--- a/crates/mangowalk/src/records/list.rs
+++ b/crates/mangowalk/src/records/list.rs
@@ -39,7 +39,7 @@
             .common
             .platform()
             .list(&kinds)
-            .map_err(|e| Failure::of_read(&e))?;
+            .map_err(|e| Failure::from_platform_error(&e))?;
         let mut table = Table::new(&["KIND", "NAME", "VERSION", "RECORD"]);
         for object in &list.objects {
             table.row(vec![
--- a/crates/mangowalk/src/records/mod.rs
+++ b/crates/mangowalk/src/records/mod.rs
@@ -9,7 +9,7 @@
 mod show;
 mod withdraw;
 mod write;
-mod written;
+mod write_result;
 
 pub(crate) use {
     apply::{Apply, apply},
@@ -19,5 +19,5 @@
     show::{Show, show},
     withdraw::{Withdraw, withdraw, withdraw_record},
     write::{delete, put, read},
-    written::{Action, Written},
+    write_result::{Action, WriteResult},
 };
--- a/crates/mangowalk/src/records/plan.rs
+++ b/crates/mangowalk/src/records/plan.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Action, RecordFile, Written, fields::changes, read},
+    super::{Action, RecordFile, WriteResult, fields::changed_fields, read},
     crate::failure::Failure,
     error_stack::Report,
     mangowalk_core::edge::Platform,
@@ -11,7 +11,7 @@
     /// The record of the file.
     pub(super) record: &'a RecordFile,
     /// What is to be done, with the version that is there.
-    pub(super) written: Written,
+    pub(super) result: WriteResult,
 }
 
 impl<'a> Plan<'a> {
@@ -22,29 +22,36 @@
         overwrite: bool,
     ) -> Result<Plan<'a>, Report<Failure>> {
         let key = record.key();
-        let held = read(platform, &key)?;
-        let version = held.as_ref().map_or(0, |o| o.version);
+        let stored = read(platform, &key)?;
+        let version = stored.as_ref().map_or(0, |o| o.version);
         let plan = |action, changes| Plan {
             record,
-            written: Written {
+            result: WriteResult {
                 key: key.clone(),
                 action,
                 version,
                 changes,
             },
         };
-        if held.as_ref().is_some_and(|o| o.body == record.record) {
+        if stored.as_ref().is_some_and(|o| o.body == record.record) {
             return Ok(plan(Action::Unchanged, Vec::new()));
         }
-        if record.version.is_some_and(|seen| seen != version) && !overwrite {
+        if record
+            .version
+            .is_some_and(|expected_version| expected_version != version)
+            && !overwrite
+        {
             return Err(Report::new(Failure::Conflict { key, version }));
         }
-        let Some(held) = held else {
+        let Some(stored) = stored else {
             return Ok(plan(Action::Created, Vec::new()));
         };
         if record.version.is_none() && !overwrite {
-            return Err(Report::new(Failure::Differs { key, version }));
+            return Err(Report::new(Failure::VersionRequired { key, version }));
         }
-        Ok(plan(Action::Changed, changes(&held.body, &record.record)))
+        Ok(plan(
+            Action::Changed,
+            changed_fields(&stored.body, &record.record),
+        ))
     }
 }
--- a/crates/mangowalk/src/records/set.rs
+++ b/crates/mangowalk/src/records/set.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Action, RecordFile, Written, fields::changes, put, read},
+    super::{Action, RecordFile, WriteResult, fields::changed_fields, put, read},
     crate::{
         cli::{Common, common, kind},
         failure::Failure,
@@ -71,51 +71,52 @@
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let key = ObjectKey::new(&self.kind.to_string(), &self.name);
         let platform = self.common.platform();
-        let held = read(&platform, &key)?.ok_or_else(|| Failure::Missing { key: key.clone() })?;
-        let mut record = held.body.clone();
+        let stored =
+            read(&platform, &key)?.ok_or_else(|| Failure::RecordNotFound { key: key.clone() })?;
+        let mut record = stored.body.clone();
         for field in &self.fields {
             assign(&mut record, field);
         }
         let file = RecordFile {
             kind: self.kind,
             name: self.name.clone(),
-            version: Some(held.version),
+            version: Some(stored.version),
             record,
         };
         file.check()?;
-        let changes = changes(&held.body, &file.record);
-        let mut written = Written {
+        let changes = changed_fields(&stored.body, &file.record);
+        let mut result = WriteResult {
             key,
             action: if changes.is_empty() {
                 Action::Unchanged
             } else {
                 Action::Changed
             },
-            version: held.version,
+            version: stored.version,
             changes,
         };
         if self.dry_run {
             progress("Dry run: nothing is written.");
-        } else if written.action == Action::Changed {
-            written.version = put(&platform, &written.key, held.version, &file.record)?;
+        } else if result.action == Action::Changed {
+            result.version = put(&platform, &result.key, stored.version, &file.record)?;
         }
-        let text = written.text();
-        self.common.output().print(&written, &text);
+        let text = result.text();
+        self.common.output().print(&result, &text);
         if self.dry_run {
             return Ok(());
         }
-        self.wait.until_in_force(&platform, written.version)
+        self.wait.until_in_force(&platform, result.version)
     }
 }
 
 /// Sets a field by its path; objects on the way are made where they lack.
 fn assign(record: &mut Value, field: &Assignment) {
-    let mut at = record;
+    let mut target = record;
     for part in field.path.split('.') {
-        if !at.is_object() {
-            *at = Value::Object(Default::default());
+        if !target.is_object() {
+            *target = Value::Object(Default::default());
         }
-        at = &mut at[part];
+        target = &mut target[part];
     }
-    *at = field.value.clone();
+    *target = field.value.clone();
 }
--- a/crates/mangowalk/src/records/show.rs
+++ b/crates/mangowalk/src/records/show.rs
@@ -36,18 +36,19 @@
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let key = ObjectKey::new(&self.kind.to_string(), &self.name);
         let platform = self.common.platform();
-        let held = read(&platform, &key)?.ok_or_else(|| Failure::Missing { key: key.clone() })?;
-        if let Err(error) = parse(self.kind, &held.body) {
+        let stored =
+            read(&platform, &key)?.ok_or_else(|| Failure::RecordNotFound { key: key.clone() })?;
+        if let Err(error) = parse(self.kind, &stored.body) {
             progress(&format!("This client would refuse the record. {error}"));
         }
-        if let Some(status) = status_of(&platform, &held)? {
+        if let Some(status) = current_status(&platform, &stored)? {
             progress(&status.text());
         }
         let file = RecordFile {
             kind: self.kind,
             name: self.name.clone(),
-            version: Some(held.version),
-            record: held.body,
+            version: Some(stored.version),
+            record: stored.body,
         };
         Output { json: true }.print(&file, "");
         Ok(())
@@ -55,12 +56,12 @@
 }
 
 /// Returns what the instances say of a record, if it is of this version.
-fn status_of(
+fn current_status(
     platform: &dyn Platform,
-    held: &Object,
+    stored: &Object,
 ) -> Result<Option<RecordStatus>, Report<Failure>> {
-    let key = RecordStatus::key(&held.key.kind, &held.key.name);
+    let key = RecordStatus::key(&stored.key.kind, &stored.key.name);
     let status = read(platform, &key)?
         .and_then(|object| serde_json::from_value::<RecordStatus>(object.body).ok());
-    Ok(status.filter(|s| s.version == held.version))
+    Ok(status.filter(|s| s.version == stored.version))
 }
--- a/crates/mangowalk/src/records/withdraw.rs
+++ b/crates/mangowalk/src/records/withdraw.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Action, Written, delete, read},
+    super::{Action, WriteResult, delete, read},
     crate::{
         cli::{Common, common, kind},
         failure::Failure,
@@ -22,7 +22,7 @@
 
     /// Withdraw only if the record is at this version.
     #[bpaf(long("if-version"), argument("VERSION"), optional)]
-    seen: Option<u64>,
+    expected_version: Option<u64>,
 
     #[bpaf(external(kind))]
     kind: Kind,
@@ -37,9 +37,9 @@
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let key = ObjectKey::new(&self.kind.to_string(), &self.name);
         let platform = self.common.platform();
-        let written = withdraw_record(&platform, key, self.seen)?;
-        self.common.output().print(&written, &written.text());
-        self.wait.until_in_force(&platform, written.version)
+        let result = withdraw_record(&platform, key, self.expected_version)?;
+        self.common.output().print(&result, &result.text());
+        self.wait.until_in_force(&platform, result.version)
     }
 }
 
@@ -47,17 +47,18 @@
 pub(crate) fn withdraw_record(
     platform: &dyn Platform,
     key: ObjectKey,
-    seen: Option<u64>,
-) -> Result<Written, Report<Failure>> {
-    let held = read(platform, &key)?.ok_or_else(|| Failure::Missing { key: key.clone() })?;
-    if seen.is_some_and(|version| version != held.version) {
+    expected_version: Option<u64>,
+) -> Result<WriteResult, Report<Failure>> {
+    let stored =
+        read(platform, &key)?.ok_or_else(|| Failure::RecordNotFound { key: key.clone() })?;
+    if expected_version.is_some_and(|version| version != stored.version) {
         return Err(Report::new(Failure::Conflict {
             key,
-            version: held.version,
+            version: stored.version,
         }));
     }
-    let version = delete(platform, &key, held.version)?;
-    Ok(Written {
+    let version = delete(platform, &key, stored.version)?;
+    Ok(WriteResult {
         key,
         action: Action::Withdrawn,
         version,
--- a/crates/mangowalk/src/records/write.rs
+++ b/crates/mangowalk/src/records/write.rs
@@ -9,7 +9,7 @@
 };
 
 /// Times that a write whose reply was lost before it took effect is sent.
-const MOST_WRITES: u32 = 2;
+const MAX_WRITE_ATTEMPTS: u32 = 2;
 
 /// Reads one object.
 pub(crate) fn read(
@@ -18,7 +18,7 @@
 ) -> Result<Option<Object>, Report<Failure>> {
     platform
         .get(key)
-        .map_err(|e| Report::new(Failure::of_read(&e)))
+        .map_err(|e| Report::new(Failure::from_platform_error(&e)))
 }
 
 /// Writes one object over the version that the operator saw, 0 for none, and
@@ -30,27 +30,28 @@
 pub(crate) fn put(
     platform: &dyn Platform,
     key: &ObjectKey,
-    seen: u64,
+    expected_version: u64,
     body: &Value,
 ) -> Result<u64, Report<Failure>> {
-    let send = || platform.put(key, expect(seen), body);
-    let written = |held: Option<&Object>| held.filter(|o| o.body == *body).map(|o| o.version);
-    settle(platform, key, seen, &send, &written)
+    let send = || platform.put(key, precondition(expected_version), body);
+    let written_version =
+        |stored: Option<&Object>| stored.filter(|o| o.body == *body).map(|o| o.version);
+    write_until_known(platform, key, expected_version, &send, &written_version)
 }
 
 /// Deletes one object at the version that the operator saw.
 pub(crate) fn delete(
     platform: &dyn Platform,
     key: &ObjectKey,
-    seen: u64,
+    expected_version: u64,
 ) -> Result<u64, Report<Failure>> {
-    let send = || platform.delete(key, expect(seen));
-    let gone = |held: Option<&Object>| held.is_none().then_some(seen);
-    settle(platform, key, seen, &send, &gone)
+    let send = || platform.delete(key, precondition(expected_version));
+    let deleted_version = |stored: Option<&Object>| stored.is_none().then_some(expected_version);
+    write_until_known(platform, key, expected_version, &send, &deleted_version)
 }
 
-fn expect(seen: u64) -> Expect {
-    match seen {
+fn precondition(expected_version: u64) -> Expect {
+    match expected_version {
         0 => Expect::Absent,
         version => Expect::Version(version),
     }
@@ -61,36 +62,36 @@
 /// The reply of a write can be lost after the write took effect. Sending it
 /// again unread would then report a conflict with oneself, so the object is
 /// read back first and compared.
-fn settle(
+fn write_until_known(
     platform: &dyn Platform,
     key: &ObjectKey,
-    seen: u64,
+    expected_version: u64,
     send: &dyn Fn() -> Result<u64, PlatformError>,
-    done: &dyn Fn(Option<&Object>) -> Option<u64>,
+    committed_version: &dyn Fn(Option<&Object>) -> Option<u64>,
 ) -> Result<u64, Report<Failure>> {
-    let unknown = || Report::new(Failure::Unknown { key: key.clone() });
-    let mut lost_before = false;
-    for _ in 0..MOST_WRITES {
+    let unknown_outcome = || Report::new(Failure::UnknownOutcome { key: key.clone() });
+    let mut reply_was_lost = false;
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match send() {
             Ok(version) => return Ok(version),
-            Err(PlatformError::Conflict { version }) if !lost_before => {
+            Err(PlatformError::Conflict { version }) if !reply_was_lost => {
                 return Err(conflict(key, version));
             }
             Err(PlatformError::Conflict { .. } | PlatformError::Lost) => {}
-            Err(error) if lost_before => return Err(unknown().attach(error.to_string())),
-            Err(error) => return Err(Report::new(Failure::of_read(&error))),
+            Err(error) if reply_was_lost => return Err(unknown_outcome().attach(error.to_string())),
+            Err(error) => return Err(Report::new(Failure::from_platform_error(&error))),
         }
-        lost_before = true;
-        let held = platform.get(key).map_err(|_| unknown())?;
-        if let Some(version) = done(held.as_ref()) {
+        reply_was_lost = true;
+        let stored = platform.get(key).map_err(|_| unknown_outcome())?;
+        if let Some(version) = committed_version(stored.as_ref()) {
             return Ok(version);
         }
-        let version = held.map_or(0, |o| o.version);
-        if version != seen {
+        let version = stored.map_or(0, |o| o.version);
+        if version != expected_version {
             return Err(conflict(key, version));
         }
     }
-    Err(unknown())
+    Err(unknown_outcome())
 }
 
 fn conflict(key: &ObjectKey, version: u64) -> Report<Failure> {
--- a/crates/mangowalk/src/records/written.rs
+++ b/crates/mangowalk/src/records/write_result.rs
@@ -23,7 +23,7 @@
 
 /// A record as a command left it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub(crate) struct Written {
+pub(crate) struct WriteResult {
     /// Kind and name.
     #[serde(flatten)]
     pub(crate) key: ObjectKey,
@@ -35,7 +35,7 @@
     pub(crate) changes: Vec<FieldChange>,
 }
 
-impl Written {
+impl WriteResult {
     /// Returns the result in words.
     pub(crate) fn text(&self) -> String {
         let head = format!(
@@ -51,8 +51,8 @@
     }
 
     /// Returns several results in words.
-    pub(crate) fn texts(all: &[Written]) -> String {
-        let texts: Vec<String> = all.iter().map(Written::text).collect();
+    pub(crate) fn join_texts(all: &[WriteResult]) -> String {
+        let texts: Vec<String> = all.iter().map(WriteResult::text).collect();
         texts.join("\n")
     }
 }
--- a/crates/mangowalk/src/story/cause.rs
+++ b/crates/mangowalk/src/story/cause.rs
@@ -1,15 +1,19 @@
-use super::line::Line;
+use super::line::LogLine;
 
 /// Says in a sentence why a request ended as it did.
 ///
-/// `own` holds the lines of the request in order, `around` those on the
+/// `request_lines` holds the lines of the request in order, `engine_lines` those on the
 /// engines that it met.
-pub(super) fn cause(own: &[&Line], around: &[&Line]) -> String {
-    format!("{}{}", end(own, around), uncertain(own))
+pub(super) fn explain_outcome(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
+    format!(
+        "{}{}",
+        explain_end(request_lines, engine_lines),
+        explain_uncertain_engine(request_lines)
+    )
 }
 
-fn end(own: &[&Line], around: &[&Line]) -> String {
-    let Some(last) = own.iter().rev().find(|line| is_end(line)) else {
+fn explain_end(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
+    let Some(last) = request_lines.iter().rev().find(|line| is_end(line)) else {
         return "No line tells how it ended: the instance ended, or the caller left first."
             .to_owned();
     };
@@ -19,15 +23,15 @@
             last.field("engine"),
             last.field("status"),
             last.field("took_ms"),
-            detour(own),
+            failed_attempts(request_lines),
         ),
-        ("stream_cut", reason) => cut(own, around, reason),
+        ("stream_cut", reason) => explain_cut_stream(request_lines, engine_lines, reason),
         (_, "over_rate") => "It was refused at once: its team's rate was used up over all instances. It has not run.".to_owned(),
-        (_, "no_engine") => no_engine(own, around),
-        (_, "answer_lost") => lost(own, around),
+        (_, "no_engine") => explain_no_engine(request_lines, engine_lines),
+        (_, "answer_lost") => explain_lost_answer(request_lines, engine_lines),
         (_, "timed_out") => format!(
             "Its time was over and engine {} had not answered; it may have run.",
-            engine(own),
+            last_engine(request_lines),
         ),
         (_, "starting") => "The instance had just started and knew no configuration yet. It has not run.".to_owned(),
         (_, reason) => format!("It was refused: {reason}."),
@@ -35,8 +39,8 @@
 }
 
 /// Says why the engine was chosen, where it may have left by then.
-fn uncertain(own: &[&Line]) -> String {
-    let Some(line) = own
+fn explain_uncertain_engine(request_lines: &[&LogLine]) -> String {
+    let Some(line) = request_lines
         .iter()
         .rev()
         .find(|line| line.event == "uncertain_engine")
@@ -70,32 +74,35 @@
     format!(" Engine {engine} may have left before: {why}; {list}; {report}.")
 }
 
-fn is_end(line: &Line) -> bool {
+fn is_end(line: &LogLine) -> bool {
     ["answered", "refused", "stream_cut"].contains(&line.event.as_str())
 }
 
-fn engine<'a>(own: &[&'a Line]) -> &'a str {
-    let sent = own.iter().rev().find(|line| line.event == "sent");
+fn last_engine<'a>(request_lines: &[&'a LogLine]) -> &'a str {
+    let sent = request_lines.iter().rev().find(|line| line.event == "sent");
     sent.map_or("(none)", |line| line.field("engine"))
 }
 
 /// Names engines that were tried before the one that answered.
-fn detour(own: &[&Line]) -> String {
-    let sends = own.iter().filter(|line| line.event == "sent").count();
+fn failed_attempts(request_lines: &[&LogLine]) -> String {
+    let sends = request_lines
+        .iter()
+        .filter(|line| line.event == "sent")
+        .count();
     if sends < 2 {
         return String::new();
     }
-    let troubles = own.iter().filter(|line| {
+    let failures = request_lines.iter().filter(|line| {
         ["rejected", "engine_failed", "send_failed", "resumed"].contains(&line.event.as_str())
     });
-    let named: Vec<String> = troubles
+    let failure_texts: Vec<String> = failures
         .map(|line| format!("{} {}", line.field("engine"), line.field("reason")))
         .collect();
-    format!(", sent {sends} times ({})", named.join("; "))
+    format!(", sent {sends} times ({})", failure_texts.join("; "))
 }
 
-fn no_engine(own: &[&Line], around: &[&Line]) -> String {
-    if let Some(full) = own.iter().find(|line| line.event == "full") {
+fn explain_no_engine(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
+    if let Some(full) = request_lines.iter().find(|line| line.event == "full") {
         return format!(
             "It was refused at once: at the best engine, {}, it would have waited {} ms, for a target of {} ms. It has not run.",
             full.field("engine"),
@@ -103,7 +110,7 @@
             full.field("target_ms"),
         );
     }
-    let rejections: Vec<String> = own
+    let rejections: Vec<String> = request_lines
         .iter()
         .filter(|line| line.event == "rejected")
         .map(|line| {
@@ -111,7 +118,7 @@
                 "{} ({}{})",
                 line.field("engine"),
                 line.field("reason"),
-                loading(line, around)
+                loading_note(line, engine_lines)
             )
         })
         .collect();
@@ -125,8 +132,8 @@
 }
 
 /// Says so where an engine was taking new weights.
-fn loading(line: &Line, around: &[&Line]) -> &'static str {
-    let is_loading = around.iter().any(|other| {
+fn loading_note(line: &LogLine, engine_lines: &[&LogLine]) -> &'static str {
+    let is_loading = engine_lines.iter().any(|other| {
         other.event == "weights_step"
             && other.field("engine") == line.field("engine")
             && other.field("phase") == "Sent"
@@ -139,8 +146,8 @@
     }
 }
 
-fn lost(own: &[&Line], around: &[&Line]) -> String {
-    let failed = own
+fn explain_lost_answer(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
+    let failed = request_lines
         .iter()
         .rev()
         .find(|line| line.event == "send_failed" || line.event == "engine_failed");
@@ -152,7 +159,7 @@
         };
         (line.field("engine"), why)
     });
-    let silent = around
+    let silent = engine_lines
         .iter()
         .any(|line| line.event == "engine_silent" && line.field("engine") == name);
     let state = if silent {
@@ -165,9 +172,13 @@
     )
 }
 
-fn cut(own: &[&Line], around: &[&Line], reason: &str) -> String {
-    let name = engine(own);
-    let ordered = around.iter().any(|line| {
+fn explain_cut_stream(
+    request_lines: &[&LogLine],
+    engine_lines: &[&LogLine],
+    reason: &str,
+) -> String {
+    let name = last_engine(request_lines);
+    let ordered = engine_lines.iter().any(|line| {
         line.event == "ordered" && line.field("engine") == name && line.field("cut") == "true"
     });
     let why = match (ordered, reason) {
--- a/crates/mangowalk/src/story/command.rs
+++ b/crates/mangowalk/src/story/command.rs
@@ -1,5 +1,5 @@
 use {
-    super::{line::Line, tell::tell},
+    super::{line::LogLine, timeline::request_timeline},
     crate::failure::Failure,
     bpaf::Bpaf,
     error_stack::Report,
@@ -18,17 +18,18 @@
 impl Story {
     /// Reads logs from standard input and tells what became of a request.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
-        let lines: Vec<Line> = io::stdin()
+        let lines: Vec<LogLine> = io::stdin()
             .lock()
             .lines()
             .map_while(Result::ok)
-            .filter_map(|text| Line::parse(&text))
+            .filter_map(|text| LogLine::parse(&text))
             .collect();
-        let story = tell(&lines, &self.request).ok_or_else(|| Failure::NoStory {
-            request: self.request.clone(),
-            lines: lines.len(),
-        })?;
-        print!("{story}");
+        let timeline =
+            request_timeline(&lines, &self.request).ok_or_else(|| Failure::RequestNotLogged {
+                request: self.request.clone(),
+                lines: lines.len(),
+            })?;
+        print!("{timeline}");
         Ok(())
     }
 }
--- a/crates/mangowalk/src/story/line.rs
+++ b/crates/mangowalk/src/story/line.rs
@@ -2,11 +2,11 @@
 
 /// Field by which a line of an instance's log begins. What stands before it
 /// was put there by whatever collected the logs.
-const BEGIN: &str = "wall_ms=";
+const FIRST_FIELD: &str = "wall_ms=";
 
 /// One line of an instance's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Line {
+pub(super) struct LogLine {
     /// Time of day at the instance. Clocks of instances differ.
     pub(super) wall_ms: u64,
     /// The instance.
@@ -17,15 +17,15 @@
     pub(super) fields: BTreeMap<String, String>,
 }
 
-impl Line {
+impl LogLine {
     /// Reads a line; `None` where it is none of an instance's.
-    pub(super) fn parse(text: &str) -> Option<Line> {
-        let text = &text[text.find(BEGIN)?..];
-        let mut fields: BTreeMap<String, String> = split(text)
+    pub(super) fn parse(text: &str) -> Option<LogLine> {
+        let text = &text[text.find(FIRST_FIELD)?..];
+        let mut fields: BTreeMap<String, String> = split_unquoted(text)
             .filter_map(|field| field.split_once('='))
             .map(|(name, value)| (name.to_owned(), value.trim_matches('"').to_owned()))
             .collect();
-        Some(Line {
+        Some(LogLine {
             wall_ms: fields.remove("wall_ms")?.parse().ok()?,
             instance: fields.remove("instance")?,
             event: fields.remove("event")?,
@@ -40,7 +40,7 @@
 }
 
 /// Splits at blanks that stand in no quotes.
-fn split(text: &str) -> impl Iterator<Item = &str> {
+fn split_unquoted(text: &str) -> impl Iterator<Item = &str> {
     let mut is_quoted = false;
     text.split(move |c: char| {
         is_quoted ^= c == '"';
--- a/crates/mangowalk/src/story/mod.rs
+++ b/crates/mangowalk/src/story/mod.rs
@@ -3,6 +3,6 @@
 mod cause;
 mod command;
 mod line;
-mod tell;
+mod timeline;
 
 pub(crate) use command::{Story, story};
--- a/crates/mangowalk/tests/client/ask.rs
+++ b/crates/mangowalk/tests/client/ask.rs
@@ -13,7 +13,7 @@
 ];
 
 #[test]
-fn an_answer_is_printed_whole() {
+fn an_answer_is_printed_in_full() {
     let fleet = fleet(1, FleetSettings::default());
     let run = client_of(&fleet).run(&[&ASK[..], &["Is walnut in stock?"]].concat());
     assert_eq!(run.code, 0, "{run}");
--- a/crates/mangowalk/tests/client/burn.rs
+++ b/crates/mangowalk/tests/client/burn.rs
@@ -16,7 +16,7 @@
 /// Requests go to two instances in turn. The report must show each once: what
 /// callers received is what is summed.
 #[test]
-fn the_report_sums_what_callers_received() {
+fn the_report_counts_each_request_once() {
     let fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
     let mut received = [0u64; 2];
@@ -51,10 +51,10 @@
 /// Both engines crash within every answer until the router gives up. The
 /// caller sees a cut stream; the report shows the objective `complete` burn.
 #[test]
-fn cut_answers_burn() {
+fn interrupted_answers_burn_the_error_budget() {
     let fleet = fleet(1, FleetSettings::default());
     let client = client_of(&fleet);
-    serve_one(&fleet);
+    wait_until_served(&fleet);
     for engine in &fleet.engines {
         engine.set_faults(mangowalk_standins::EngineFaults {
             crash_after_tokens: Some(2),
@@ -68,7 +68,7 @@
     assert_eq!(row(&report, "complete")["level"], "fast", "{report}");
 }
 
-fn serve_one(fleet: &Fleet) {
+fn wait_until_served(fleet: &Fleet) {
     for _ in 0..100 {
         if fleet.chat(0, "warm", 1, false).status == 200 {
             return;
--- a/crates/mangowalk/tests/client/explain.rs
+++ b/crates/mangowalk/tests/client/explain.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_departing_engine_is_passed_over_and_named() {
+fn a_departing_engine_is_excluded_with_its_reason() {
     let fleet = fleet(1, FleetSettings::default());
     let client = client_of(&fleet);
     eventually(
@@ -47,7 +47,7 @@
 /// A long prompt was answered once. The explanation of the next one behind the
 /// same text names the engine that holds its blocks, and says how many.
 #[test]
-fn the_engine_that_holds_the_prefix_is_named() {
+fn the_engine_with_the_cached_prefix_is_chosen() {
     let fleet = fleet(1, FleetSettings::default());
     let client = client_of(&fleet);
     let notes = "A watercolour is mounted with a spacer behind glass. ".repeat(40);
@@ -86,7 +86,7 @@
 /// The team's rate is used up over all instances. The caller is refused with
 /// 429; the explanation says the same, and how many tokens are missing.
 #[test]
-fn a_rate_that_is_used_up_is_explained() {
+fn an_exhausted_rate_is_explained() {
     let fleet = fleet(
         1,
         FleetSettings {
@@ -115,7 +115,7 @@
 /// team's tokens, the next would find them missing for seconds, and so would
 /// the team's callers.
 #[test]
-fn an_explanation_spends_nothing() {
+fn an_explanation_consumes_no_tokens() {
     let fleet = fleet(
         1,
         FleetSettings {
@@ -125,11 +125,11 @@
         },
     );
     let client = client_of(&fleet);
-    let look = || explain(&client, "drafting", &["--max-tokens=1900"]);
-    let at_hand = |run: &Run| run.stdout.contains("has the tokens at hand");
-    eventually(look, at_hand);
+    let request_explanation = || explain(&client, "drafting", &["--max-tokens=1900"]);
+    let has_tokens = |run: &Run| run.stdout.contains("has the tokens at hand");
+    eventually(request_explanation, has_tokens);
     for _ in 0..5 {
-        let run = look();
-        assert!(at_hand(&run), "{run}");
+        let run = request_explanation();
+        assert!(has_tokens(&run), "{run}");
     }
 }
--- a/crates/mangowalk/tests/client/fleet.rs
+++ b/crates/mangowalk/tests/client/fleet.rs
@@ -1,7 +1,7 @@
 //! What the fleet says of itself, and waiting until a write is in force.
 
 use {
-    crate::support::{Client, client_of, eventually, eventually_in_force, fleet, platform},
+    crate::support::{Client, client_of, eventually, fleet, platform, wait_until_in_force},
     mangowalk_standins::{FleetSettings, PlatformFaults},
     serde_json::json,
 };
@@ -10,7 +10,7 @@
 fn every_instance_is_shown_with_its_records_in_force() {
     let fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
-    eventually_in_force(&fleet, 2);
+    wait_until_in_force(&fleet, 2);
     let shown = client.run(&["fleet", "--json"]).json();
     let answered = shown["answered"].as_array().expect("instances");
     for (status, router) in answered.iter().zip(sorted(&fleet)) {
@@ -32,7 +32,7 @@
 fn an_instance_that_does_not_answer_is_named() {
     let mut fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
-    eventually_in_force(&fleet, 2);
+    wait_until_in_force(&fleet, 2);
     let dead = fleet.routers[1].address().to_string();
     fleet.routers[1].kill();
     for command in ["fleet", "burn"] {
@@ -71,9 +71,9 @@
 fn waiting_fails_while_an_instance_is_behind() {
     let fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
-    eventually_in_force(&fleet, 2);
+    wait_until_in_force(&fleet, 2);
     fleet.routers[1].freeze();
-    let late = client.run(&[
+    let behind = client.run(&[
         "set",
         "team",
         "gallery",
@@ -82,9 +82,9 @@
         "--wait-timeout-ms=100",
     ]);
     fleet.routers[1].thaw();
-    assert_eq!(late.code, 6, "{late}");
+    assert_eq!(behind.code, 6, "{behind}");
     let frozen = fleet.routers[1].address().to_string();
-    assert!(late.stderr.contains(&frozen), "{late}");
+    assert!(behind.stderr.contains(&frozen), "{behind}");
     let done = client.run(&["set", "team", "gallery", "priority=3", "--wait"]);
     assert_eq!(done.code, 0, "{done}");
     assert!(done.stderr.contains("in force on 2 of 2"), "{done}");
@@ -112,7 +112,7 @@
 /// one says why, a mended one that it is in force, and a status of an older
 /// version is not shown, whoever left it there.
 #[test]
-fn a_refused_record_has_a_status_until_it_is_mended() {
+fn a_refused_record_has_a_status_until_it_is_corrected() {
     let fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
     let bad = fleet
@@ -139,10 +139,10 @@
 /// The instance answers, but the platform's watch to it is stuck, so that it
 /// has not heard of the write. It must not be counted as having it.
 #[test]
-fn an_instance_that_answers_may_still_be_behind() {
+fn an_instance_with_a_stalled_watch_is_not_in_force() {
     let fleet = fleet(1, FleetSettings::default());
     let client = client_of(&fleet);
-    eventually_in_force(&fleet, 1);
+    wait_until_in_force(&fleet, 1);
     fleet.platform.set_faults(PlatformFaults {
         mute_watches: true,
         ..PlatformFaults::default()
@@ -158,9 +158,9 @@
             "--wait-timeout-ms=1",
         ])
     };
-    let late = set(4);
-    assert_eq!(late.code, 6, "{late}");
-    assert!(late.stderr.contains("in force on 0 of 1"), "{late}");
+    let behind = set(4);
+    assert_eq!(behind.code, 6, "{behind}");
+    assert!(behind.stderr.contains("in force on 0 of 1"), "{behind}");
     fleet.platform.set_faults(PlatformFaults::default());
     let field = ["set", "team", "gallery", "priority=4", "--wait"];
     let done = client.run(&field);
--- a/crates/mangowalk/tests/client/page.rs
+++ b/crates/mangowalk/tests/client/page.rs
@@ -1,7 +1,7 @@
 //! The pages for operators: commands run as printed, fields are all there.
 
 use {
-    crate::support::{eventually_in_force, fleet, router_program},
+    crate::support::{fleet, router_program, wait_until_in_force},
     mangowalk_core::record::{Key, Model, Rate, Team, Upstream},
     mangowalk_standins::{Fleet, FleetSettings},
     serde::{Serialize, de::DeserializeOwned},
@@ -50,7 +50,7 @@
     assert_eq!(blocks.len(), page.matches("```sh").count());
     assert!(blocks.len() >= 10, "the page lost its commands");
     let fleet = fleet(2, FleetSettings::default());
-    eventually_in_force(&fleet, 2);
+    wait_until_in_force(&fleet, 2);
     let directory = Directory::new();
     for block in blocks {
         let output = Command::new("bash")
@@ -90,7 +90,7 @@
 /// The page of records names every field that a record can have, so that a new
 /// field can't be left out.
 #[test]
-fn every_field_is_on_the_page_of_records() {
+fn every_record_field_is_documented() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/records.md");
     let page = fs::read_to_string(page).expect("docs/records.md");
     let upstream = |role: Value| {
--- a/crates/mangowalk/tests/client/records.rs
+++ b/crates/mangowalk/tests/client/records.rs
@@ -15,7 +15,7 @@
 const FASTER: &str = r#"{"kind":"rate","name":"gallery","version":2,
     "record":{"schema":1,"tokens_per_s":200,"burst_tokens":500}}"#;
 
-fn with_rate() -> (PlatformStandIn, Client) {
+fn platform_with_rate() -> (PlatformStandIn, Client) {
     let platform = platform();
     let client = Client::new(platform.address());
     let run = client.run_with_input(&["apply", "-"], TEAM_AND_RATE);
@@ -32,13 +32,13 @@
 
 #[test]
 fn apply_again_changes_nothing() {
-    let (_platform, client) = with_rate();
+    let (_platform, client) = platform_with_rate();
     assert_run!(client.run_with_input(&["apply", "-"], TEAM_AND_RATE));
 }
 
 #[test]
 fn a_dry_run_shows_the_fields_and_writes_nothing() {
-    let (platform, client) = with_rate();
+    let (platform, client) = platform_with_rate();
     assert_run!(client.run_with_input(&["apply", "--dry-run", "-"], FASTER));
     let rate = platform.get("rate", "gallery").expect("the rate");
     assert_eq!((rate.version, &rate.body["tokens_per_s"]), (2, &json!(100)));
@@ -46,7 +46,7 @@
 
 #[test]
 fn show_prints_what_apply_reads() {
-    let (_platform, client) = with_rate();
+    let (_platform, client) = platform_with_rate();
     let shown = client.run(&["show", "rate", "gallery"]);
     assert_run!(shown);
     let applied = client.run_with_input(&["apply", "-"], &shown.stdout);
@@ -56,8 +56,8 @@
 /// Two operators read version 2. The first writes; the second's write would
 /// undo it unseen. It is refused, and the first one's value stays.
 #[test]
-fn the_second_of_two_operators_is_told() {
-    let (platform, client) = with_rate();
+fn a_write_over_an_outdated_version_is_a_conflict() {
+    let (platform, client) = platform_with_rate();
     let first = client.run(&["set", "rate", "gallery", "tokens_per_s=300"]);
     assert_eq!(first.code, 0, "{first}");
     assert_run!(client.run_with_input(&["apply", "-"], FASTER));
@@ -69,11 +69,11 @@
 /// there. It is refused until the writer says which version, or that it does
 /// not matter.
 #[test]
-fn a_file_without_a_version_changes_nothing_unasked() {
-    let (platform, client) = with_rate();
-    let blind = FASTER.replace(r#""version":2,"#, "");
-    assert_run!(client.run_with_input(&["apply", "-"], &blind));
-    let forced = client.run_with_input(&["apply", "--overwrite", "-"], &blind);
+fn a_file_without_a_version_changes_nothing_without_overwrite() {
+    let (platform, client) = platform_with_rate();
+    let without_version = FASTER.replace(r#""version":2,"#, "");
+    assert_run!(client.run_with_input(&["apply", "-"], &without_version));
+    let forced = client.run_with_input(&["apply", "--overwrite", "-"], &without_version);
     assert_eq!(forced.code, 0, "{forced}");
     let rate = platform.get("rate", "gallery").expect("the rate");
     assert_eq!(rate.body["tokens_per_s"], 200);
@@ -82,8 +82,8 @@
 /// The platform writes and its reply is lost. The client reads back, sees its
 /// own write, and reports the version: the operator has nothing to mend.
 #[test]
-fn a_lost_reply_is_read_back() {
-    let (platform, client) = with_rate();
+fn a_write_whose_reply_was_lost_is_read_back() {
+    let (platform, client) = platform_with_rate();
     let lose = PlatformFaults {
         lose_replies: 1,
         ..PlatformFaults::default()
@@ -102,17 +102,17 @@
 }
 
 #[test]
-fn a_platform_that_is_not_there_has_its_own_exit_code() {
-    let nobody = Client::new(([127, 0, 0, 1], 1).into());
+fn an_unreachable_platform_has_its_own_exit_code() {
+    let unreachable = Client::new(([127, 0, 0, 1], 1).into());
     for args in [&["list"][..], &["fleet"], &["show", "team", "gallery"]] {
-        let run = nobody.run(args);
+        let run = unreachable.run(args);
         assert_eq!(run.code, 5, "{args:?}: {run}");
     }
 }
 
 #[test]
 fn a_platform_that_is_down_has_its_own_exit_code() {
-    let (platform, client) = with_rate();
+    let (platform, client) = platform_with_rate();
     platform.set_faults(PlatformFaults {
         down: true,
         ..PlatformFaults::default()
@@ -126,7 +126,7 @@
 /// One record of a file is bad. Nothing of the file is sent, so that the fleet
 /// never runs on half of it.
 #[test]
-fn bad_files_are_refused_whole() {
+fn one_bad_record_refuses_the_whole_file() {
     let team = r#"{"kind":"team","name":"gallery","record":{"schema":1}}"#;
     let cases = [
         ("no JSON", "{"),
@@ -179,8 +179,8 @@
 }
 
 #[test]
-fn a_record_that_is_not_there_is_named() {
-    let (_platform, client) = with_rate();
+fn a_missing_record_is_named() {
+    let (_platform, client) = platform_with_rate();
     for args in [
         ["show", "team", "workshop"],
         ["withdraw", "team", "workshop"],
@@ -197,7 +197,7 @@
 
 #[test]
 fn a_record_that_an_instance_would_refuse_is_marked() {
-    let (platform, client) = with_rate();
+    let (platform, client) = platform_with_rate();
     platform.put("team", "newer", json!({ "schema": 2 }));
     assert_run!(client.run(&["list", "team"]));
 }
@@ -207,8 +207,8 @@
 /// and its operator is told. The platform is slowed, so that there is time in
 /// between.
 #[test]
-fn a_write_between_read_and_write_is_not_undone() {
-    let (platform, client) = with_rate();
+fn a_concurrent_write_is_not_overwritten() {
+    let (platform, client) = platform_with_rate();
     platform.set_faults(PlatformFaults {
         delay_ms: 500,
         ..PlatformFaults::default()
@@ -233,8 +233,8 @@
 /// takes as long; told that the platform was not reached, its operator would
 /// repeat what was only slow.
 #[test]
-fn a_slow_platform_is_waited_for() {
-    let (platform, client) = with_rate();
+fn a_slow_platform_does_not_fail_the_command() {
+    let (platform, client) = platform_with_rate();
     platform.set_faults(PlatformFaults {
         delay_ms: 3_000,
         ..PlatformFaults::default()
--- a/crates/mangowalk/tests/client/story.rs
+++ b/crates/mangowalk/tests/client/story.rs
@@ -49,7 +49,7 @@
 "#;
 
 #[test]
-fn a_refusal_with_room_elsewhere_is_explained() {
+fn a_refusal_over_the_wait_target_is_explained() {
     insta::assert_snapshot!(story(LOGS, "aa").1);
 }
 
@@ -59,17 +59,17 @@
 }
 
 #[test]
-fn a_broken_stream_is_explained() {
+fn an_interrupted_stream_is_explained() {
     insta::assert_snapshot!(story(LOGS, "cc").1);
 }
 
 #[test]
-fn work_for_an_engine_that_may_have_left_is_explained() {
+fn a_request_to_an_engine_that_may_have_left_is_explained() {
     insta::assert_snapshot!(story(LOGS, "ee").1);
 }
 
 #[test]
-fn a_request_that_no_line_names_says_so() {
+fn a_request_missing_from_the_logs_is_reported() {
     let (code, text) = story(LOGS, "dd");
     assert_eq!(code, Some(1));
     insta::assert_snapshot!(text);
--- a/crates/mangowalk/tests/client/story_of_processes.rs
+++ b/crates/mangowalk/tests/client/story_of_processes.rs
@@ -7,15 +7,15 @@
 };
 
 /// Time after which an instance has written what it logged.
-const WRITTEN: Duration = Duration::from_millis(200);
+const LOG_FLUSH_DELAY: Duration = Duration::from_millis(200);
 
 fn deployment() -> Deployment {
     Deployment::start(&router_program(), 2, 2)
 }
 
 /// Returns what the command says of a request, from all instances' logs.
-fn told(deployment: &Deployment, request: &str) -> String {
-    thread::sleep(WRITTEN);
+fn explain(deployment: &Deployment, request: &str) -> String {
+    thread::sleep(LOG_FLUSH_DELAY);
     let logs: Vec<String> = deployment.machines.iter().map(|m| m.log()).collect();
     let (code, text) = story(&logs.concat(), request);
     assert_eq!(code, Some(0), "{text}");
@@ -37,7 +37,7 @@
     let id = Caller::fresh_id();
     let reply = deployment.caller(0).stream(RouteKind::Stream.path(), &id);
     assert_eq!(reply.status, 503, "{reply:?}");
-    let text = told(&deployment, &id);
+    let text = explain(&deployment, &id);
     for part in ["Engines refused it as not run:", "e0 (full)", "e1 (full)"] {
         assert!(text.contains(part), "{part}: {text}");
     }
@@ -48,7 +48,7 @@
 /// doesn't allow it to go on elsewhere. The cause must name the engine and say
 /// why the stream has no end.
 #[test]
-fn a_stream_that_broke_off_is_explained_from_the_instances_own_logs() {
+fn an_interrupted_stream_is_explained_from_the_instances_own_logs() {
     let deployment = deployment();
     for engine in &deployment.engines {
         engine.set_faults(EngineFaults {
@@ -59,7 +59,7 @@
     let id = Caller::fresh_id();
     let reply = deployment.caller(1).stream(RouteKind::Stream.path(), &id);
     assert!(reply.status == 200 && !reply.is_whole, "{reply:?}");
-    let text = told(&deployment, &id);
+    let text = explain(&deployment, &id);
     let ran = deployment.engines.iter().find(|engine| {
         let runs = engine.runs();
         runs.iter().any(|run| run.request_id == id)
@@ -86,7 +86,7 @@
         .caller(0)
         .plain("POST", RouteKind::Once.path(), &id);
     assert_eq!(reply.status, 502, "{reply:?}");
-    let text = told(&deployment, &id);
+    let text = explain(&deployment, &id);
     for part in [
         "no answer came back",
         "It may have run, so it was not sent again.",
--- a/crates/mangowalk/tests/client/support.rs
+++ b/crates/mangowalk/tests/client/support.rs
@@ -14,8 +14,8 @@
     },
 };
 
-const MOST_LOOKS: u32 = 100;
-const PAUSE: Duration = Duration::from_millis(100);
+const MAX_POLLS: u32 = 100;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What a run of the client left.
 pub(crate) struct Run {
@@ -132,20 +132,20 @@
 
 /// Repeats a command until its result fits: routers list themselves and hear
 /// of records a moment after they start.
-pub(crate) fn eventually(run: impl Fn() -> Run, fits: impl Fn(&Run) -> bool) -> Run {
+pub(crate) fn eventually(run: impl Fn() -> Run, is_expected: impl Fn(&Run) -> bool) -> Run {
     let mut last = run();
-    for _ in 0..MOST_LOOKS {
-        if fits(&last) {
+    for _ in 0..MAX_POLLS {
+        if is_expected(&last) {
             return last;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
         last = run();
     }
     panic!("the result never fitted: {last}");
 }
 
 /// Waits until so many instances are listed and answer.
-pub(crate) fn eventually_in_force(fleet: &Fleet, instances: usize) {
+pub(crate) fn wait_until_in_force(fleet: &Fleet, instances: usize) {
     let client = client_of(fleet);
     eventually(
         || client.run(&["fleet"]),
