--- a/crates/mangowalk/src/ask/addresses.rs
+++ b/crates/mangowalk/src/ask/addresses.rs
@@ -1,6 +1,6 @@
 use serde::Deserialize;
 
-/// Time that an instance has to name addresses, in seconds.
+/// Timeout of the request for the address list, in seconds.
 const TIMEOUT_S: u64 = 3;
 
 #[derive(Deserialize)]
@@ -8,8 +8,9 @@
     addresses: Vec<String>,
 }
 
-/// Returns the instances to use, the nearest first: those that the given one
-/// names, and the given one where it names none.
+/// Returns the base URLs of the instances to try, nearest first, as the
+/// instance at `url` lists them; `url` alone if the list is empty or can't be
+/// read.
 pub(super) fn instance_urls(url: &str) -> Vec<String> {
     let url = url.trim_end_matches('/');
     let listed = minreq::get(format!("{url}/v1/addresses"))
--- a/crates/mangowalk/src/ask/answer.rs
+++ b/crates/mangowalk/src/ask/answer.rs
@@ -1,30 +1,32 @@
 use serde::Serialize;
 
-/// An answer as it came.
+/// Answer to a chat request, as far as it was received; the JSON output of
+/// `ask`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub(super) struct Answer {
-    /// Text.
+    /// Text of the answer.
     pub(super) text: String,
-    /// Whether the closing marker came.
+    /// Whether the stream ended with its end marker, `[DONE]`.
     pub(super) complete: bool,
-    /// Events of the stream that brought text.
+    /// Number of stream events that carried text.
     pub(super) events: u64,
-    /// Instance that answered.
+    /// URL of the instance that answered.
     pub(super) instance: String,
-    /// Identity of the request.
+    /// ID of the request; empty if the response has no header `x-request-id`.
     pub(super) request_id: String,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens; 0 if the stream reports no usage.
     pub(super) prompt_tokens: u64,
-    /// Tokens of the prompt that the engine had in its cache.
+    /// Number of prompt tokens that the engine had in its cache.
     pub(super) cached_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of answer tokens.
     pub(super) completion_tokens: u64,
-    /// Time to the first text, in milliseconds.
+    /// Time from sending the request to the first text, in milliseconds.
     pub(super) first_token_ms: u64,
 }
 
 impl Answer {
-    /// Returns the counts in words.
+    /// Returns the token counts, the time to the first token, the instance and
+    /// the request ID as a sentence.
     pub(super) fn summary(&self) -> String {
         format!(
             "{} of {} prompt tokens came from the cache; {} tokens answered, the first after {} ms, by {} as {}.",
--- a/crates/mangowalk/src/ask/command.rs
+++ b/crates/mangowalk/src/ask/command.rs
@@ -17,7 +17,7 @@
     },
 };
 
-/// Shortest pause between two tries.
+/// Minimum pause between two attempts, in milliseconds.
 const MIN_RETRY_PAUSE_MS: u64 = 100;
 
 /// Arguments of `ask`.
@@ -60,7 +60,13 @@
 }
 
 impl Ask {
-    /// Sends the question and prints the answer as it streams.
+    /// Sends the question and prints the answer as it streams. Retries a
+    /// request that did not run as long as `--patience-ms` allows.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::NotAnswered`] if no instance answered in time, the
+    /// request was refused for good, or the answer was cut off.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let deadline = Instant::now() + Duration::from_millis(self.patience_ms);
         loop {
@@ -78,7 +84,8 @@
         }
     }
 
-    /// Tries the addresses that the instance names, one behind the other.
+    /// Sends the request to the listed instances in turn until one answers.
+    /// Returns the last outcome if none does.
     fn attempt(&self) -> Result<Attempt, Report<Failure>> {
         let mut last = Attempt::unreachable(&self.url);
         for url in instance_urls(&self.url) {
@@ -96,6 +103,7 @@
         Ok(last)
     }
 
+    /// Returns the body of the chat completion request.
     fn body(&self) -> Value {
         let mut messages = Vec::new();
         if let Some(system) = &self.system {
@@ -111,6 +119,7 @@
         })
     }
 
+    /// Prints the answer, and fails if its stream was cut off.
     fn finish(&self, answer: &Answer) -> Result<(), Report<Failure>> {
         if self.json {
             Output { json: true }.print(answer, "");
--- a/crates/mangowalk/src/ask/mod.rs
+++ b/crates/mangowalk/src/ask/mod.rs
@@ -1,4 +1,4 @@
-//! The command that sends a chat request as a caller would.
+//! The `ask` command: sends a chat request as a caller would.
 
 mod addresses;
 mod answer;
--- a/crates/mangowalk/src/ask/send.rs
+++ b/crates/mangowalk/src/ask/send.rs
@@ -9,30 +9,35 @@
     },
 };
 
-/// Longest time of a request, in seconds.
+/// Timeout of a chat request, in seconds.
 const TIMEOUT_S: u64 = 300;
 
+/// Data of the event that ends a complete stream.
 const STREAM_END: &str = "[DONE]";
 
-/// A request to one instance.
+/// Chat request to one instance.
 pub(super) struct ChatRequest<'a> {
+    /// Base URL of the instance.
     pub(super) url: &'a str,
+    /// API key of the team.
     pub(super) key: &'a str,
+    /// JSON body.
     pub(super) body: &'a str,
-    /// Whether the text is printed as it comes.
+    /// Whether to print the text while it is received.
     pub(super) print: bool,
 }
 
-/// What became of a request that may be sent again.
+/// Outcome of one attempt, other than a final failure.
 pub(super) enum Attempt {
-    /// An answer came, whole or cut.
+    /// The instance answered; the stream may have been cut off.
     Answered(Answer),
-    /// It did not run, and may be sent again.
+    /// The request did not run and may be retried after `retry_ms`.
     NotRun { detail: String, retry_ms: u64 },
 }
 
 impl Attempt {
-    /// Returns the outcome of a request that no instance took.
+    /// Returns the outcome of a request that did not reach the instance at
+    /// `url`.
     pub(super) fn unreachable(url: &str) -> Attempt {
         Attempt::NotRun {
             detail: format!("{url} was not reached; check --url."),
@@ -41,7 +46,13 @@
     }
 }
 
-/// Sends a request, and prints the text as it comes.
+/// Sends a request, and prints the text while it is received if the request
+/// asks for it.
+///
+/// # Errors
+///
+/// Returns [`Failure::NotAnswered`] if the request was refused and must not be
+/// retried, or if the connection was lost before the response head.
 pub(super) fn send(request: &ChatRequest<'_>) -> Result<Attempt, Report<Failure>> {
     let started = Instant::now();
     let response = minreq::post(format!("{}/v1/chat/completions", request.url))
@@ -76,6 +87,8 @@
     Ok(Attempt::Answered(answer))
 }
 
+/// Applies the data of one stream event to the answer, and prints its text if
+/// `print` is set.
 fn apply_event(answer: &mut Answer, data: &str, started: Instant, print: bool) {
     if data == STREAM_END {
         answer.complete = true;
@@ -105,7 +118,8 @@
     }
 }
 
-/// Tells a refusal that may come back from one that stands.
+/// Reads a refusal. The request may be retried only if the instance states that
+/// it did not run and after which time to retry.
 fn classify_refusal(mut response: minreq::ResponseLazy) -> Result<Attempt, Report<Failure>> {
     let status = response.status_code;
     let outcome = header(&response, "x-mangowalk-outcome");
@@ -123,12 +137,14 @@
     }
 }
 
+/// Returns the failure of a request whose connection was lost.
 fn connection_lost(detail: &str) -> Report<Failure> {
     Report::new(Failure::NotAnswered {
         detail: format!("The answer was lost ({detail}); ask again."),
     })
 }
 
+/// Returns the value of a header, empty if it is missing.
 fn header(response: &minreq::ResponseLazy, name: &str) -> String {
     response
         .headers
--- a/crates/mangowalk/src/burn/command.rs
+++ b/crates/mangowalk/src/burn/command.rs
@@ -12,6 +12,7 @@
     std::net::SocketAddr,
 };
 
+/// Path of an instance's burn counts at its operator address.
 const BURN_PATH: &str = "/burn";
 
 /// Arguments of `burn`.
@@ -26,6 +27,7 @@
     team: Option<String>,
 }
 
+/// JSON output of `burn`.
 #[derive(Serialize)]
 struct BurnOutput<'a> {
     answered: Vec<SocketAddr>,
@@ -35,7 +37,12 @@
 }
 
 impl Burn {
-    /// Sums what every instance published and prints the report.
+    /// Sums the counts that all instances publish, and prints the report.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the platform can't be read, or, after printing the report on
+    /// the other instances, if an instance did not answer.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let instances = instances(&self.common.platform())?;
         let survey = Survey::<InstanceBurn>::collect(&instances, BURN_PATH);
--- a/crates/mangowalk/src/burn/mod.rs
+++ b/crates/mangowalk/src/burn/mod.rs
@@ -1,4 +1,4 @@
-//! The report on service-level burn.
+//! The `burn` command: reports on service-level burn over all instances.
 
 mod command;
 mod table;
--- a/crates/mangowalk/src/burn/table.rs
+++ b/crates/mangowalk/src/burn/table.rs
@@ -3,7 +3,7 @@
     mangowalk_core::burn::{BurnReport, BurnRow, InstanceBurn, TeamSummary, Window, WindowBurn},
 };
 
-/// Returns the report as text.
+/// Returns the report as text, with the number of instances that it covers.
 pub(super) fn text(report: &BurnReport, survey: &Survey<InstanceBurn>) -> String {
     let all = survey.answered.len() + survey.silent.len();
     let head = format!(
@@ -17,6 +17,7 @@
     parts.join("\n\n")
 }
 
+/// Returns the table of burn rates per team and objective.
 fn burn_table(rows: &[BurnRow]) -> String {
     let mut table = Table::new(&[
         "TEAM",
@@ -38,7 +39,8 @@
     table.text()
 }
 
-/// Returns the burn, with the requests that missed out of all.
+/// Formats a burn rate with the number of requests that missed the objective
+/// out of all requests; `-` if there were none.
 fn burn_cell(burn: &WindowBurn) -> String {
     let all = burn.good + burn.bad;
     if all == 0 {
@@ -47,6 +49,7 @@
     format!("{:.1} ({} of {all})", burn.burn, burn.bad)
 }
 
+/// Returns the table of first-token times and rates per team.
 fn teams_table(teams: &[TeamSummary]) -> String {
     let mut table = Table::new(&[
         "TEAM",
@@ -67,10 +70,12 @@
     table.text()
 }
 
+/// Formats an upper bound of a time; `-` if there is none.
 fn format_bound(bound_ms: Option<u64>) -> String {
     bound_ms.map_or("-".to_owned(), |ms| format!("within {ms} ms"))
 }
 
+/// Formats one value for each of [`Window::ALL`], separated by slashes.
 fn join_windows(values: &[u64], unit: &str) -> String {
     debug_assert_eq!(values.len(), Window::ALL.len());
     let cells: Vec<String> = values.iter().map(|v| format!("{v}{unit}")).collect();
--- a/crates/mangowalk/src/cli/common.rs
+++ b/crates/mangowalk/src/cli/common.rs
@@ -6,7 +6,7 @@
     std::net::SocketAddr,
 };
 
-/// Flags of every command that speaks to the platform.
+/// Flags of every command that uses the platform.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub(crate) struct Common {
@@ -20,18 +20,18 @@
 }
 
 impl Common {
-    /// Returns the platform.
+    /// Returns a client of the platform.
     pub(crate) fn platform(&self) -> HttpPlatform {
         HttpPlatform::for_operator(self.platform_address)
     }
 
-    /// Returns where results are printed.
+    /// Returns the printer of results.
     pub(crate) fn output(&self) -> Output {
         Output { json: self.json }
     }
 }
 
-/// Parses a kind of record.
+/// Returns the parser of the positional argument `KIND`, which shells complete.
 pub(crate) fn kind() -> impl Parser<Kind> {
     positional::<String>("KIND")
         .help("Kind of record: team, rate, key, model or upstream")
--- a/crates/mangowalk/src/cli/completion.rs
+++ b/crates/mangowalk/src/cli/completion.rs
@@ -9,13 +9,14 @@
     shell: Shell,
 }
 
-/// Shells that the library writes scripts for.
+/// Shells for which bpaf generates completion scripts.
 const SHELLS: [&str; 4] = ["bash", "zsh", "fish", "elvish"];
 
 #[derive(Debug, Clone)]
 struct Shell(String);
 
 impl Shell {
+    /// Returns the flag by which bpaf prints the shell's script.
     fn flag(&self) -> String {
         format!("--bpaf-complete-style-{}", self.0)
     }
@@ -29,7 +30,7 @@
 }
 
 impl Completion {
-    /// Prints the script; the library that writes it ends the process.
+    /// Prints the script. bpaf ends the process after printing.
     pub(super) fn run(&self) {
         let flags = vec![self.shell.flag()];
         let args = bpaf::Args::from(flags.as_slice()).set_name("mangowalk");
--- a/crates/mangowalk/src/cli/run.rs
+++ b/crates/mangowalk/src/cli/run.rs
@@ -3,7 +3,8 @@
     mangowalkd::cli::print_usage, std::process::ExitCode,
 };
 
-/// Runs the client with the arguments of the process.
+/// Runs the client with the arguments of the process, and returns its exit
+/// code.
 pub fn run() -> ExitCode {
     let options = command();
     let command = match options.run_inner(Args::current_args()) {
@@ -16,7 +17,8 @@
     }
 }
 
-/// Prints the failure first and what led to it below.
+/// Prints the failure and, indented below it, the details attached to it.
+/// Returns its exit code.
 fn print_failure(report: &Report<Failure>) -> ExitCode {
     let failure = report.current_context();
     eprintln!("mangowalk: {failure}");
--- a/crates/mangowalk/src/explain/command.rs
+++ b/crates/mangowalk/src/explain/command.rs
@@ -41,7 +41,13 @@
 }
 
 impl Explain {
-    /// Asks one instance and prints the decision and its grounds.
+    /// Asks one instance for its decision on a request, and prints the decision
+    /// with its reasons.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::Incomplete`] if the instance does not answer or no
+    /// instance has an operator address.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let address = self.address()?;
         let request = ExplainRequest {
@@ -59,6 +65,8 @@
         Ok(())
     }
 
+    /// Returns the address given by `--instance`, else that of the first listed
+    /// instance with an operator address.
     fn address(&self) -> Result<SocketAddr, Report<Failure>> {
         if let Some(address) = self.instance {
             return Ok(address);
@@ -73,6 +81,7 @@
     }
 }
 
+/// Returns the decision, its steps and the candidate engines as text.
 fn text(reply: &ExplainReply) -> String {
     let decision = match (&reply.engine, &reply.refusal) {
         (Some(engine), _) => format!("It would go to {engine}."),
--- a/crates/mangowalk/src/explain/mod.rs
+++ b/crates/mangowalk/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! The command that asks an instance what it would do with a request.
+//! The `explain` command: asks an instance what it would do with a request.
 
 mod command;
 
--- a/crates/mangowalk/src/failure/kind.rs
+++ b/crates/mangowalk/src/failure/kind.rs
@@ -3,7 +3,7 @@
     mangowalk_core::{edge::PlatformError, platform::ObjectKey, record::RecordError},
 };
 
-/// Why a command failed. Each message names the remedy.
+/// Why a command failed. Each message says what to do.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub(crate) enum Failure {
     /// The platform gave no answer; nothing was written.
@@ -11,23 +11,24 @@
         "The platform was not reached; check --platform-address and the platform's health. Nothing was written."
     )]
     PlatformUnreachable,
-    /// A write was sent, its reply was lost, and it can't be read back.
+    /// A write was sent, its reply was lost, and it can't be read back whether the
+    /// write took effect.
     #[display(
         "Whether {}/{} was written is not known; run the command again once the platform answers, it writes nothing twice.",
         key.kind, key.name
     )]
     UnknownOutcome {
-        /// The object.
+        /// Key of the record.
         key: ObjectKey,
     },
-    /// No line of the logs names the request.
+    /// No log line has the ID of the request.
     #[display(
         "None of {lines} log lines names request {request}; give the logs of all instances around its time. A line that is missing may have been dropped: look for dropped_lines."
     )]
     RequestNotLogged {
-        /// Its id.
+        /// ID of the request.
         request: String,
-        /// Lines that were read.
+        /// Number of log lines that were read.
         lines: usize,
     },
     /// The platform refused a call.
@@ -36,34 +37,36 @@
         /// HTTP status.
         status: u16,
     },
-    /// Another operator wrote in between.
+    /// The platform holds another version than the expected one, such as after
+    /// a write of another operator.
     #[display(
         "{}/{} is at version {version} by now; nothing of yours was written. Read it with `mangowalk show {} {}` and decide again.",
         key.kind, key.name, key.kind, key.name
     )]
     Conflict {
-        /// The object.
+        /// Key of the record.
         key: ObjectKey,
         /// Version that the platform holds, 0 if there is none.
         version: u64,
     },
-    /// A file would change a record without saying which version it saw.
+    /// The record of a file differs from the stored one, and the file doesn't
+    /// give the version that it is based on.
     #[display(
         "{}/{} exists at version {version} and differs. Put \"version\": {version} beside its name to change just that, or give --overwrite.",
         key.kind, key.name
     )]
     VersionRequired {
-        /// The object.
+        /// Key of the record.
         key: ObjectKey,
         /// Version that the platform holds.
         version: u64,
     },
-    /// A record was refused by its check; nothing was sent.
+    /// A record did not pass its check; nothing was sent.
     #[display("{}/{} was refused, nothing was sent. {error}", key.kind, key.name)]
     InvalidRecord {
-        /// The object.
+        /// Key of the record.
         key: ObjectKey,
-        /// Why, and what would mend it.
+        /// The reason, and how to correct the record.
         error: RecordError,
     },
     /// A file or argument can't be read as records.
@@ -71,31 +74,31 @@
     InvalidInput {
         /// File or argument.
         what: String,
-        /// Why.
+        /// The reason.
         detail: String,
     },
     /// There is no such record.
     #[display("There is no {}/{}; `mangowalk list {}` shows the names.", key.kind, key.name, key.kind)]
     RecordNotFound {
-        /// The object.
+        /// Key of the record.
         key: ObjectKey,
     },
     /// Some instances did not answer or are behind.
     #[display("{detail}. Check these instances, or withdraw them from the list if they are gone.")]
     Incomplete {
-        /// Which instances, and what they lack.
+        /// Which instances, and what is missing.
         detail: String,
     },
     /// No instance answered the request.
     #[display("{detail}")]
     NotAnswered {
-        /// What was answered instead.
+        /// What went wrong, and what to do.
         detail: String,
     },
 }
 
 impl Failure {
-    /// Returns the exit code, as the help lists them.
+    /// Returns the exit code, as listed in the help.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             Failure::PlatformRefused { .. }
@@ -109,7 +112,8 @@
         }
     }
 
-    /// Returns what a failed read means.
+    /// Converts the error of a platform call that wrote nothing. Every error
+    /// but a refusal counts as an unreachable platform.
     pub(crate) fn from_platform_error(error: &PlatformError) -> Failure {
         match error {
             PlatformError::Refused { status } => Failure::PlatformRefused { status: *status },
--- a/crates/mangowalk/src/failure/mod.rs
+++ b/crates/mangowalk/src/failure/mod.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code that follows.
+//! Failures of commands, with their messages and exit codes.
 
 mod kind;
 
--- a/crates/mangowalk/src/fleet/call.rs
+++ b/crates/mangowalk/src/fleet/call.rs
@@ -1,11 +1,17 @@
 use {serde::de::DeserializeOwned, std::net::SocketAddr};
 
-/// Time that an instance has to answer, in seconds.
+/// Timeout of a call to an instance, in seconds.
 const TIMEOUT_S: u64 = 3;
 
 const OK: u16 = 200;
 
-/// Asks an instance's operator edge, with a body or without.
+/// Calls an instance at its operator address, by POST if there is a body and by
+/// GET otherwise, and returns its parsed answer.
+///
+/// # Errors
+///
+/// Returns the reason as text if the call failed, the status was not 200, or
+/// the answer can't be parsed.
 pub(crate) fn call<T: DeserializeOwned>(
     address: SocketAddr,
     path: &str,
--- a/crates/mangowalk/src/fleet/command.rs
+++ b/crates/mangowalk/src/fleet/command.rs
@@ -19,6 +19,11 @@
 
 impl Fleet {
     /// Shows instances, upstreams, and what configuration is in force.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the platform can't be read, or, after printing the other
+    /// instances, if an instance did not answer.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let platform = self.common.platform();
         let survey = Survey::<InstanceStatus>::collect(&instances(&platform)?, STATUS_PATH);
@@ -29,7 +34,7 @@
     }
 }
 
-/// Returns the version of the record that was written last.
+/// Returns the version of the record that was written last, 0 if there is none.
 fn newest_record(platform: &dyn Platform) -> Result<u64, Report<Failure>> {
     let kinds: Vec<String> = Kind::WRITTEN_BY_OPERATORS
         .iter()
--- a/crates/mangowalk/src/fleet/instance.rs
+++ b/crates/mangowalk/src/fleet/instance.rs
@@ -12,9 +12,9 @@
 /// An instance as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(crate) struct Instance {
-    /// Address towards callers, its name.
+    /// Address for callers, which is the instance's name on the platform.
     pub(crate) name: String,
-    /// Address towards operators, if it has one.
+    /// Address for operators; `None` if the instance lists no valid one.
     pub(crate) operator_address: Option<SocketAddr>,
 }
 
@@ -29,6 +29,10 @@
 }
 
 /// Returns every instance that the platform lists.
+///
+/// # Errors
+///
+/// Fails if the platform can't be read.
 pub(crate) fn instances(platform: &dyn Platform) -> Result<Vec<Instance>, Report<Failure>> {
     let list = platform
         .list(&[own_kind::INSTANCE])
--- a/crates/mangowalk/src/fleet/mod.rs
+++ b/crates/mangowalk/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! Every instance: where it is, and what it says of itself.
+//! The instances: their addresses, their status, and waiting until a write is
+//! in force on all of them.
 
 mod call;
 mod command;
@@ -7,7 +8,7 @@
 mod tables;
 mod wait;
 
-/// Path of an instance's status on its operator edge.
+/// Path of an instance's status at its operator address.
 const STATUS_PATH: &str = "/status";
 
 pub(crate) use {
--- a/crates/mangowalk/src/fleet/survey.rs
+++ b/crates/mangowalk/src/fleet/survey.rs
@@ -13,30 +13,31 @@
     },
 };
 
-/// Instances asked at the same time. At 350 instances of which a rack is dead,
-/// asking one by one would take minutes.
+/// Maximum number of concurrent calls to instances. With 350 instances of which
+/// a rack is down, sequential calls would take minutes.
 const MAX_CONCURRENT_CALLS: usize = 16;
 
-/// What all instances answered to one question.
+/// Answers of all instances to one call.
 #[derive(Debug, Serialize)]
 pub(crate) struct Survey<T> {
     /// Answers, in the order of the instances' names.
     pub(crate) answered: Vec<T>,
-    /// Instances that did not, and why.
+    /// Instances that did not answer, with the reason.
     pub(crate) silent: Vec<SilentInstance>,
 }
 
 /// An instance that did not answer.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(crate) struct SilentInstance {
-    /// Address towards callers.
+    /// Address for callers, which is the instance's name on the platform.
     pub(crate) name: String,
-    /// Why.
+    /// The reason.
     pub(crate) why: String,
 }
 
 impl<T: DeserializeOwned + Send> Survey<T> {
-    /// Reads a path of every instance's operator edge.
+    /// Reads a path of every instance at its operator address, with up to
+    /// [`MAX_CONCURRENT_CALLS`] calls at a time.
     pub(crate) fn collect(instances: &[Instance], path: &str) -> Survey<T> {
         let next = AtomicUsize::new(0);
         let replies = Mutex::new(BTreeMap::new());
@@ -68,7 +69,12 @@
         survey
     }
 
-    /// Returns a failure that names the instances that did not answer.
+    /// Checks that every instance answered.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::Incomplete`] with the names of the instances that did
+    /// not answer, and attaches the reason of each.
     pub(crate) fn ensure_complete(&self) -> Result<(), Report<Failure>> {
         if self.silent.is_empty() {
             return Ok(());
@@ -83,6 +89,7 @@
     }
 }
 
+/// Reads a path of one instance at its operator address.
 fn call_instance<T: DeserializeOwned>(
     instance: &Instance,
     path: &str,
--- a/crates/mangowalk/src/fleet/tables.rs
+++ b/crates/mangowalk/src/fleet/tables.rs
@@ -5,7 +5,8 @@
     std::collections::BTreeMap,
 };
 
-/// Returns the fleet as text.
+/// Returns the instances, the upstreams and the refused records as text.
+/// `newest_record` is the version of the record that was written last.
 pub(super) fn text(survey: &Survey<InstanceStatus>, newest_record: u64) -> String {
     let mut parts = vec![
         instances_table(survey, newest_record),
@@ -45,13 +46,17 @@
     table.text()
 }
 
-/// What all instances say of one upstream.
+/// State of one upstream, combined from the status of all instances.
 #[derive(Default)]
 struct UpstreamSummary<'a> {
     serves: &'a str,
+    /// Number of instances by the state that they report.
     states: BTreeMap<&'a str, usize>,
+    /// Number of instances by the version that they report.
     versions: BTreeMap<&'a str, usize>,
+    /// Requests in flight from all instances.
     in_flight: u32,
+    /// Number of instances that report the upstream as departing.
     departing: usize,
 }
 
@@ -93,8 +98,8 @@
     table.text()
 }
 
-/// Returns the value that all instances see, or each value with how many see
-/// it.
+/// Returns the value if all instances report the same one, else each value with
+/// the number of instances that report it.
 fn value_counts(values: &BTreeMap<&str, usize>) -> String {
     match values.len() {
         0 => "-".to_owned(),
@@ -107,6 +112,7 @@
     }
 }
 
+/// Formats how many of the instances report an upstream as departing.
 fn departing_cell(count: usize, answered: usize) -> String {
     match count {
         0 => "no".to_owned(),
@@ -115,6 +121,8 @@
     }
 }
 
+/// Returns a line for each refused record, with the number of instances that
+/// refuse it.
 fn refused_records(answered: &[InstanceStatus]) -> String {
     let mut lines: BTreeMap<String, usize> = BTreeMap::new();
     for record in answered.iter().flat_map(|s| &s.refused) {
--- a/crates/mangowalk/src/fleet/wait.rs
+++ b/crates/mangowalk/src/fleet/wait.rs
@@ -11,7 +11,7 @@
     },
 };
 
-/// Pause between two looks at the fleet.
+/// Pause between two polls of the fleet.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Whether and how long to wait until a write is in force everywhere.
@@ -28,8 +28,13 @@
 }
 
 impl Wait {
-    /// Waits, if that was asked for, until every instance has the version in
-    /// force.
+    /// Waits until every listed instance has the version in force; returns at
+    /// once without `--wait`.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::Incomplete`] with the instances that are behind when
+    /// `--wait-timeout-ms` has passed. Fails if the platform can't be read.
     pub(crate) fn until_in_force(
         &self,
         platform: &dyn Platform,
@@ -55,12 +60,15 @@
     }
 }
 
-/// Instances that are waited for. One that has the version keeps it, so only
-/// the others are asked again.
+/// Progress of a wait. An instance that has the version in force keeps it, so
+/// only the others are called again.
 struct WaitProgress {
     version: u64,
+    /// Names of the instances that have the version in force.
     in_force: HashSet<String>,
+    /// Names of the other instances listed at the last poll.
     behind: Vec<String>,
+    /// Progress message printed last; the same one is not printed again.
     last_shown: String,
 }
 
@@ -74,7 +82,8 @@
         }
     }
 
-    /// Asks the listed instances that are not known to have the version.
+    /// Calls the listed instances that are not known to have the version in
+    /// force, and prints the progress if it changed.
     fn poll(&mut self, listed: &[Instance]) {
         let pending: Vec<Instance> = listed
             .iter()
@@ -95,8 +104,8 @@
         self.show_progress(listed.len());
     }
 
-    /// A lagging list may show no instance at all; the write is in force
-    /// nowhere then.
+    /// Returns whether all listed instances have the version in force. A list
+    /// that lags may be empty, and the version is in force nowhere then.
     fn is_in_force(&self) -> bool {
         self.behind.is_empty() && !self.in_force.is_empty()
     }
@@ -114,6 +123,7 @@
     }
 }
 
+/// Returns the message of a wait that timed out.
 fn not_in_force(version: u64, behind: &[String]) -> String {
     let missing_on = if behind.is_empty() {
         "any instance, since the platform lists none".to_owned()
--- a/crates/mangowalk/src/keys/issue.rs
+++ b/crates/mangowalk/src/keys/issue.rs
@@ -17,7 +17,7 @@
     serde_json::json,
 };
 
-/// Digits of the digest in the name of a key that is given none.
+/// Number of digest digits in the default name of a key.
 const NAME_DIGEST_DIGITS: usize = 8;
 
 /// Arguments of `key issue`.
@@ -40,6 +40,7 @@
     team: String,
 }
 
+/// JSON output of `key issue`.
 #[derive(Debug, Serialize)]
 struct IssuedKey {
     name: String,
@@ -49,7 +50,12 @@
 }
 
 impl IssueKey {
-    /// Writes the digest of a new key, then prints the key.
+    /// Generates a key, writes its digest to the platform, and prints the key.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::RecordNotFound`] if there is no such team, and
+    /// [`Failure::Conflict`] if a key of that name exists.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let platform = self.common.platform();
         let team = ObjectKey::new(&Kind::Team.to_string(), &self.team);
--- a/crates/mangowalk/src/keys/mod.rs
+++ b/crates/mangowalk/src/keys/mod.rs
@@ -1,4 +1,4 @@
-//! Commands that issue and withdraw keys.
+//! The `key` commands: issue and withdraw API keys.
 
 mod issue;
 mod secret;
--- a/crates/mangowalk/src/keys/secret.rs
+++ b/crates/mangowalk/src/keys/secret.rs
@@ -3,13 +3,17 @@
     std::fmt::Write,
 };
 
-/// Random bits of a key, in bytes: 256 bits can't be guessed.
+/// Length of the random part of a key, in bytes: 256 bits can't be guessed.
 const SECRET_BYTES: usize = 32;
 
-/// Start of every key, so that one left in a file is recognised.
+/// Prefix of every key, by which a key left in a file is recognised.
 const PREFIX: &str = "mw-";
 
-/// Draws a new key from the operating system's generator.
+/// Generates a key with the operating system's random generator.
+///
+/// # Errors
+///
+/// Fails if the random generator does.
 pub(super) fn generate() -> Result<String, OsError> {
     let mut bytes = [0; SECRET_BYTES];
     OsRng.try_fill_bytes(&mut bytes)?;
--- a/crates/mangowalk/src/keys/withdraw.rs
+++ b/crates/mangowalk/src/keys/withdraw.rs
@@ -26,7 +26,11 @@
 }
 
 impl WithdrawKey {
-    /// Withdraws the key.
+    /// Deletes the key's record and prints the result.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::RecordNotFound`] if there is no such key.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let key = ObjectKey::new(&Kind::Key.to_string(), &self.name);
         let platform = self.common.platform();
--- a/crates/mangowalk/src/lib.rs
+++ b/crates/mangowalk/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' client of mangowalk: records, keys, the fleet and the
-//! report on service-level burn.
+//! Command-line client for operators of mangowalk: writes records and keys, and
+//! reports on the fleet, on service-level burn and on single requests.
 //!
-//! It reaches the platform through the router's own edge, so that another
-//! dialect of the platform changes one implementation.
+//! It uses the router's own platform client ([`mangowalkd::edge`]), so that
+//! support for another platform API changes one implementation.
 
 pub mod cli;
 
--- a/crates/mangowalk/src/main.rs
+++ b/crates/mangowalk/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' client of mangowalk.
+//! Command-line client for operators of mangowalk.
 
 use {mangowalk::cli, std::process::ExitCode};
 
--- a/crates/mangowalk/src/output/print.rs
+++ b/crates/mangowalk/src/output/print.rs
@@ -3,15 +3,15 @@
     std::io::{self, Write},
 };
 
-/// Where and how results are printed.
+/// Printer of results on standard output.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Output {
-    /// Whether programs read the result.
+    /// Whether to print JSON instead of text.
     pub(crate) json: bool,
 }
 
 impl Output {
-    /// Prints a result, as JSON or as text.
+    /// Prints a result as JSON, or `text` if that is not empty.
     pub(crate) fn print(self, result: &impl Serialize, text: &str) {
         if self.json {
             let json = serde_json::to_string_pretty(result).unwrap_or_default();
@@ -22,12 +22,13 @@
     }
 }
 
-/// A reader that has gone, such as `head`, is no failure of the command.
+/// Prints a line. Errors are ignored: a closed pipe, such as that of `head`, is
+/// no failure of the command.
 fn print_line(text: &str) {
     let _ = writeln!(io::stdout(), "{text}");
 }
 
-/// Tells a waiting person what happens.
+/// Prints a message about the progress of a command on standard error.
 pub(crate) fn progress(text: &str) {
     let _ = writeln!(io::stderr(), "{text}");
 }
--- a/crates/mangowalk/src/output/table.rs
+++ b/crates/mangowalk/src/output/table.rs
@@ -1,9 +1,10 @@
-/// Columns of text, each as wide as its widest cell.
+/// Text table whose columns are as wide as their widest cells.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
+/// Text between two columns.
 const COLUMN_GAP: &str = "  ";
 
 impl Table {
@@ -29,6 +30,7 @@
             .join("\n")
     }
 
+    /// Returns the width of each column in characters.
     fn widths(&self) -> Vec<usize> {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         (0..columns)
--- a/crates/mangowalk/src/records/apply.rs
+++ b/crates/mangowalk/src/records/apply.rs
@@ -36,7 +36,12 @@
 }
 
 impl Apply {
-    /// Checks every record, then writes those that differ.
+    /// Checks every record, then writes those that differ from the platform's.
+    ///
+    /// # Errors
+    ///
+    /// Fails without a write if a file, a record or a version doesn't fit. A
+    /// failed write leaves the records before it written.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let records = self.records()?;
         let platform = self.common.platform();
@@ -62,8 +67,8 @@
         self.wait.until_in_force(&platform, newest)
     }
 
-    /// Reads every file, and returns the records in the order in which a new
-    /// fleet needs them.
+    /// Reads and checks every file. Returns the records in the order in which a
+    /// new fleet needs them, that of [`Kind::WRITTEN_BY_OPERATORS`].
     fn records(&self) -> Result<Vec<RecordFile>, Report<Failure>> {
         let mut records = Vec::new();
         for file in &self.files {
@@ -83,6 +88,8 @@
         Ok(records)
     }
 
+    /// Writes the planned records in order. If a write fails, prints the
+    /// results so far and adds the number of remaining records to the failure.
     fn write(
         &self,
         platform: &dyn Platform,
--- a/crates/mangowalk/src/records/fields.rs
+++ b/crates/mangowalk/src/records/fields.rs
@@ -7,16 +7,16 @@
 /// A field that a write changes.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(crate) struct FieldChange {
-    /// Path of the field, its parts joined by dots.
+    /// Path of the field, with dots between its parts.
     pub(crate) field: String,
-    /// Value before, none if the field is new.
+    /// Value before the write, `None` if the field is new.
     pub(crate) before: Option<Value>,
-    /// Value after, none if the field goes.
+    /// Value after the write, `None` if the field is removed.
     pub(crate) after: Option<Value>,
 }
 
 impl FieldChange {
-    /// Returns the change in words.
+    /// Returns the change as a line of text.
     pub(crate) fn text(&self) -> String {
         let show = |v: &Option<Value>| v.as_ref().map_or("none".to_owned(), Value::to_string);
         format!(
@@ -43,6 +43,7 @@
         .collect()
 }
 
+/// Returns the values of a record by their paths. Only objects are split up.
 fn flatten(value: &Value) -> BTreeMap<String, Value> {
     let mut fields = BTreeMap::new();
     flatten_into("", value, &mut fields);
--- a/crates/mangowalk/src/records/file.rs
+++ b/crates/mangowalk/src/records/file.rs
@@ -14,14 +14,14 @@
     },
 };
 
-/// Characters of a name beside letters and digits. Names are segments of the
-/// platform's paths.
+/// Characters allowed in a name besides ASCII letters and digits. Names are
+/// segments of paths in the platform's API.
 const NAME_PUNCTUATION: &str = "._:-";
 
 /// File name that stands for standard input.
 const STDIN: &str = "-";
 
-/// One record of a file.
+/// One record, in the form in which files hold it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RecordFile {
@@ -29,7 +29,8 @@
     pub(crate) kind: Kind,
     /// Name of the record.
     pub(crate) name: String,
-    /// Version that the writer saw; the write happens only to that one.
+    /// Version that the record is based on; it is written only if the platform
+    /// still holds that version. `None` if the file gives none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) version: Option<u64>,
     /// The record itself.
@@ -37,12 +38,17 @@
 }
 
 impl RecordFile {
-    /// Returns the identity on the platform.
+    /// Returns the key of the record on the platform.
     pub(crate) fn key(&self) -> ObjectKey {
         ObjectKey::new(&self.kind.to_string(), &self.name)
     }
 
     /// Checks name and record as an instance would.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::InvalidInput`] for the name and
+    /// [`Failure::InvalidRecord`] for the record.
     pub(crate) fn check(&self) -> Result<(), Report<Failure>> {
         check_name(&self.name)?;
         parse(self.kind, &self.record).map_err(|error| Failure::InvalidRecord {
@@ -53,7 +59,12 @@
     }
 
     /// Reads every record of a file, `-` for standard input: one object, an
-    /// array of objects, or several of these one behind the other.
+    /// array of objects, or several of these one after the other.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::InvalidInput`] if the file can't be read or parsed,
+    /// or holds no record.
     pub(crate) fn read(path: &Path) -> Result<Vec<RecordFile>, Report<Failure>> {
         let text = read_text(path).map_err(|e| invalid_file(path, &e.to_string()))?;
         let mut records = Vec::new();
--- a/crates/mangowalk/src/records/list.rs
+++ b/crates/mangowalk/src/records/list.rs
@@ -25,7 +25,7 @@
 }
 
 impl List {
-    /// Lists the records of one kind or of all.
+    /// Lists the records of one kind, or of all kinds if none is given.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let kinds: Vec<String> = match self.kind {
             Some(kind) => vec![kind.to_string()],
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns a record on one line, with what is wrong with it where it is.
+/// Returns a record on one line, followed by the error if it is not valid.
 fn summary(object: &Object) -> String {
     let body = object.body.to_string();
     match Kind::from_name(&object.key.kind).map(|kind| parse(kind, &object.body)) {
--- a/crates/mangowalk/src/records/mod.rs
+++ b/crates/mangowalk/src/records/mod.rs
@@ -1,4 +1,5 @@
-//! Commands that read and write records.
+//! The commands `apply`, `set`, `withdraw`, `list` and `show`, which read and
+//! write records.
 
 mod apply;
 mod fields;
--- a/crates/mangowalk/src/records/plan.rs
+++ b/crates/mangowalk/src/records/plan.rs
@@ -5,17 +5,24 @@
     mangowalk_core::edge::Platform,
 };
 
-/// What is to be done to one record, decided on the version that was read.
+/// Planned write of one record, based on the version that was read.
 #[derive(Debug)]
 pub(super) struct Plan<'a> {
-    /// The record of the file.
+    /// The record to write, from a file.
     pub(super) record: &'a RecordFile,
-    /// What is to be done, with the version that is there.
+    /// Planned action and changes, with the version that the platform holds.
     pub(super) result: WriteResult,
 }
 
 impl<'a> Plan<'a> {
     /// Compares a record of a file with what the platform holds.
+    ///
+    /// # Errors
+    ///
+    /// Unless `overwrite` is set, returns [`Failure::Conflict`] if the platform
+    /// holds another version than the file gives, and
+    /// [`Failure::VersionRequired`] if the file gives none and the records
+    /// differ.
     pub(super) fn new(
         platform: &dyn Platform,
         record: &'a RecordFile,
--- a/crates/mangowalk/src/records/set.rs
+++ b/crates/mangowalk/src/records/set.rs
@@ -45,6 +45,7 @@
 /// A field and its new value.
 #[derive(Debug, Clone)]
 struct Assignment {
+    /// Path of the field, with dots between its parts.
     path: String,
     value: Value,
 }
@@ -52,7 +53,7 @@
 impl FromStr for Assignment {
     type Err = &'static str;
 
-    /// Reads the value as JSON where it is some, else as text.
+    /// Parses `FIELD=VALUE`. A value that is not JSON is taken as a string.
     fn from_str(text: &str) -> Result<Assignment, &'static str> {
         let (path, value) = text
             .split_once('=')
@@ -66,8 +67,13 @@
 }
 
 impl Set {
-    /// Changes the named fields of the record as it is now. Other fields keep
-    /// what another operator wrote last.
+    /// Changes the given fields of the current record. Other fields keep their
+    /// stored values, so that another operator's changes to them are not lost.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::RecordNotFound`] if there is no such record, and
+    /// [`Failure::Conflict`] if it changes between read and write.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let key = ObjectKey::new(&self.kind.to_string(), &self.name);
         let platform = self.common.platform();
@@ -109,7 +115,8 @@
     }
 }
 
-/// Sets a field by its path; objects on the way are made where they lack.
+/// Sets the field at a path. Creates the objects on the path that are missing,
+/// and replaces other values on it by objects.
 fn assign(record: &mut Value, field: &Assignment) {
     let mut target = record;
     for part in field.path.split('.') {
--- a/crates/mangowalk/src/records/show.rs
+++ b/crates/mangowalk/src/records/show.rs
@@ -32,7 +32,8 @@
 
 impl Show {
     /// Prints the record in the form that `apply` reads, so that it can be
-    /// edited and written back over the version that was seen.
+    /// edited and written back over the version shown. Messages on standard
+    /// error say whether the record is valid and in force.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let key = ObjectKey::new(&self.kind.to_string(), &self.name);
         let platform = self.common.platform();
@@ -55,7 +56,8 @@
     }
 }
 
-/// Returns what the instances say of a record, if it is of this version.
+/// Returns the status published for a record, if it is about the stored
+/// version.
 fn current_status(
     platform: &dyn Platform,
     stored: &Object,
--- a/crates/mangowalk/src/records/withdraw.rs
+++ b/crates/mangowalk/src/records/withdraw.rs
@@ -33,7 +33,7 @@
 }
 
 impl Withdraw {
-    /// Withdraws the record.
+    /// Deletes the record and prints the result.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let key = ObjectKey::new(&self.kind.to_string(), &self.name);
         let platform = self.common.platform();
@@ -43,7 +43,13 @@
     }
 }
 
-/// Withdraws a record as it is now, or only at the version that was seen.
+/// Deletes the current version of a record, or only `expected_version` if that
+/// is given.
+///
+/// # Errors
+///
+/// Returns [`Failure::RecordNotFound`] if there is no such record, and
+/// [`Failure::Conflict`] if it has another version.
 pub(crate) fn withdraw_record(
     platform: &dyn Platform,
     key: ObjectKey,
--- a/crates/mangowalk/src/records/write.rs
+++ b/crates/mangowalk/src/records/write.rs
@@ -8,10 +8,15 @@
     serde_json::Value,
 };
 
-/// Times that a write whose reply was lost before it took effect is sent.
+/// Maximum number of times that a write is sent. It is sent again if its reply
+/// was lost and it did not take effect.
 const MAX_WRITE_ATTEMPTS: u32 = 2;
 
-/// Reads one object.
+/// Reads one object; `None` if it doesn't exist.
+///
+/// # Errors
+///
+/// Fails if the platform can't be read.
 pub(crate) fn read(
     platform: &dyn Platform,
     key: &ObjectKey,
@@ -21,12 +26,18 @@
         .map_err(|e| Report::new(Failure::from_platform_error(&e)))
 }
 
-/// Writes one object over the version that the operator saw, 0 for none, and
-/// returns its new version.
+/// Writes one object over `expected_version`, 0 for an object that doesn't
+/// exist yet, and returns its new version.
+///
+/// The condition on the version prevents two operators who read the same
+/// version from overwriting each other's changes unnoticed: the platform
+/// accepts one of the two writes, and the other fails with a conflict.
 ///
-/// Two operators who saw the same version would otherwise undo each other's
-/// work unseen; the platform takes one of the two writes, and the other
-/// operator is told.
+/// # Errors
+///
+/// Returns [`Failure::Conflict`] if the platform holds another version, and
+/// [`Failure::UnknownOutcome`] if a reply was lost and it can't be found out
+/// whether the write took effect.
 pub(crate) fn put(
     platform: &dyn Platform,
     key: &ObjectKey,
@@ -39,7 +50,11 @@
     write_until_known(platform, key, expected_version, &send, &written_version)
 }
 
-/// Deletes one object at the version that the operator saw.
+/// Deletes one object at `expected_version`, and returns that version.
+///
+/// # Errors
+///
+/// As [`put`].
 pub(crate) fn delete(
     platform: &dyn Platform,
     key: &ObjectKey,
@@ -50,6 +65,8 @@
     write_until_known(platform, key, expected_version, &send, &deleted_version)
 }
 
+/// Returns the platform's condition for an expected version, 0 for an object
+/// that doesn't exist.
 fn precondition(expected_version: u64) -> Expect {
     match expected_version {
         0 => Expect::Absent,
@@ -58,10 +75,12 @@
 }
 
 /// Sends a conditional write until its outcome is known.
+/// `committed_version` returns the version of the write if the stored object
+/// shows that it took effect.
 ///
-/// The reply of a write can be lost after the write took effect. Sending it
-/// again unread would then report a conflict with oneself, so the object is
-/// read back first and compared.
+/// The reply to a write can be lost after the write took effect. A retry
+/// without a read would then report a conflict with the client's own write, so
+/// the object is read back and compared first.
 fn write_until_known(
     platform: &dyn Platform,
     key: &ObjectKey,
--- a/crates/mangowalk/src/records/write_result.rs
+++ b/crates/mangowalk/src/records/write_result.rs
@@ -3,40 +3,41 @@
     serde::Serialize,
 };
 
-/// What a command does to a record.
+/// What a command did to a record, or would do in a dry run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Action {
-    /// There was none.
+    /// The record did not exist.
     #[display("created")]
     Created,
-    /// It differs from what is there.
+    /// The record differs from the stored one.
     #[display("changed")]
     Changed,
-    /// It is there already.
+    /// The record equals the stored one; nothing was written.
     #[display("unchanged")]
     Unchanged,
-    /// It was taken away.
+    /// The record was deleted.
     #[display("withdrawn")]
     Withdrawn,
 }
 
-/// A record as a command left it.
+/// Result of a command for one record, in its JSON output.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(crate) struct WriteResult {
-    /// Kind and name.
+    /// Kind and name of the record.
     #[serde(flatten)]
     pub(crate) key: ObjectKey,
     /// What was done.
     pub(crate) action: Action,
-    /// Version on the platform; in a dry run the version that is there.
+    /// Version on the platform after the command; in a dry run the stored
+    /// version, 0 if there is none.
     pub(crate) version: u64,
     /// Fields that differ.
     pub(crate) changes: Vec<FieldChange>,
 }
 
 impl WriteResult {
-    /// Returns the result in words.
+    /// Returns the result as text, one line for each changed field.
     pub(crate) fn text(&self) -> String {
         let head = format!(
             "{} {}/{} at version {}",
@@ -50,7 +51,7 @@
             .join("\n")
     }
 
-    /// Returns several results in words.
+    /// Returns several results as text.
     pub(crate) fn join_texts(all: &[WriteResult]) -> String {
         let texts: Vec<String> = all.iter().map(WriteResult::text).collect();
         texts.join("\n")
--- a/crates/mangowalk/src/story/cause.rs
+++ b/crates/mangowalk/src/story/cause.rs
@@ -1,9 +1,9 @@
 use super::line::LogLine;
 
-/// Says in a sentence why a request ended as it did.
+/// Returns sentences that say why a request ended as it did.
 ///
-/// `request_lines` holds the lines of the request in order, `engine_lines` those on the
-/// engines that it met.
+/// `request_lines` holds the lines of the request by time, `engine_lines` those
+/// about the engines that it was sent to.
 pub(super) fn explain_outcome(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
     format!(
         "{}{}",
@@ -12,6 +12,7 @@
     )
 }
 
+/// Explains the last event that ended the request.
 fn explain_end(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
     let Some(last) = request_lines.iter().rev().find(|line| is_end(line)) else {
         return "No line tells how it ended: the instance ended, or the caller left first."
@@ -38,7 +39,8 @@
     }
 }
 
-/// Says why the engine was chosen, where it may have left by then.
+/// Explains why an engine was chosen that may have left by then; empty if there
+/// is no such engine.
 fn explain_uncertain_engine(request_lines: &[&LogLine]) -> String {
     let Some(line) = request_lines
         .iter()
@@ -78,12 +80,14 @@
     ["answered", "refused", "stream_cut"].contains(&line.event.as_str())
 }
 
+/// Returns the engine that the request was sent to last.
 fn last_engine<'a>(request_lines: &[&'a LogLine]) -> &'a str {
     let sent = request_lines.iter().rev().find(|line| line.event == "sent");
     sent.map_or("(none)", |line| line.field("engine"))
 }
 
-/// Names engines that were tried before the one that answered.
+/// Lists the failed attempts before the one that was answered; empty if there
+/// was one attempt.
 fn failed_attempts(request_lines: &[&LogLine]) -> String {
     let sends = request_lines
         .iter()
@@ -101,6 +105,7 @@
     format!(", sent {sends} times ({})", failure_texts.join("; "))
 }
 
+/// Explains a request that no engine accepted.
 fn explain_no_engine(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
     if let Some(full) = request_lines.iter().find(|line| line.event == "full") {
         return format!(
@@ -131,7 +136,8 @@
     "No engine of its service took work: all were leaving, silent, or had weights out of bounds. It has not run.".to_owned()
 }
 
-/// Says so where an engine was taking new weights.
+/// Returns a note if the engine was loading new weights when it rejected the
+/// request, else an empty string.
 fn loading_note(line: &LogLine, engine_lines: &[&LogLine]) -> &'static str {
     let is_loading = engine_lines.iter().any(|other| {
         other.event == "weights_step"
@@ -146,6 +152,7 @@
     }
 }
 
+/// Explains a request that was sent and whose answer was lost.
 fn explain_lost_answer(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
     let failed = request_lines
         .iter()
@@ -172,6 +179,7 @@
     )
 }
 
+/// Explains a stream that was cut off.
 fn explain_cut_stream(
     request_lines: &[&LogLine],
     engine_lines: &[&LogLine],
--- a/crates/mangowalk/src/story/command.rs
+++ b/crates/mangowalk/src/story/command.rs
@@ -16,7 +16,12 @@
 }
 
 impl Story {
-    /// Reads logs from standard input and tells what became of a request.
+    /// Reads logs from standard input, and prints the timeline of a request
+    /// with the cause of its end.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::RequestNotLogged`] if no line has the request's ID.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let lines: Vec<LogLine> = io::stdin()
             .lock()
--- a/crates/mangowalk/src/story/line.rs
+++ b/crates/mangowalk/src/story/line.rs
@@ -1,24 +1,25 @@
 use std::collections::BTreeMap;
 
-/// Field by which a line of an instance's log begins. What stands before it
-/// was put there by whatever collected the logs.
+/// First field of a line that an instance logs. Log collectors may put other
+/// text before it.
 const FIRST_FIELD: &str = "wall_ms=";
 
 /// One line of an instance's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct LogLine {
-    /// Time of day at the instance. Clocks of instances differ.
+    /// Wall-clock time at the instance, in milliseconds. Clocks of instances
+    /// differ.
     pub(super) wall_ms: u64,
-    /// The instance.
+    /// Name of the instance.
     pub(super) instance: String,
-    /// What happened.
+    /// Name of the event.
     pub(super) event: String,
-    /// Everything else, by name.
+    /// Values of the other fields, by name.
     pub(super) fields: BTreeMap<String, String>,
 }
 
 impl LogLine {
-    /// Reads a line; `None` where it is none of an instance's.
+    /// Parses a line; `None` if it is not a log line of an instance.
     pub(super) fn parse(text: &str) -> Option<LogLine> {
         let text = &text[text.find(FIRST_FIELD)?..];
         let mut fields: BTreeMap<String, String> = split_unquoted(text)
@@ -33,13 +34,13 @@
         })
     }
 
-    /// Returns a field, empty where it is missing.
+    /// Returns the value of a field, empty if the field is missing.
     pub(super) fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", String::as_str)
     }
 }
 
-/// Splits at blanks that stand in no quotes.
+/// Splits a line at spaces outside of quotes.
 fn split_unquoted(text: &str) -> impl Iterator<Item = &str> {
     let mut is_quoted = false;
     text.split(move |c: char| {
--- a/crates/mangowalk/src/story/mod.rs
+++ b/crates/mangowalk/src/story/mod.rs
@@ -1,4 +1,5 @@
-//! The story of one request, read back from the logs of several instances.
+//! The `story` command: reconstructs what happened to one request from the logs
+//! of several instances.
 
 mod cause;
 mod command;
--- a/crates/mangowalk/src/story/timeline.rs
+++ b/crates/mangowalk/src/story/timeline.rs
@@ -3,11 +3,11 @@
     std::fmt::Write,
 };
 
-/// Time before and after a request in which lines on its engines matter.
-/// Instances' clocks may differ by about as much.
+/// Time before and after a request in which events of its engines are shown, in
+/// milliseconds. The clocks of instances may differ by about as much.
 const ENGINE_EVENT_MARGIN_MS: u64 = 3_000;
 
-/// Events on engines that explain what a request met there.
+/// Events of engines that can explain the outcome of a request.
 const ENGINE_EVENTS: [&str; 8] = [
     "engine_silent",
     "engine_answers_again",
@@ -19,8 +19,8 @@
     "ordered",
 ];
 
-/// Events that say why an engine was still used, or no longer; those of the
-/// request's own instances matter however long ago they were.
+/// Events that say why an engine was still used or no longer used. Those logged
+/// by the instances of the request are shown however old they are.
 const ENGINE_LIST_EVENTS: [&str; 4] = [
     "engine_listed",
     "engine_missing",
@@ -28,14 +28,15 @@
     "engine_gone",
 ];
 
-/// Tells the story of a request from log lines; `None` where none names it.
+/// Returns the events of a request and of its engines by time, and the cause of
+/// the request's end; `None` if no line has the request's ID.
 pub(super) fn request_timeline(lines: &[LogLine], request: &str) -> Option<String> {
     let mut request_lines: Vec<&LogLine> = lines
         .iter()
         .filter(|line| line.field("request") == request)
         .collect();
-    // Lines of one instance are in order; those of others are ordered by
-    // their own clocks.
+    // Lines of one instance are in order; lines of different instances are
+    // ordered by the instances' own clocks.
     request_lines.sort_by_key(|line| line.wall_ms);
     let (first, last) = (request_lines.first()?, request_lines.last()?);
     let engines: Vec<&str> = request_lines
@@ -73,8 +74,8 @@
     Some(text)
 }
 
-/// Returns whether a line tells what an instance that had the request knew of
-/// an engine's entry.
+/// Returns whether a line is about an engine's entry in the engine list, logged
+/// by an instance that had the request.
 fn is_engine_list_event(line: &LogLine, request_lines: &[&LogLine]) -> bool {
     ENGINE_LIST_EVENTS.contains(&line.event.as_str())
         && request_lines
@@ -82,6 +83,7 @@
             .any(|other| other.instance == line.instance)
 }
 
+/// Writes a line with its time relative to `start_ms`.
 fn write_line(text: &mut String, line: &LogLine, start_ms: u64) {
     let after_ms = line.wall_ms as i64 - start_ms as i64;
     let fields: Vec<String> = line
--- a/crates/mangowalk/tests/client/ask.rs
+++ b/crates/mangowalk/tests/client/ask.rs
@@ -1,4 +1,4 @@
-//! Asking as a caller would.
+//! The command `ask`.
 
 use {
     crate::support::{client_of, fleet},
@@ -24,8 +24,8 @@
     assert!(run.stderr.contains("20 tokens answered"), "{run}");
 }
 
-/// Programs get counts and text in one object; a second question behind the
-/// same long text finds its blocks in the cache.
+/// The JSON output has the text and the token counts. A second question after
+/// the same long text must be counted as partly cached.
 #[test]
 fn a_shared_prefix_is_counted_as_cached() {
     let fleet = fleet(1, FleetSettings::default());
--- a/crates/mangowalk/tests/client/burn.rs
+++ b/crates/mangowalk/tests/client/burn.rs
@@ -1,4 +1,4 @@
-//! The burn report over real instances.
+//! The command `burn`, against router processes.
 
 use {
     crate::support::{client_of, eventually, fleet},
@@ -6,6 +6,7 @@
     serde_json::Value,
 };
 
+/// Returns the first row of an objective.
 fn row<'a>(report: &'a Value, objective: &str) -> &'a Value {
     let rows = report["rows"].as_array().expect("rows");
     rows.iter()
@@ -13,8 +14,8 @@
         .expect("a row")
 }
 
-/// Requests go to two instances in turn. The report must show each once: what
-/// callers received is what is summed.
+/// Requests go to two instances in turn. The report must count each request
+/// once, as its caller saw it.
 #[test]
 fn the_report_counts_each_request_once() {
     let fleet = fleet(2, FleetSettings::default());
@@ -48,8 +49,9 @@
     assert_eq!(refused, Some(received[1]), "{run}");
 }
 
-/// Both engines crash within every answer until the router gives up. The
-/// caller sees a cut stream; the report shows the objective `complete` burn.
+/// Both engines crash within every answer until the router gives up, so that
+/// the caller's stream is cut off. The report must count it against the
+/// objective `complete`.
 #[test]
 fn interrupted_answers_burn_the_error_budget() {
     let fleet = fleet(1, FleetSettings::default());
@@ -68,6 +70,7 @@
     assert_eq!(row(&report, "complete")["level"], "fast", "{report}");
 }
 
+/// Waits until the router has answered a request.
 fn wait_until_served(fleet: &Fleet) {
     for _ in 0..100 {
         if fleet.chat(0, "warm", 1, false).status == 200 {
--- a/crates/mangowalk/tests/client/explain.rs
+++ b/crates/mangowalk/tests/client/explain.rs
@@ -1,10 +1,11 @@
-//! What an instance would do with a request.
+//! The command `explain`.
 
 use {
     crate::support::{Client, Run, client_of, eventually, fleet},
     mangowalk_standins::FleetSettings,
 };
 
+/// Asks the first instance about a request of the team `gallery`.
 fn explain(client: &Client, model: &str, more: &[&str]) -> Run {
     let model = format!("--model={model}");
     let base = ["explain", "--team=gallery", &model, "Which glass?"];
@@ -44,8 +45,8 @@
     assert!(run.stdout.contains("burst"), "{run}");
 }
 
-/// A long prompt was answered once. The explanation of the next one behind the
-/// same text names the engine that holds its blocks, and says how many.
+/// After a long prompt was answered once, the explanation of the same prompt
+/// must choose the engine that has its blocks cached, and give their number.
 #[test]
 fn the_engine_with_the_cached_prefix_is_chosen() {
     let fleet = fleet(1, FleetSettings::default());
@@ -83,8 +84,8 @@
     assert_eq!(reply["engine"], holders[0], "{run}");
 }
 
-/// The team's rate is used up over all instances. The caller is refused with
-/// 429; the explanation says the same, and how many tokens are missing.
+/// The team's rate is exhausted over all instances. The explanation must report
+/// the refusal and the missing tokens, as callers are refused with status 429.
 #[test]
 fn an_exhausted_rate_is_explained() {
     let fleet = fleet(
@@ -111,9 +112,8 @@
     assert_eq!(fleet.chat(0, "Which glass?", 500, false).status, 429);
 }
 
-/// Operators look at the same request again and again. Had one look spent the
-/// team's tokens, the next would find them missing for seconds, and so would
-/// the team's callers.
+/// An explanation that took tokens from the team's bucket would make the next
+/// explanation, and the team's requests, lack them for seconds.
 #[test]
 fn an_explanation_consumes_no_tokens() {
     let fleet = fleet(
--- a/crates/mangowalk/tests/client/fleet.rs
+++ b/crates/mangowalk/tests/client/fleet.rs
@@ -1,4 +1,4 @@
-//! What the fleet says of itself, and waiting until a write is in force.
+//! The command `fleet`, the status of records, and the flag `--wait`.
 
 use {
     crate::support::{Client, client_of, eventually, fleet, platform, wait_until_in_force},
@@ -20,14 +20,15 @@
     }
 }
 
+/// Returns the addresses of the routers in order.
 fn sorted(fleet: &mangowalk_standins::Fleet) -> Vec<String> {
     let mut addresses: Vec<_> = fleet.routers.iter().map(|r| r.address()).collect();
     addresses.sort();
     addresses.iter().map(ToString::to_string).collect()
 }
 
-/// An instance dies and the platform's list still has it. The operator sees
-/// the others, is told which one is missing, and a script sees exit code 6.
+/// An instance dies while the platform still lists it. The commands must print
+/// the results of the others, name the dead one, and exit with code 6.
 #[test]
 fn an_instance_that_does_not_answer_is_named() {
     let mut fleet = fleet(2, FleetSettings::default());
@@ -43,9 +44,9 @@
     }
 }
 
-/// A bad record reaches the platform past the client. It is refused alone; the
-/// fleet's page says why, what would mend it, and that the write before it
-/// stays in force.
+/// An invalid record is written to the platform without the client. Instances
+/// refuse only that record. `fleet` must show the reason, how to correct it,
+/// and that the write before it stays in force.
 #[test]
 fn a_refused_record_is_shown_with_its_remedy() {
     let fleet = fleet(1, FleetSettings::default());
@@ -64,9 +65,9 @@
     assert!(run.stdout.contains("upgrade this instance"), "{run}");
 }
 
-/// One instance is paused while a key is issued. The key is there, but a
-/// caller who meets that instance is refused: `--wait` says so instead of
-/// reporting success, and succeeds once the instance goes on.
+/// One instance is frozen during a write. `--wait` must name it and fail, since
+/// callers of that instance still see the old record, and succeed once the
+/// instance runs again.
 #[test]
 fn waiting_fails_while_an_instance_is_behind() {
     let fleet = fleet(2, FleetSettings::default());
@@ -90,8 +91,8 @@
     assert!(done.stderr.contains("in force on 2 of 2"), "{done}");
 }
 
-/// The platform's list lags and shows no instance. "In force on all of none"
-/// would be a lie.
+/// The platform's list lags and has no instance. `--wait` must fail instead of
+/// reporting a write as in force on all of zero instances.
 #[test]
 fn waiting_for_no_instance_fails() {
     let platform = platform();
@@ -108,9 +109,9 @@
     assert_eq!(run.code, 6, "{run}");
 }
 
-/// One instance writes to the platform what became of each record. A refused
-/// one says why, a mended one that it is in force, and a status of an older
-/// version is not shown, whoever left it there.
+/// One instance publishes the status of each record on the platform. `show`
+/// must print the reason for a refused record and that a corrected one is in
+/// force. It must not print a status of an older version, whoever wrote it.
 #[test]
 fn a_refused_record_has_a_status_until_it_is_corrected() {
     let fleet = fleet(2, FleetSettings::default());
@@ -136,8 +137,9 @@
     assert_eq!(run.stderr, "", "{run}");
 }
 
-/// The instance answers, but the platform's watch to it is stuck, so that it
-/// has not heard of the write. It must not be counted as having it.
+/// The instance answers, but its watch of the platform is stalled, so that it
+/// has not received the write. `--wait` must not count it as having the write
+/// in force.
 #[test]
 fn an_instance_with_a_stalled_watch_is_not_in_force() {
     let fleet = fleet(1, FleetSettings::default());
--- a/crates/mangowalk/tests/client/keys.rs
+++ b/crates/mangowalk/tests/client/keys.rs
@@ -1,4 +1,4 @@
-//! Issuing and withdrawing keys.
+//! The commands `key issue` and `key withdraw`.
 
 use {
     crate::support::{Client, platform},
@@ -7,8 +7,8 @@
     std::collections::HashSet,
 };
 
-/// The platform, its backups and its operators see digests only: a key that
-/// leaked from there would run requests in the team's name.
+/// The platform, its backups and its operators must see digests only: with a
+/// key leaked from there, anyone could send requests as the team.
 #[test]
 fn a_key_is_shown_once_and_stored_as_a_digest() {
     let platform = platform();
@@ -36,7 +36,7 @@
         .map(|_| client.run(&["key", "issue", "gallery", "--json"]).json()["key"].to_string())
         .collect();
     assert_eq!(keys.len(), 10);
-    // Two quotes, the prefix, and two digits a byte.
+    // Two quotes, the prefix `mw-`, and two hex digits for each of 32 bytes.
     assert!(keys.iter().all(|key| key.len() == 2 + 3 + 64), "{keys:?}");
 }
 
--- a/crates/mangowalk/tests/client/main.rs
+++ b/crates/mangowalk/tests/client/main.rs
@@ -1,4 +1,4 @@
-//! Runs the client's program against stand-ins and real routers.
+//! Runs the client's binary against a platform stand-in and router processes.
 
 mod ask;
 mod burn;
--- a/crates/mangowalk/tests/client/page.rs
+++ b/crates/mangowalk/tests/client/page.rs
@@ -1,4 +1,5 @@
-//! The pages for operators: commands run as printed, fields are all there.
+//! Checks the operators' documentation: the commands in it run, and every field
+//! of a record is described.
 
 use {
     crate::support::{fleet, router_program, wait_until_in_force},
@@ -13,7 +14,7 @@
     },
 };
 
-/// Returns the blocks of shell commands of a page.
+/// Returns the blocks of shell commands in a page.
 fn blocks(page: &str) -> Vec<String> {
     page.split("```sh\n")
         .skip(1)
@@ -22,7 +23,7 @@
         .collect()
 }
 
-/// An empty directory that goes with the test.
+/// An empty directory that is removed after the test.
 struct Directory(PathBuf);
 
 impl Directory {
@@ -40,15 +41,15 @@
     }
 }
 
-/// An operator follows the page from top to bottom on one fleet. Each block
-/// must end with code 0 and leave what the next one expects.
+/// Runs the command blocks of the page in order on one fleet. Each must exit
+/// with code 0 and leave the state that the next one expects.
 #[test]
 fn the_commands_run_as_printed() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/operators.md");
     let page = fs::read_to_string(page).expect("docs/operators.md");
     let blocks = blocks(&page);
     assert_eq!(blocks.len(), page.matches("```sh").count());
-    assert!(blocks.len() >= 10, "the page lost its commands");
+    assert!(blocks.len() >= 10, "the page has too few command blocks");
     let fleet = fleet(2, FleetSettings::default());
     wait_until_in_force(&fleet, 2);
     let directory = Directory::new();
@@ -81,14 +82,15 @@
     assert_eq!(rate.body["tokens_per_s"], 70_000);
 }
 
+/// Returns `PATH` with the directory of the tested binaries first.
 fn path() -> String {
     let programs = Path::new(&router_program()).with_file_name("");
     let before = env::var("PATH").unwrap_or_default();
     format!("{}:{before}", programs.display())
 }
 
-/// The page of records names every field that a record can have, so that a new
-/// field can't be left out.
+/// Fails if a field of a record is missing from `docs/records.md`, such as a
+/// new one.
 #[test]
 fn every_record_field_is_documented() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/records.md");
@@ -128,7 +130,8 @@
     }
 }
 
-/// Returns the paths of all fields of a record, those left out included.
+/// Returns the paths of all fields of a record, including those that the
+/// minimal record leaves at their defaults.
 fn fields<T: Serialize + DeserializeOwned>(minimal: Value) -> Vec<String> {
     let record: T = serde_json::from_value(minimal).expect("a record");
     let mut paths = Vec::new();
--- a/crates/mangowalk/tests/client/records.rs
+++ b/crates/mangowalk/tests/client/records.rs
@@ -1,4 +1,4 @@
-//! Writing, withdrawing and showing records against a platform stand-in.
+//! The commands that read and write records, against a platform stand-in.
 
 use {
     crate::support::{Client, assert_run, platform},
@@ -15,6 +15,8 @@
 const FASTER: &str = r#"{"kind":"rate","name":"gallery","version":2,
     "record":{"schema":1,"tokens_per_s":200,"burst_tokens":500}}"#;
 
+/// Returns a platform with the team and rate of [`TEAM_AND_RATE`], and a
+/// client.
 fn platform_with_rate() -> (PlatformStandIn, Client) {
     let platform = platform();
     let client = Client::new(platform.address());
@@ -53,8 +55,9 @@
     assert_eq!(applied.code, 0, "{applied}");
 }
 
-/// Two operators read version 2. The first writes; the second's write would
-/// undo it unseen. It is refused, and the first one's value stays.
+/// Two operators read version 2 and both write. The second write would
+/// overwrite the first unnoticed; it must be refused, and the first value
+/// stays.
 #[test]
 fn a_write_over_an_outdated_version_is_a_conflict() {
     let (platform, client) = platform_with_rate();
@@ -65,9 +68,9 @@
     assert_eq!(rate.body["tokens_per_s"], 300);
 }
 
-/// A file that says nothing of what its writer saw would undo whatever is
-/// there. It is refused until the writer says which version, or that it does
-/// not matter.
+/// A file without a version could overwrite a change that its author didn't
+/// see. It must be refused unless it gives the version or `--overwrite` is
+/// given.
 #[test]
 fn a_file_without_a_version_changes_nothing_without_overwrite() {
     let (platform, client) = platform_with_rate();
@@ -79,8 +82,9 @@
     assert_eq!(rate.body["tokens_per_s"], 200);
 }
 
-/// The platform writes and its reply is lost. The client reads back, sees its
-/// own write, and reports the version: the operator has nothing to mend.
+/// The platform's reply to a write that took effect is lost. The client must
+/// read the record back, recognize its own write, and report success with the
+/// version.
 #[test]
 fn a_write_whose_reply_was_lost_is_read_back() {
     let (platform, client) = platform_with_rate();
@@ -123,8 +127,8 @@
     assert_eq!(rate.body["tokens_per_s"], 100);
 }
 
-/// One record of a file is bad. Nothing of the file is sent, so that the fleet
-/// never runs on half of it.
+/// One record of a file is invalid. No record of the file may be written, so
+/// that the fleet never runs with half of the file.
 #[test]
 fn one_bad_record_refuses_the_whole_file() {
     let team = r#"{"kind":"team","name":"gallery","record":{"schema":1}}"#;
@@ -202,10 +206,9 @@
     assert_run!(client.run(&["list", "team"]));
 }
 
-/// The client has read version 2; before its write arrives another operator's
-/// does. The platform compares versions, so the later write takes no effect
-/// and its operator is told. The platform is slowed, so that there is time in
-/// between.
+/// Another operator writes between the client's read and its write. The
+/// platform compares versions, so the client's write must fail with a conflict.
+/// The platform is slowed to leave time for the other write.
 #[test]
 fn a_concurrent_write_is_not_overwritten() {
     let (platform, client) = platform_with_rate();
@@ -229,9 +232,9 @@
     assert_eq!(rate.body["tokens_per_s"], 300);
 }
 
-/// The platform takes three seconds for each answer. The operator's command
-/// takes as long; told that the platform was not reached, its operator would
-/// repeat what was only slow.
+/// The platform takes three seconds for each answer. The client must wait for
+/// it: if it reported an unreachable platform, the operator would repeat a
+/// command that was only slow.
 #[test]
 fn a_slow_platform_does_not_fail_the_command() {
     let (platform, client) = platform_with_rate();
--- a/crates/mangowalk/tests/client/story.rs
+++ b/crates/mangowalk/tests/client/story.rs
@@ -1,10 +1,11 @@
-//! The story of a request, told from logs.
+//! The command `story`, on log lines of a fixed text.
 
 use std::{
     io::Write,
     process::{Command, Stdio},
 };
 
+/// Runs `story` on logs, and returns the exit code and the whole output.
 pub(crate) fn story(logs: &str, request: &str) -> (Option<i32>, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_mangowalk"))
         .args(["story", request])
@@ -24,8 +25,8 @@
     )
 }
 
-/// Lines as a collector of logs delivers them: out of order, with text of its
-/// own before each, and those of other requests between them.
+/// Log lines as a log collector delivers them: out of order, with a prefix of
+/// the collector, and mixed with lines of other requests.
 const LOGS: &str = r#"
   8.02 a-1 wall_ms=1008020 instance=a-1 level=INFO event=sent request=aa engine=e1 left_ms=5980 kept=true version=1
   8.01 b-1 wall_ms=1008010 instance=b-1 level=INFO event=sent request=bb engine=e2 left_ms=580 kept=false version=0
--- a/crates/mangowalk/tests/client/story_of_processes.rs
+++ b/crates/mangowalk/tests/client/story_of_processes.rs
@@ -1,4 +1,4 @@
-//! The story of a failed request, from the logs of the instances it met.
+//! The command `story` on the logs of router processes.
 
 use {
     super::{story::story, support::router_program},
@@ -6,14 +6,14 @@
     std::{thread, time::Duration},
 };
 
-/// Time after which an instance has written what it logged.
+/// Time that an instance takes to write its log lines.
 const LOG_FLUSH_DELAY: Duration = Duration::from_millis(200);
 
 fn deployment() -> Deployment {
     Deployment::start(&router_program(), 2, 2)
 }
 
-/// Returns what the command says of a request, from all instances' logs.
+/// Returns the output of `story` for a request, from the logs of all instances.
 fn explain(deployment: &Deployment, request: &str) -> String {
     thread::sleep(LOG_FLUSH_DELAY);
     let logs: Vec<String> = deployment.machines.iter().map(|m| m.log()).collect();
@@ -22,9 +22,9 @@
     text
 }
 
-/// The caller gets 503 though no engine is near its limit: each of them refuses
-/// the request as not run. The cause must name the engines and say that it has
-/// not run.
+/// Every engine refuses the request as not run although none is near its limit,
+/// so the caller gets status 503. The cause must name the engines and say that
+/// the request has not run.
 #[test]
 fn a_refusal_is_explained_from_the_instances_own_logs() {
     let deployment = deployment();
@@ -44,9 +44,9 @@
     assert!(text.contains("It has not run."), "{text}");
 }
 
-/// The caller's stream ends in its middle: its engine broke off, and the route
-/// doesn't allow it to go on elsewhere. The cause must name the engine and say
-/// why the stream has no end.
+/// The engine breaks off in the middle of a stream that the route doesn't allow
+/// to resume at another engine. The cause must name the engine and say why the
+/// stream has no end.
 #[test]
 fn an_interrupted_stream_is_explained_from_the_instances_own_logs() {
     let deployment = deployment();
@@ -69,9 +69,9 @@
     assert!(text.contains(&cause), "{text}");
 }
 
-/// A charge was sent to its engine, which ran it and lost the answer. The caller
-/// gets 502. The cause must say that it may have run, and that it was not sent
-/// again for that reason.
+/// A request that may run only once is sent to a service, which runs it and
+/// loses the answer, so the caller gets status 502. The cause must say that the
+/// request may have run and was not retried for that reason.
 #[test]
 fn an_unknown_outcome_is_explained_from_the_instances_own_logs() {
     let deployment = deployment();
--- a/crates/mangowalk/tests/client/support.rs
+++ b/crates/mangowalk/tests/client/support.rs
@@ -1,4 +1,4 @@
-//! Runs the client's program as an operator would.
+//! Runs the client's binary as an operator would, and starts fleets for it.
 
 use {
     mangowalk_standins::{Fleet, FleetSettings, PlatformStandIn, RouterProcess, free_address},
@@ -14,10 +14,12 @@
     },
 };
 
+/// Maximum number of runs by [`eventually`].
 const MAX_POLLS: u32 = 100;
+/// Pause between two runs by [`eventually`].
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a run of the client left.
+/// Exit code and output of a run of the client.
 pub(crate) struct Run {
     pub(crate) code: i32,
     pub(crate) stdout: String,
@@ -39,7 +41,7 @@
     }
 }
 
-/// The client, set up for one platform.
+/// The client with its environment variables, set up for one platform.
 pub(crate) struct Client {
     variables: Vec<(&'static str, String)>,
 }
@@ -74,7 +76,8 @@
             .spawn()
             .expect("the client's program");
         let mut stdin = child.stdin.take().expect("standard input");
-        // A client that refuses its arguments reads nothing.
+        // The write fails if the client refuses its arguments and exits without
+        // reading.
         let _ = stdin.write_all(input.as_bytes());
         drop(stdin);
         let output = child.wait_with_output().expect("the client's end");
@@ -91,18 +94,20 @@
     PlatformStandIn::start(([127, 0, 0, 1], 0).into())
 }
 
-/// Path of the router's program, which `cargo test --workspace` builds beside
-/// the client's. `cargo test -p mangowalk` alone leaves an old one there.
+/// Returns the path of the router's binary. `cargo test --workspace` builds it
+/// next to the client's; `cargo test -p mangowalk` doesn't and may use an
+/// outdated one.
 pub(crate) fn router_program() -> String {
     let program = Path::new(env!("CARGO_BIN_EXE_mangowalk")).with_file_name("mangowalkd");
     assert!(
         program.exists(),
-        "no router; run `cargo build --workspace` first"
+        "mangowalkd is not built; run `cargo build --workspace` first"
     );
     program.display().to_string()
 }
 
-/// Starts a fleet of routers that listen to operators.
+/// Starts a fleet of routers with operator addresses, and waits until they are
+/// ready.
 pub(crate) fn fleet(routers: usize, settings: FleetSettings) -> Fleet {
     let mut fleet = Fleet::start(&FleetSettings {
         routers: 0,
@@ -120,7 +125,7 @@
     fleet
 }
 
-/// Returns a client of a fleet, which asks as the team `gallery`.
+/// Returns a client of a fleet that sends requests as the team `gallery`.
 pub(crate) fn client_of(fleet: &Fleet) -> Client {
     Client::new(fleet.platform.address())
         .with(
@@ -130,8 +135,9 @@
         .with("MANGOWALK_KEY", Fleet::KEY)
 }
 
-/// Repeats a command until its result fits: routers list themselves and hear
-/// of records a moment after they start.
+/// Repeats a command until its result is the expected one: routers list
+/// themselves and receive records shortly after they start. Panics if the
+/// result never is.
 pub(crate) fn eventually(run: impl Fn() -> Run, is_expected: impl Fn(&Run) -> bool) -> Run {
     let mut last = run();
     for _ in 0..MAX_POLLS {
@@ -141,10 +147,10 @@
         thread::sleep(POLL_INTERVAL);
         last = run();
     }
-    panic!("the result never fitted: {last}");
+    panic!("the expected result never came; the last was {last}");
 }
 
-/// Waits until so many instances are listed and answer.
+/// Waits until `instances` instances are listed and have all records in force.
 pub(crate) fn wait_until_in_force(fleet: &Fleet, instances: usize) {
     let client = client_of(fleet);
     eventually(
@@ -153,7 +159,7 @@
     );
 }
 
-/// Compares a run with its snapshot, addresses and versions left out.
+/// Compares a run with its snapshot; addresses and keys are replaced first.
 macro_rules! assert_run {
     ($run:expr) => {{
         let mut settings = insta::Settings::clone_current();
--- a/crates/mangowalk/tests/client/usage.rs
+++ b/crates/mangowalk/tests/client/usage.rs
@@ -1,4 +1,4 @@
-//! Help, usage errors and completion.
+//! Help text, usage errors and shell completion.
 
 use crate::support::{Client, assert_run, platform};
 
