--- a/crates/mangowalk/src/ask/send.rs
+++ b/crates/mangowalk/src/ask/send.rs
@@ -9,31 +9,36 @@
     },
 };
 
-/// Longest time of a request, in seconds.
+/// Timeout of a chat request, in seconds.
 const TIMEOUT_S: u64 = 300;
 
-const DONE: &str = "[DONE]";
+/// Data of the event that ends a complete stream.
+const STREAM_END: &str = "[DONE]";
 
-/// A request to one instance.
-pub(super) struct Question<'a> {
+/// Chat request to one instance.
+pub(super) struct ChatRequest<'a> {
+    /// Base URL of the instance.
     pub(super) url: &'a str,
+    /// API key of the team.
     pub(super) key: &'a str,
+    /// JSON body.
     pub(super) body: &'a str,
-    /// Whether the text is printed as it comes.
+    /// Whether to print the text while it is received.
     pub(super) print: bool,
 }
 
-/// What became of a request that may be sent again.
+/// Outcome of one attempt, other than a final failure.
 pub(super) enum Attempt {
-    /// An answer came, whole or cut.
+    /// The instance answered; the stream may have been cut off.
     Answered(Answer),
-    /// It did not run, and may be sent again.
+    /// The request did not run and may be retried after `retry_ms`.
     NotRun { detail: String, retry_ms: u64 },
 }
 
 impl Attempt {
-    /// Returns the outcome of a request that no instance took.
-    pub(super) fn unreached(url: &str) -> Attempt {
+    /// Returns the outcome of a request that did not reach the instance at
+    /// `url`.
+    pub(super) fn unreachable(url: &str) -> Attempt {
         Attempt::NotRun {
             detail: format!("{url} was not reached; check --url."),
             retry_ms: 0,
@@ -41,43 +46,51 @@
     }
 }
 
-/// Sends a request, and prints the text as it comes.
-pub(super) fn send(question: &Question<'_>) -> Result<Attempt, Report<Failure>> {
+/// Sends a request, and prints the text while it is received if the request
+/// asks for it.
+///
+/// # Errors
+///
+/// Returns [`Failure::NotAnswered`] if the request was refused and must not be
+/// retried, or if the connection was lost before the response head.
+pub(super) fn send(request: &ChatRequest<'_>) -> Result<Attempt, Report<Failure>> {
     let started = Instant::now();
-    let response = minreq::post(format!("{}/v1/chat/completions", question.url))
-        .with_header("Authorization", format!("Bearer {}", question.key))
+    let response = minreq::post(format!("{}/v1/chat/completions", request.url))
+        .with_header("Authorization", format!("Bearer {}", request.key))
         .with_header("Content-Type", "application/json")
         .with_header("Connection", "close")
         .with_follow_redirects(false)
         .with_timeout(TIMEOUT_S)
-        .with_body(question.body)
+        .with_body(request.body)
         .send_lazy();
     let response = match response {
         Ok(response) => response,
         Err(minreq::Error::IoError(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
-            return Ok(Attempt::unreached(question.url));
+            return Ok(Attempt::unreachable(request.url));
         }
-        Err(error) => return Err(cut(&error.to_string())),
+        Err(error) => return Err(connection_lost(&error.to_string())),
     };
     if response.status_code != 200 {
-        return refused(response);
+        return classify_refusal(response);
     }
     let mut answer = Answer {
-        instance: question.url.to_owned(),
+        instance: request.url.to_owned(),
         request_id: header(&response, "x-request-id"),
         ..Answer::default()
     };
     for line in BufReader::new(response).lines() {
         let Ok(line) = line else { break };
         if let Some(data) = line.strip_prefix("data:") {
-            take(&mut answer, data.trim(), started, question.print);
+            apply_event(&mut answer, data.trim(), started, request.print);
         }
     }
     Ok(Attempt::Answered(answer))
 }
 
-fn take(answer: &mut Answer, data: &str, started: Instant, print: bool) {
-    if data == DONE {
+/// Applies the data of one stream event to the answer, and prints its text if
+/// `print` is set.
+fn apply_event(answer: &mut Answer, data: &str, started: Instant, print: bool) {
+    if data == STREAM_END {
         answer.complete = true;
         return;
     }
@@ -105,8 +118,9 @@
     }
 }
 
-/// Tells a refusal that may come back from one that stands.
-fn refused(mut response: minreq::ResponseLazy) -> Result<Attempt, Report<Failure>> {
+/// Reads a refusal. The request may be retried only if the instance states that
+/// it did not run and after which time to retry.
+fn classify_refusal(mut response: minreq::ResponseLazy) -> Result<Attempt, Report<Failure>> {
     let status = response.status_code;
     let outcome = header(&response, "x-mangowalk-outcome");
     let retry_ms = header(&response, "retry-after-ms").parse::<u64>().ok();
@@ -123,12 +137,14 @@
     }
 }
 
-fn cut(detail: &str) -> Report<Failure> {
+/// Returns the failure of a request whose connection was lost.
+fn connection_lost(detail: &str) -> Report<Failure> {
     Report::new(Failure::NotAnswered {
         detail: format!("The answer was lost ({detail}); ask again."),
     })
 }
 
+/// Returns the value of a header, empty if it is missing.
 fn header(response: &minreq::ResponseLazy, name: &str) -> String {
     response
         .headers
--- a/crates/mangowalk/src/burn/command.rs
+++ b/crates/mangowalk/src/burn/command.rs
@@ -12,6 +12,7 @@
     std::net::SocketAddr,
 };
 
+/// Path of an instance's burn counts at its operator address.
 const BURN_PATH: &str = "/burn";
 
 /// Arguments of `burn`.
@@ -26,8 +27,9 @@
     team: Option<String>,
 }
 
+/// JSON output of `burn`.
 #[derive(Serialize)]
-struct Printed<'a> {
+struct BurnOutput<'a> {
     answered: Vec<SocketAddr>,
     silent: Vec<&'a str>,
     #[serde(flatten)]
@@ -35,23 +37,28 @@
 }
 
 impl Burn {
-    /// Sums what every instance published and prints the report.
+    /// Sums the counts that all instances publish, and prints the report.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the platform can't be read, or, after printing the report on
+    /// the other instances, if an instance did not answer.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let instances = instances(&self.common.platform())?;
-        let survey = Survey::<InstanceBurn>::of(&instances, BURN_PATH);
+        let survey = Survey::<InstanceBurn>::collect(&instances, BURN_PATH);
         let published = survey
             .answered
             .iter()
             .flat_map(|s| &s.teams)
             .filter(|b| self.team.as_ref().is_none_or(|team| *team == b.team));
         let report = BurnReport::of(published);
-        let printed = Printed {
+        let output = BurnOutput {
             answered: survey.answered.iter().map(|s| s.caller_address).collect(),
             silent: survey.silent.iter().map(|s| s.name.as_str()).collect(),
             report: &report,
         };
         let text = table::text(&report, &survey);
-        self.common.output().print(&printed, &text);
-        survey.complete()
+        self.common.output().print(&output, &text);
+        survey.ensure_complete()
     }
 }
--- a/crates/mangowalk/src/burn/table.rs
+++ b/crates/mangowalk/src/burn/table.rs
@@ -3,7 +3,7 @@
     mangowalk_core::burn::{BurnReport, BurnRow, InstanceBurn, TeamSummary, Window, WindowBurn},
 };
 
-/// Returns the report as text.
+/// Returns the report as text, with the number of instances that it covers.
 pub(super) fn text(report: &BurnReport, survey: &Survey<InstanceBurn>) -> String {
     let all = survey.answered.len() + survey.silent.len();
     let head = format!(
@@ -13,11 +13,12 @@
     if report.rows.is_empty() {
         return format!("{head}\n\nNo requests in the last six hours.");
     }
-    let parts = [head, burn(&report.rows), teams(&report.teams)];
+    let parts = [head, burn_table(&report.rows), teams_table(&report.teams)];
     parts.join("\n\n")
 }
 
-fn burn(rows: &[BurnRow]) -> String {
+/// Returns the table of burn rates per team and objective.
+fn burn_table(rows: &[BurnRow]) -> String {
     let mut table = Table::new(&[
         "TEAM",
         "OBJECTIVE",
@@ -32,14 +33,15 @@
             row.objective.to_string(),
             row.level.to_string(),
         ];
-        let cells = head.into_iter().chain(row.windows.iter().map(cell));
+        let cells = head.into_iter().chain(row.windows.iter().map(burn_cell));
         table.row(cells.collect());
     }
     table.text()
 }
 
-/// Returns the burn, with the requests that missed out of all.
-fn cell(burn: &WindowBurn) -> String {
+/// Formats a burn rate with the number of requests that missed the objective
+/// out of all requests; `-` if there were none.
+fn burn_cell(burn: &WindowBurn) -> String {
     let all = burn.good + burn.bad;
     if all == 0 {
         return "-".to_owned();
@@ -47,7 +49,8 @@
     format!("{:.1} ({} of {all})", burn.burn, burn.bad)
 }
 
-fn teams(teams: &[TeamSummary]) -> String {
+/// Returns the table of first-token times and rates per team.
+fn teams_table(teams: &[TeamSummary]) -> String {
     let mut table = Table::new(&[
         "TEAM",
         "HALF OF FIRST TOKENS",
@@ -58,20 +61,22 @@
     for team in teams {
         table.row(vec![
             team.team.clone(),
-            within(team.first_token_half_ms),
-            within(team.first_token_99_percent_ms),
-            by_window(&team.over_rate, ""),
-            by_window(&team.asked_percent, "%"),
+            format_bound(team.first_token_half_ms),
+            format_bound(team.first_token_99_percent_ms),
+            join_windows(&team.over_rate, ""),
+            join_windows(&team.asked_percent, "%"),
         ]);
     }
     table.text()
 }
 
-fn within(bound_ms: Option<u64>) -> String {
+/// Formats an upper bound of a time; `-` if there is none.
+fn format_bound(bound_ms: Option<u64>) -> String {
     bound_ms.map_or("-".to_owned(), |ms| format!("within {ms} ms"))
 }
 
-fn by_window(values: &[u64], unit: &str) -> String {
+/// Formats one value for each of [`Window::ALL`], separated by slashes.
+fn join_windows(values: &[u64], unit: &str) -> String {
     debug_assert_eq!(values.len(), Window::ALL.len());
     let cells: Vec<String> = values.iter().map(|v| format!("{v}{unit}")).collect();
     cells.join("/")
--- a/crates/mangowalk/src/cli/run.rs
+++ b/crates/mangowalk/src/cli/run.rs
@@ -3,7 +3,8 @@
     mangowalkd::cli::print_usage, std::process::ExitCode,
 };
 
-/// Runs the client with the arguments of the process.
+/// Runs the client with the arguments of the process, and returns its exit
+/// code.
 pub fn run() -> ExitCode {
     let options = command();
     let command = match options.run_inner(Args::current_args()) {
@@ -12,12 +13,13 @@
     };
     match command.run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(report) => failed(&report),
+        Err(report) => print_failure(&report),
     }
 }
 
-/// Prints the failure first and what led to it below.
-fn failed(report: &Report<Failure>) -> ExitCode {
+/// Prints the failure and, indented below it, the details attached to it.
+/// Returns its exit code.
+fn print_failure(report: &Report<Failure>) -> ExitCode {
     let failure = report.current_context();
     eprintln!("mangowalk: {failure}");
     for cause in report.frames().filter_map(|f| f.downcast_ref::<String>()) {
--- a/crates/mangowalk/src/fleet/command.rs
+++ b/crates/mangowalk/src/fleet/command.rs
@@ -19,24 +19,31 @@
 
 impl Fleet {
     /// Shows instances, upstreams, and what configuration is in force.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the platform can't be read, or, after printing the other
+    /// instances, if an instance did not answer.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let platform = self.common.platform();
-        let survey = Survey::<InstanceStatus>::of(&instances(&platform)?, STATUS_PATH);
+        let survey = Survey::<InstanceStatus>::collect(&instances(&platform)?, STATUS_PATH);
         let newest = newest_record(&platform)?;
         let text = tables::text(&survey, newest);
         self.common.output().print(&survey, &text);
-        survey.complete()
+        survey.ensure_complete()
     }
 }
 
-/// Returns the version of the record that was written last.
+/// Returns the version of the record that was written last, 0 if there is none.
 fn newest_record(platform: &dyn Platform) -> Result<u64, Report<Failure>> {
     let kinds: Vec<String> = Kind::WRITTEN_BY_OPERATORS
         .iter()
         .map(Kind::to_string)
         .collect();
     let kinds: Vec<&str> = kinds.iter().map(String::as_str).collect();
-    let list = platform.list(&kinds).map_err(|e| Failure::of_read(&e))?;
+    let list = platform
+        .list(&kinds)
+        .map_err(|e| Failure::from_platform_error(&e))?;
     let versions = list.objects.iter().map(|o| o.version);
     Ok(versions.max().unwrap_or(0))
 }
--- a/crates/mangowalk/src/fleet/instance.rs
+++ b/crates/mangowalk/src/fleet/instance.rs
@@ -12,14 +12,14 @@
 /// An instance as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(crate) struct Instance {
-    /// Address towards callers, its name.
+    /// Address for callers, which is the instance's name on the platform.
     pub(crate) name: String,
-    /// Address towards operators, if it has one.
+    /// Address for operators; `None` if the instance lists no valid one.
     pub(crate) operator_address: Option<SocketAddr>,
 }
 
 impl Instance {
-    fn of(object: &Object) -> Instance {
+    fn from_object(object: &Object) -> Instance {
         let address = object.body["operator_address"].as_str();
         Instance {
             name: object.key.name.clone(),
@@ -29,9 +29,13 @@
 }
 
 /// Returns every instance that the platform lists.
+///
+/// # Errors
+///
+/// Fails if the platform can't be read.
 pub(crate) fn instances(platform: &dyn Platform) -> Result<Vec<Instance>, Report<Failure>> {
     let list = platform
         .list(&[own_kind::INSTANCE])
-        .map_err(|e| Failure::of_read(&e))?;
-    Ok(list.objects.iter().map(Instance::of).collect())
+        .map_err(|e| Failure::from_platform_error(&e))?;
+    Ok(list.objects.iter().map(Instance::from_object).collect())
 }
--- a/crates/mangowalk/src/fleet/survey.rs
+++ b/crates/mangowalk/src/fleet/survey.rs
@@ -13,38 +13,39 @@
     },
 };
 
-/// Instances asked at the same time. At 350 instances of which a rack is dead,
-/// asking one by one would take minutes.
-const ASKED_AT_ONCE: usize = 16;
+/// Maximum number of concurrent calls to instances. With 350 instances of which
+/// a rack is down, sequential calls would take minutes.
+const MAX_CONCURRENT_CALLS: usize = 16;
 
-/// What all instances answered to one question.
+/// Answers of all instances to one call.
 #[derive(Debug, Serialize)]
 pub(crate) struct Survey<T> {
     /// Answers, in the order of the instances' names.
     pub(crate) answered: Vec<T>,
-    /// Instances that did not, and why.
-    pub(crate) silent: Vec<Silent>,
+    /// Instances that did not answer, with the reason.
+    pub(crate) silent: Vec<SilentInstance>,
 }
 
 /// An instance that did not answer.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub(crate) struct Silent {
-    /// Address towards callers.
+pub(crate) struct SilentInstance {
+    /// Address for callers, which is the instance's name on the platform.
     pub(crate) name: String,
-    /// Why.
+    /// The reason.
     pub(crate) why: String,
 }
 
 impl<T: DeserializeOwned + Send> Survey<T> {
-    /// Reads a path of every instance's operator edge.
-    pub(crate) fn of(instances: &[Instance], path: &str) -> Survey<T> {
+    /// Reads a path of every instance at its operator address, with up to
+    /// [`MAX_CONCURRENT_CALLS`] calls at a time.
+    pub(crate) fn collect(instances: &[Instance], path: &str) -> Survey<T> {
         let next = AtomicUsize::new(0);
         let replies = Mutex::new(BTreeMap::new());
         thread::scope(|scope| {
-            for _ in 0..ASKED_AT_ONCE.min(instances.len()) {
+            for _ in 0..MAX_CONCURRENT_CALLS.min(instances.len()) {
                 scope.spawn(|| {
                     while let Some(instance) = instances.get(next.fetch_add(1, Ordering::Relaxed)) {
-                        let reply = ask(instance, path);
+                        let reply = call_instance(instance, path);
                         let mut replies = replies.lock().unwrap_or_else(PoisonError::into_inner);
                         replies.insert(instance.name.clone(), reply);
                     }
@@ -68,8 +69,13 @@
         survey
     }
 
-    /// Returns a failure that names the instances that did not answer.
-    pub(crate) fn complete(&self) -> Result<(), Report<Failure>> {
+    /// Checks that every instance answered.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::Incomplete`] with the names of the instances that did
+    /// not answer, and attaches the reason of each.
+    pub(crate) fn ensure_complete(&self) -> Result<(), Report<Failure>> {
         if self.silent.is_empty() {
             return Ok(());
         }
@@ -83,8 +89,12 @@
     }
 }
 
-fn ask<T: DeserializeOwned>(instance: &Instance, path: &str) -> Result<T, Silent> {
-    let silent = |why: String| Silent {
+/// Reads a path of one instance at its operator address.
+fn call_instance<T: DeserializeOwned>(
+    instance: &Instance,
+    path: &str,
+) -> Result<T, SilentInstance> {
+    let silent = |why: String| SilentInstance {
         name: instance.name.clone(),
         why,
     };
--- a/crates/mangowalk/src/fleet/tables.rs
+++ b/crates/mangowalk/src/fleet/tables.rs
@@ -5,20 +5,21 @@
     std::collections::BTreeMap,
 };
 
-/// Returns the fleet as text.
+/// Returns the instances, the upstreams and the refused records as text.
+/// `newest_record` is the version of the record that was written last.
 pub(super) fn text(survey: &Survey<InstanceStatus>, newest_record: u64) -> String {
     let mut parts = vec![
-        instances(survey, newest_record),
-        upstreams(&survey.answered),
+        instances_table(survey, newest_record),
+        upstreams_table(&survey.answered),
     ];
-    let refused = refused(&survey.answered);
+    let refused = refused_records(&survey.answered);
     if !refused.is_empty() {
         parts.push(refused);
     }
     parts.join("\n\n")
 }
 
-fn instances(survey: &Survey<InstanceStatus>, newest_record: u64) -> String {
+fn instances_table(survey: &Survey<InstanceStatus>, newest_record: u64) -> String {
     let mut table = Table::new(&[
         "INSTANCE", "DOMAIN", "PHASE", "REVISION", "RECORDS", "OPEN", "QUEUED", "SHARES",
     ]);
@@ -45,17 +46,21 @@
     table.text()
 }
 
-/// What all instances say of one upstream.
+/// State of one upstream, combined from the status of all instances.
 #[derive(Default)]
-struct Seen<'a> {
+struct UpstreamSummary<'a> {
     serves: &'a str,
+    /// Number of instances by the state that they report.
     states: BTreeMap<&'a str, usize>,
+    /// Number of instances by the version that they report.
     versions: BTreeMap<&'a str, usize>,
+    /// Requests in flight from all instances.
     in_flight: u32,
+    /// Number of instances that report the upstream as departing.
     departing: usize,
 }
 
-impl<'a> Seen<'a> {
+impl<'a> UpstreamSummary<'a> {
     fn add(&mut self, upstream: &'a UpstreamStatus) {
         self.serves = &upstream.serves;
         *self.states.entry(&upstream.state).or_default() += 1;
@@ -67,8 +72,8 @@
     }
 }
 
-fn upstreams(answered: &[InstanceStatus]) -> String {
-    let mut all: BTreeMap<&str, Seen<'_>> = BTreeMap::new();
+fn upstreams_table(answered: &[InstanceStatus]) -> String {
+    let mut all: BTreeMap<&str, UpstreamSummary<'_>> = BTreeMap::new();
     for upstream in answered.iter().flat_map(|s| &s.upstreams) {
         all.entry(&upstream.name).or_default().add(upstream);
     }
@@ -80,22 +85,22 @@
         "IN FLIGHT",
         "DEPARTING",
     ]);
-    for (name, seen) in &all {
+    for (name, summary) in &all {
         table.row(vec![
             (*name).to_owned(),
-            seen.serves.to_owned(),
-            agreed(&seen.states),
-            agreed(&seen.versions),
-            seen.in_flight.to_string(),
-            departing(seen.departing, answered.len()),
+            summary.serves.to_owned(),
+            value_counts(&summary.states),
+            value_counts(&summary.versions),
+            summary.in_flight.to_string(),
+            departing_cell(summary.departing, answered.len()),
         ]);
     }
     table.text()
 }
 
-/// Returns the value that all instances see, or each value with how many see
-/// it.
-fn agreed(values: &BTreeMap<&str, usize>) -> String {
+/// Returns the value if all instances report the same one, else each value with
+/// the number of instances that report it.
+fn value_counts(values: &BTreeMap<&str, usize>) -> String {
     match values.len() {
         0 => "-".to_owned(),
         1 => values.keys().copied().collect(),
@@ -107,7 +112,8 @@
     }
 }
 
-fn departing(count: usize, answered: usize) -> String {
+/// Formats how many of the instances report an upstream as departing.
+fn departing_cell(count: usize, answered: usize) -> String {
     match count {
         0 => "no".to_owned(),
         n if n == answered => "yes".to_owned(),
@@ -115,7 +121,9 @@
     }
 }
 
-fn refused(answered: &[InstanceStatus]) -> String {
+/// Returns a line for each refused record, with the number of instances that
+/// refuse it.
+fn refused_records(answered: &[InstanceStatus]) -> String {
     let mut lines: BTreeMap<String, usize> = BTreeMap::new();
     for record in answered.iter().flat_map(|s| &s.refused) {
         let earlier = if record.earlier_in_force {
--- a/crates/mangowalk/src/keys/issue.rs
+++ b/crates/mangowalk/src/keys/issue.rs
@@ -17,8 +17,8 @@
     serde_json::json,
 };
 
-/// Digits of the digest in the name of a key that is given none.
-const NAME_DIGITS: usize = 8;
+/// Number of digest digits in the default name of a key.
+const NAME_DIGEST_DIGITS: usize = 8;
 
 /// Arguments of `key issue`.
 #[derive(Debug, Clone, Bpaf)]
@@ -40,8 +40,9 @@
     team: String,
 }
 
+/// JSON output of `key issue`.
 #[derive(Debug, Serialize)]
-struct Issued {
+struct IssuedKey {
     name: String,
     team: String,
     version: u64,
@@ -49,14 +50,19 @@
 }
 
 impl IssueKey {
-    /// Writes the digest of a new key, then prints the key.
+    /// Generates a key, writes its digest to the platform, and prints the key.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::RecordNotFound`] if there is no such team, and
+    /// [`Failure::Conflict`] if a key of that name exists.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let platform = self.common.platform();
         let team = ObjectKey::new(&Kind::Team.to_string(), &self.team);
         if read(&platform, &team)?.is_none() {
-            return Err(Report::new(Failure::Missing { key: team }));
+            return Err(Report::new(Failure::RecordNotFound { key: team }));
         }
-        let key = secret::draw().map_err(|error| Failure::BadFile {
+        let key = secret::generate().map_err(|error| Failure::InvalidInput {
             what: "The system's random generator".to_owned(),
             detail: error.to_string(),
         })?;
@@ -64,7 +70,7 @@
         let name = self
             .name
             .clone()
-            .unwrap_or_else(|| format!("{}-{}", self.team, &digest[..NAME_DIGITS]));
+            .unwrap_or_else(|| format!("{}-{}", self.team, &digest[..NAME_DIGEST_DIGITS]));
         let file = RecordFile {
             kind: Kind::Key,
             name: name.clone(),
@@ -76,7 +82,7 @@
         progress(&format!(
             "Issued key/{name} at version {version}. The key is shown this once; `mangowalk key withdraw {name}` ends it."
         ));
-        let issued = Issued {
+        let issued = IssuedKey {
             name,
             team: self.team.clone(),
             version,
--- a/crates/mangowalk/src/keys/withdraw.rs
+++ b/crates/mangowalk/src/keys/withdraw.rs
@@ -26,12 +26,16 @@
 }
 
 impl WithdrawKey {
-    /// Withdraws the key.
+    /// Deletes the key's record and prints the result.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Failure::RecordNotFound`] if there is no such key.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let key = ObjectKey::new(&Kind::Key.to_string(), &self.name);
         let platform = self.common.platform();
-        let written = withdraw_record(&platform, key, None)?;
-        self.common.output().print(&written, &written.text());
-        self.wait.until_in_force(&platform, written.version)
+        let result = withdraw_record(&platform, key, None)?;
+        self.common.output().print(&result, &result.text());
+        self.wait.until_in_force(&platform, result.version)
     }
 }
--- a/crates/mangowalk/src/output/table.rs
+++ b/crates/mangowalk/src/output/table.rs
@@ -1,10 +1,11 @@
-/// Columns of text, each as wide as its widest cell.
+/// Text table whose columns are as wide as their widest cells.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
-const GAP: &str = "  ";
+/// Text between two columns.
+const COLUMN_GAP: &str = "  ";
 
 impl Table {
     /// Returns a table with a row of headings.
@@ -24,11 +25,12 @@
         let widths = self.widths();
         self.rows
             .iter()
-            .map(|row| line(row, &widths))
+            .map(|row| format_row(row, &widths))
             .collect::<Vec<String>>()
             .join("\n")
     }
 
+    /// Returns the width of each column in characters.
     fn widths(&self) -> Vec<usize> {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         (0..columns)
@@ -40,11 +42,11 @@
     }
 }
 
-fn line(row: &[String], widths: &[usize]) -> String {
+fn format_row(row: &[String], widths: &[usize]) -> String {
     let cells: Vec<String> = row
         .iter()
         .zip(widths)
         .map(|(cell, width)| format!("{cell:<width$}"))
         .collect();
-    cells.join(GAP).trim_end().to_owned()
+    cells.join(COLUMN_GAP).trim_end().to_owned()
 }
--- a/crates/mangowalk/src/records/apply.rs
+++ b/crates/mangowalk/src/records/apply.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Action, RecordFile, Written, plan::Plan, put},
+    super::{Action, RecordFile, WriteResult, plan::Plan, put},
     crate::{
         cli::{Common, common},
         failure::Failure,
@@ -36,7 +36,12 @@
 }
 
 impl Apply {
-    /// Checks every record, then writes those that differ.
+    /// Checks every record, then writes those that differ from the platform's.
+    ///
+    /// # Errors
+    ///
+    /// Fails without a write if a file, a record or a version doesn't fit. A
+    /// failed write leaves the records before it written.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let records = self.records()?;
         let platform = self.common.platform();
@@ -44,26 +49,26 @@
             .iter()
             .map(|r| Plan::new(&platform, r, self.overwrite))
             .collect::<Result<Vec<Plan<'_>>, _>>()?;
-        let written = if self.dry_run {
+        let results = if self.dry_run {
             progress("Dry run: nothing is written.");
             plans
                 .into_iter()
-                .map(|p| p.written)
-                .collect::<Vec<Written>>()
+                .map(|p| p.result)
+                .collect::<Vec<WriteResult>>()
         } else {
             self.write(&platform, &plans)?
         };
-        let text = Written::texts(&written);
-        self.common.output().print(&written, &text);
+        let text = WriteResult::join_texts(&results);
+        self.common.output().print(&results, &text);
         if self.dry_run {
             return Ok(());
         }
-        let newest = written.iter().map(|w| w.version).max().unwrap_or(0);
+        let newest = results.iter().map(|w| w.version).max().unwrap_or(0);
         self.wait.until_in_force(&platform, newest)
     }
 
-    /// Reads every file, and returns the records in the order in which a new
-    /// fleet needs them.
+    /// Reads and checks every file. Returns the records in the order in which a
+    /// new fleet needs them, that of [`Kind::WRITTEN_BY_OPERATORS`].
     fn records(&self) -> Result<Vec<RecordFile>, Report<Failure>> {
         let mut records = Vec::new();
         for file in &self.files {
@@ -73,7 +78,7 @@
         for record in &records {
             record.check()?;
             if !seen.insert(record.key()) {
-                return Err(Report::new(Failure::BadFile {
+                return Err(Report::new(Failure::InvalidInput {
                     what: format!("{}/{}", record.kind, record.name),
                     detail: "it is there twice; leave one out".to_owned(),
                 }));
@@ -83,18 +88,20 @@
         Ok(records)
     }
 
+    /// Writes the planned records in order. If a write fails, prints the
+    /// results so far and adds the number of remaining records to the failure.
     fn write(
         &self,
         platform: &dyn Platform,
         plans: &[Plan<'_>],
-    ) -> Result<Vec<Written>, Report<Failure>> {
-        let mut done: Vec<Written> = Vec::new();
+    ) -> Result<Vec<WriteResult>, Report<Failure>> {
+        let mut done: Vec<WriteResult> = Vec::new();
         for plan in plans {
             match write_one(platform, plan) {
-                Ok(written) => done.push(written),
+                Ok(result) => done.push(result),
                 Err(report) => {
                     let left = plans.len() - done.len() - 1;
-                    let before = Written::texts(&done);
+                    let before = WriteResult::join_texts(&done);
                     self.common.output().print(&done, &before);
                     return Err(report.attach(format!("{left} records behind it were not tried.")));
                 }
@@ -104,11 +111,11 @@
     }
 }
 
-fn write_one(platform: &dyn Platform, plan: &Plan<'_>) -> Result<Written, Report<Failure>> {
-    let mut written = plan.written.clone();
-    if written.action != Action::Unchanged {
-        let seen = written.version;
-        written.version = put(platform, &written.key, seen, &plan.record.record)?;
+fn write_one(platform: &dyn Platform, plan: &Plan<'_>) -> Result<WriteResult, Report<Failure>> {
+    let mut result = plan.result.clone();
+    if result.action != Action::Unchanged {
+        let expected_version = result.version;
+        result.version = put(platform, &result.key, expected_version, &plan.record.record)?;
     }
-    Ok(written)
+    Ok(result)
 }
--- a/crates/mangowalk/src/records/fields.rs
+++ b/crates/mangowalk/src/records/fields.rs
@@ -7,16 +7,16 @@
 /// A field that a write changes.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(crate) struct FieldChange {
-    /// Path of the field, its parts joined by dots.
+    /// Path of the field, with dots between its parts.
     pub(crate) field: String,
-    /// Value before, none if the field is new.
+    /// Value before the write, `None` if the field is new.
     pub(crate) before: Option<Value>,
-    /// Value after, none if the field goes.
+    /// Value after the write, `None` if the field is removed.
     pub(crate) after: Option<Value>,
 }
 
 impl FieldChange {
-    /// Returns the change in words.
+    /// Returns the change as a line of text.
     pub(crate) fn text(&self) -> String {
         let show = |v: &Option<Value>| v.as_ref().map_or("none".to_owned(), Value::to_string);
         format!(
@@ -29,8 +29,8 @@
 }
 
 /// Returns the fields in which two records differ.
-pub(super) fn changes(before: &Value, after: &Value) -> Vec<FieldChange> {
-    let (before, after) = (flat(before), flat(after));
+pub(super) fn changed_fields(before: &Value, after: &Value) -> Vec<FieldChange> {
+    let (before, after) = (flatten(before), flatten(after));
     let names: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
     names
         .into_iter()
@@ -43,13 +43,14 @@
         .collect()
 }
 
-fn flat(value: &Value) -> BTreeMap<String, Value> {
+/// Returns the values of a record by their paths. Only objects are split up.
+fn flatten(value: &Value) -> BTreeMap<String, Value> {
     let mut fields = BTreeMap::new();
-    collect("", value, &mut fields);
+    flatten_into("", value, &mut fields);
     fields
 }
 
-fn collect(path: &str, value: &Value, fields: &mut BTreeMap<String, Value>) {
+fn flatten_into(path: &str, value: &Value, fields: &mut BTreeMap<String, Value>) {
     let Value::Object(object) = value else {
         fields.insert(path.to_owned(), value.clone());
         return;
@@ -60,6 +61,6 @@
         } else {
             format!("{path}.{name}")
         };
-        collect(&path, value, fields);
+        flatten_into(&path, value, fields);
     }
 }
--- a/crates/mangowalk/src/records/mod.rs
+++ b/crates/mangowalk/src/records/mod.rs
@@ -1,4 +1,5 @@
-//! Commands that read and write records.
+//! The commands `apply`, `set`, `withdraw`, `list` and `show`, which read and
+//! write records.
 
 mod apply;
 mod fields;
@@ -9,7 +10,7 @@
 mod show;
 mod withdraw;
 mod write;
-mod written;
+mod write_result;
 
 pub(crate) use {
     apply::{Apply, apply},
@@ -19,5 +20,5 @@
     show::{Show, show},
     withdraw::{Withdraw, withdraw, withdraw_record},
     write::{delete, put, read},
-    written::{Action, Written},
+    write_result::{Action, WriteResult},
 };
--- a/crates/mangowalk/src/records/plan.rs
+++ b/crates/mangowalk/src/records/plan.rs
@@ -1,50 +1,64 @@
 use {
-    super::{Action, RecordFile, Written, fields::changes, read},
+    super::{Action, RecordFile, WriteResult, fields::changed_fields, read},
     crate::failure::Failure,
     error_stack::Report,
     mangowalk_core::edge::Platform,
 };
 
-/// What is to be done to one record, decided on the version that was read.
+/// Planned write of one record, based on the version that was read.
 #[derive(Debug)]
 pub(super) struct Plan<'a> {
-    /// The record of the file.
+    /// The record to write, from a file.
     pub(super) record: &'a RecordFile,
-    /// What is to be done, with the version that is there.
-    pub(super) written: Written,
+    /// Planned action and changes, with the version that the platform holds.
+    pub(super) result: WriteResult,
 }
 
 impl<'a> Plan<'a> {
     /// Compares a record of a file with what the platform holds.
+    ///
+    /// # Errors
+    ///
+    /// Unless `overwrite` is set, returns [`Failure::Conflict`] if the platform
+    /// holds another version than the file gives, and
+    /// [`Failure::VersionRequired`] if the file gives none and the records
+    /// differ.
     pub(super) fn new(
         platform: &dyn Platform,
         record: &'a RecordFile,
         overwrite: bool,
     ) -> Result<Plan<'a>, Report<Failure>> {
         let key = record.key();
-        let held = read(platform, &key)?;
-        let version = held.as_ref().map_or(0, |o| o.version);
+        let stored = read(platform, &key)?;
+        let version = stored.as_ref().map_or(0, |o| o.version);
         let plan = |action, changes| Plan {
             record,
-            written: Written {
+            result: WriteResult {
                 key: key.clone(),
                 action,
                 version,
                 changes,
             },
         };
-        if held.as_ref().is_some_and(|o| o.body == record.record) {
+        if stored.as_ref().is_some_and(|o| o.body == record.record) {
             return Ok(plan(Action::Unchanged, Vec::new()));
         }
-        if record.version.is_some_and(|seen| seen != version) && !overwrite {
+        if record
+            .version
+            .is_some_and(|expected_version| expected_version != version)
+            && !overwrite
+        {
             return Err(Report::new(Failure::Conflict { key, version }));
         }
-        let Some(held) = held else {
+        let Some(stored) = stored else {
             return Ok(plan(Action::Created, Vec::new()));
         };
         if record.version.is_none() && !overwrite {
-            return Err(Report::new(Failure::Differs { key, version }));
+            return Err(Report::new(Failure::VersionRequired { key, version }));
         }
-        Ok(plan(Action::Changed, changes(&held.body, &record.record)))
+        Ok(plan(
+            Action::Changed,
+            changed_fields(&stored.body, &record.record),
+        ))
     }
 }
--- a/crates/mangowalk/src/records/show.rs
+++ b/crates/mangowalk/src/records/show.rs
@@ -32,35 +32,38 @@
 
 impl Show {
     /// Prints the record in the form that `apply` reads, so that it can be
-    /// edited and written back over the version that was seen.
+    /// edited and written back over the version shown. Messages on standard
+    /// error say whether the record is valid and in force.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let key = ObjectKey::new(&self.kind.to_string(), &self.name);
         let platform = self.common.platform();
-        let held = read(&platform, &key)?.ok_or_else(|| Failure::Missing { key: key.clone() })?;
-        if let Err(error) = parse(self.kind, &held.body) {
+        let stored =
+            read(&platform, &key)?.ok_or_else(|| Failure::RecordNotFound { key: key.clone() })?;
+        if let Err(error) = parse(self.kind, &stored.body) {
             progress(&format!("This client would refuse the record. {error}"));
         }
-        if let Some(status) = status_of(&platform, &held)? {
+        if let Some(status) = current_status(&platform, &stored)? {
             progress(&status.text());
         }
         let file = RecordFile {
             kind: self.kind,
             name: self.name.clone(),
-            version: Some(held.version),
-            record: held.body,
+            version: Some(stored.version),
+            record: stored.body,
         };
         Output { json: true }.print(&file, "");
         Ok(())
     }
 }
 
-/// Returns what the instances say of a record, if it is of this version.
-fn status_of(
+/// Returns the status published for a record, if it is about the stored
+/// version.
+fn current_status(
     platform: &dyn Platform,
-    held: &Object,
+    stored: &Object,
 ) -> Result<Option<RecordStatus>, Report<Failure>> {
-    let key = RecordStatus::key(&held.key.kind, &held.key.name);
+    let key = RecordStatus::key(&stored.key.kind, &stored.key.name);
     let status = read(platform, &key)?
         .and_then(|object| serde_json::from_value::<RecordStatus>(object.body).ok());
-    Ok(status.filter(|s| s.version == held.version))
+    Ok(status.filter(|s| s.version == stored.version))
 }
--- a/crates/mangowalk/src/records/withdraw.rs
+++ b/crates/mangowalk/src/records/withdraw.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Action, Written, delete, read},
+    super::{Action, WriteResult, delete, read},
     crate::{
         cli::{Common, common, kind},
         failure::Failure,
@@ -22,7 +22,7 @@
 
     /// Withdraw only if the record is at this version.
     #[bpaf(long("if-version"), argument("VERSION"), optional)]
-    seen: Option<u64>,
+    expected_version: Option<u64>,
 
     #[bpaf(external(kind))]
     kind: Kind,
@@ -33,31 +33,38 @@
 }
 
 impl Withdraw {
-    /// Withdraws the record.
+    /// Deletes the record and prints the result.
     pub(crate) fn run(&self) -> Result<(), Report<Failure>> {
         let key = ObjectKey::new(&self.kind.to_string(), &self.name);
         let platform = self.common.platform();
-        let written = withdraw_record(&platform, key, self.seen)?;
-        self.common.output().print(&written, &written.text());
-        self.wait.until_in_force(&platform, written.version)
+        let result = withdraw_record(&platform, key, self.expected_version)?;
+        self.common.output().print(&result, &result.text());
+        self.wait.until_in_force(&platform, result.version)
     }
 }
 
-/// Withdraws a record as it is now, or only at the version that was seen.
+/// Deletes the current version of a record, or only `expected_version` if that
+/// is given.
+///
+/// # Errors
+///
+/// Returns [`Failure::RecordNotFound`] if there is no such record, and
+/// [`Failure::Conflict`] if it has another version.
 pub(crate) fn withdraw_record(
     platform: &dyn Platform,
     key: ObjectKey,
-    seen: Option<u64>,
-) -> Result<Written, Report<Failure>> {
-    let held = read(platform, &key)?.ok_or_else(|| Failure::Missing { key: key.clone() })?;
-    if seen.is_some_and(|version| version != held.version) {
+    expected_version: Option<u64>,
+) -> Result<WriteResult, Report<Failure>> {
+    let stored =
+        read(platform, &key)?.ok_or_else(|| Failure::RecordNotFound { key: key.clone() })?;
+    if expected_version.is_some_and(|version| version != stored.version) {
         return Err(Report::new(Failure::Conflict {
             key,
-            version: held.version,
+            version: stored.version,
         }));
     }
-    let version = delete(platform, &key, held.version)?;
-    Ok(Written {
+    let version = delete(platform, &key, stored.version)?;
+    Ok(WriteResult {
         key,
         action: Action::Withdrawn,
         version,
--- a/crates/mangowalk/src/records/write.rs
+++ b/crates/mangowalk/src/records/write.rs
@@ -8,89 +8,109 @@
     serde_json::Value,
 };
 
-/// Times that a write whose reply was lost before it took effect is sent.
-const MOST_WRITES: u32 = 2;
+/// Maximum number of times that a write is sent. It is sent again if its reply
+/// was lost and it did not take effect.
+const MAX_WRITE_ATTEMPTS: u32 = 2;
 
-/// Reads one object.
+/// Reads one object; `None` if it doesn't exist.
+///
+/// # Errors
+///
+/// Fails if the platform can't be read.
 pub(crate) fn read(
     platform: &dyn Platform,
     key: &ObjectKey,
 ) -> Result<Option<Object>, Report<Failure>> {
     platform
         .get(key)
-        .map_err(|e| Report::new(Failure::of_read(&e)))
+        .map_err(|e| Report::new(Failure::from_platform_error(&e)))
 }
 
-/// Writes one object over the version that the operator saw, 0 for none, and
-/// returns its new version.
+/// Writes one object over `expected_version`, 0 for an object that doesn't
+/// exist yet, and returns its new version.
+///
+/// The condition on the version prevents two operators who read the same
+/// version from overwriting each other's changes unnoticed: the platform
+/// accepts one of the two writes, and the other fails with a conflict.
 ///
-/// Two operators who saw the same version would otherwise undo each other's
-/// work unseen; the platform takes one of the two writes, and the other
-/// operator is told.
+/// # Errors
+///
+/// Returns [`Failure::Conflict`] if the platform holds another version, and
+/// [`Failure::UnknownOutcome`] if a reply was lost and it can't be found out
+/// whether the write took effect.
 pub(crate) fn put(
     platform: &dyn Platform,
     key: &ObjectKey,
-    seen: u64,
+    expected_version: u64,
     body: &Value,
 ) -> Result<u64, Report<Failure>> {
-    let send = || platform.put(key, expect(seen), body);
-    let written = |held: Option<&Object>| held.filter(|o| o.body == *body).map(|o| o.version);
-    settle(platform, key, seen, &send, &written)
+    let send = || platform.put(key, precondition(expected_version), body);
+    let written_version =
+        |stored: Option<&Object>| stored.filter(|o| o.body == *body).map(|o| o.version);
+    write_until_known(platform, key, expected_version, &send, &written_version)
 }
 
-/// Deletes one object at the version that the operator saw.
+/// Deletes one object at `expected_version`, and returns that version.
+///
+/// # Errors
+///
+/// As [`put`].
 pub(crate) fn delete(
     platform: &dyn Platform,
     key: &ObjectKey,
-    seen: u64,
+    expected_version: u64,
 ) -> Result<u64, Report<Failure>> {
-    let send = || platform.delete(key, expect(seen));
-    let gone = |held: Option<&Object>| held.is_none().then_some(seen);
-    settle(platform, key, seen, &send, &gone)
+    let send = || platform.delete(key, precondition(expected_version));
+    let deleted_version = |stored: Option<&Object>| stored.is_none().then_some(expected_version);
+    write_until_known(platform, key, expected_version, &send, &deleted_version)
 }
 
-fn expect(seen: u64) -> Expect {
-    match seen {
+/// Returns the platform's condition for an expected version, 0 for an object
+/// that doesn't exist.
+fn precondition(expected_version: u64) -> Expect {
+    match expected_version {
         0 => Expect::Absent,
         version => Expect::Version(version),
     }
 }
 
 /// Sends a conditional write until its outcome is known.
+/// `committed_version` returns the version of the write if the stored object
+/// shows that it took effect.
 ///
-/// The reply of a write can be lost after the write took effect. Sending it
-/// again unread would then report a conflict with oneself, so the object is
-/// read back first and compared.
-fn settle(
+/// The reply to a write can be lost after the write took effect. A retry
+/// without a read would then report a conflict with the client's own write, so
+/// the object is read back and compared first.
+fn write_until_known(
     platform: &dyn Platform,
     key: &ObjectKey,
-    seen: u64,
+    expected_version: u64,
     send: &dyn Fn() -> Result<u64, PlatformError>,
-    done: &dyn Fn(Option<&Object>) -> Option<u64>,
+    committed_version: &dyn Fn(Option<&Object>) -> Option<u64>,
 ) -> Result<u64, Report<Failure>> {
-    let unknown = || Report::new(Failure::Unknown { key: key.clone() });
-    let mut lost_before = false;
-    for _ in 0..MOST_WRITES {
+    let unknown_outcome = || Report::new(Failure::UnknownOutcome { key: key.clone() });
+    let mut reply_was_lost = false;
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match send() {
             Ok(version) => return Ok(version),
-            Err(PlatformError::Conflict { version }) if !lost_before => {
+            Err(PlatformError::Conflict { version }) if !reply_was_lost => {
                 return Err(conflict(key, version));
             }
             Err(PlatformError::Conflict { .. } | PlatformError::Lost) => {}
-            Err(error) if lost_before => return Err(unknown().attach(error.to_string())),
-            Err(error) => return Err(Report::new(Failure::of_read(&error))),
+            Err(error) if reply_was_lost => return Err(unknown_outcome().attach(error.to_string())),
+            Err(error) => return Err(Report::new(Failure::from_platform_error(&error))),
         }
-        lost_before = true;
-        let held = platform.get(key).map_err(|_| unknown())?;
-        if let Some(version) = done(held.as_ref()) {
+        reply_was_lost = true;
+        let stored = platform.get(key).map_err(|_| unknown_outcome())?;
+        if let Some(version) = committed_version(stored.as_ref()) {
             return Ok(version);
         }
-        let version = held.map_or(0, |o| o.version);
-        if version != seen {
+        let version = stored.map_or(0, |o| o.version);
+        if version != expected_version {
             return Err(conflict(key, version));
         }
     }
-    Err(unknown())
+    Err(unknown_outcome())
 }
 
 fn conflict(key: &ObjectKey, version: u64) -> Report<Failure> {
--- a/crates/mangowalk/src/story/mod.rs
+++ b/crates/mangowalk/src/story/mod.rs
@@ -1,8 +1,9 @@
-//! The story of one request, read back from the logs of several instances.
+//! The `story` command: reconstructs what happened to one request from the logs
+//! of several instances.
 
 mod cause;
 mod command;
 mod line;
-mod tell;
+mod timeline;
 
 pub(crate) use command::{Story, story};
--- a/crates/mangowalk/tests/client/burn.rs
+++ b/crates/mangowalk/tests/client/burn.rs
@@ -1,4 +1,4 @@
-//! The burn report over real instances.
+//! The command `burn`, against router processes.
 
 use {
     crate::support::{client_of, eventually, fleet},
@@ -6,6 +6,7 @@
     serde_json::Value,
 };
 
+/// Returns the first row of an objective.
 fn row<'a>(report: &'a Value, objective: &str) -> &'a Value {
     let rows = report["rows"].as_array().expect("rows");
     rows.iter()
@@ -13,10 +14,10 @@
         .expect("a row")
 }
 
-/// Requests go to two instances in turn. The report must show each once: what
-/// callers received is what is summed.
+/// Requests go to two instances in turn. The report must count each request
+/// once, as its caller saw it.
 #[test]
-fn the_report_sums_what_callers_received() {
+fn the_report_counts_each_request_once() {
     let fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
     let mut received = [0u64; 2];
@@ -48,13 +49,14 @@
     assert_eq!(refused, Some(received[1]), "{run}");
 }
 
-/// Both engines crash within every answer until the router gives up. The
-/// caller sees a cut stream; the report shows the objective `complete` burn.
+/// Both engines crash within every answer until the router gives up, so that
+/// the caller's stream is cut off. The report must count it against the
+/// objective `complete`.
 #[test]
-fn cut_answers_burn() {
+fn interrupted_answers_burn_the_error_budget() {
     let fleet = fleet(1, FleetSettings::default());
     let client = client_of(&fleet);
-    serve_one(&fleet);
+    wait_until_served(&fleet);
     for engine in &fleet.engines {
         engine.set_faults(mangowalk_standins::EngineFaults {
             crash_after_tokens: Some(2),
@@ -68,7 +70,8 @@
     assert_eq!(row(&report, "complete")["level"], "fast", "{report}");
 }
 
-fn serve_one(fleet: &Fleet) {
+/// Waits until the router has answered a request.
+fn wait_until_served(fleet: &Fleet) {
     for _ in 0..100 {
         if fleet.chat(0, "warm", 1, false).status == 200 {
             return;
--- a/crates/mangowalk/tests/client/fleet.rs
+++ b/crates/mangowalk/tests/client/fleet.rs
@@ -1,7 +1,7 @@
-//! What the fleet says of itself, and waiting until a write is in force.
+//! The command `fleet`, the status of records, and the flag `--wait`.
 
 use {
-    crate::support::{Client, client_of, eventually, eventually_in_force, fleet, platform},
+    crate::support::{Client, client_of, eventually, fleet, platform, wait_until_in_force},
     mangowalk_standins::{FleetSettings, PlatformFaults},
     serde_json::json,
 };
@@ -10,7 +10,7 @@
 fn every_instance_is_shown_with_its_records_in_force() {
     let fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
-    eventually_in_force(&fleet, 2);
+    wait_until_in_force(&fleet, 2);
     let shown = client.run(&["fleet", "--json"]).json();
     let answered = shown["answered"].as_array().expect("instances");
     for (status, router) in answered.iter().zip(sorted(&fleet)) {
@@ -20,19 +20,20 @@
     }
 }
 
+/// Returns the addresses of the routers in order.
 fn sorted(fleet: &mangowalk_standins::Fleet) -> Vec<String> {
     let mut addresses: Vec<_> = fleet.routers.iter().map(|r| r.address()).collect();
     addresses.sort();
     addresses.iter().map(ToString::to_string).collect()
 }
 
-/// An instance dies and the platform's list still has it. The operator sees
-/// the others, is told which one is missing, and a script sees exit code 6.
+/// An instance dies while the platform still lists it. The commands must print
+/// the results of the others, name the dead one, and exit with code 6.
 #[test]
 fn an_instance_that_does_not_answer_is_named() {
     let mut fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
-    eventually_in_force(&fleet, 2);
+    wait_until_in_force(&fleet, 2);
     let dead = fleet.routers[1].address().to_string();
     fleet.routers[1].kill();
     for command in ["fleet", "burn"] {
@@ -43,9 +44,9 @@
     }
 }
 
-/// A bad record reaches the platform past the client. It is refused alone; the
-/// fleet's page says why, what would mend it, and that the write before it
-/// stays in force.
+/// An invalid record is written to the platform without the client. Instances
+/// refuse only that record. `fleet` must show the reason, how to correct it,
+/// and that the write before it stays in force.
 #[test]
 fn a_refused_record_is_shown_with_its_remedy() {
     let fleet = fleet(1, FleetSettings::default());
@@ -64,16 +65,16 @@
     assert!(run.stdout.contains("upgrade this instance"), "{run}");
 }
 
-/// One instance is paused while a key is issued. The key is there, but a
-/// caller who meets that instance is refused: `--wait` says so instead of
-/// reporting success, and succeeds once the instance goes on.
+/// One instance is frozen during a write. `--wait` must name it and fail, since
+/// callers of that instance still see the old record, and succeed once the
+/// instance runs again.
 #[test]
 fn waiting_fails_while_an_instance_is_behind() {
     let fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
-    eventually_in_force(&fleet, 2);
+    wait_until_in_force(&fleet, 2);
     fleet.routers[1].freeze();
-    let late = client.run(&[
+    let behind = client.run(&[
         "set",
         "team",
         "gallery",
@@ -82,16 +83,16 @@
         "--wait-timeout-ms=100",
     ]);
     fleet.routers[1].thaw();
-    assert_eq!(late.code, 6, "{late}");
+    assert_eq!(behind.code, 6, "{behind}");
     let frozen = fleet.routers[1].address().to_string();
-    assert!(late.stderr.contains(&frozen), "{late}");
+    assert!(behind.stderr.contains(&frozen), "{behind}");
     let done = client.run(&["set", "team", "gallery", "priority=3", "--wait"]);
     assert_eq!(done.code, 0, "{done}");
     assert!(done.stderr.contains("in force on 2 of 2"), "{done}");
 }
 
-/// The platform's list lags and shows no instance. "In force on all of none"
-/// would be a lie.
+/// The platform's list lags and has no instance. `--wait` must fail instead of
+/// reporting a write as in force on all of zero instances.
 #[test]
 fn waiting_for_no_instance_fails() {
     let platform = platform();
@@ -108,11 +109,11 @@
     assert_eq!(run.code, 6, "{run}");
 }
 
-/// One instance writes to the platform what became of each record. A refused
-/// one says why, a mended one that it is in force, and a status of an older
-/// version is not shown, whoever left it there.
+/// One instance publishes the status of each record on the platform. `show`
+/// must print the reason for a refused record and that a corrected one is in
+/// force. It must not print a status of an older version, whoever wrote it.
 #[test]
-fn a_refused_record_has_a_status_until_it_is_mended() {
+fn a_refused_record_has_a_status_until_it_is_corrected() {
     let fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
     let bad = fleet
@@ -136,13 +137,14 @@
     assert_eq!(run.stderr, "", "{run}");
 }
 
-/// The instance answers, but the platform's watch to it is stuck, so that it
-/// has not heard of the write. It must not be counted as having it.
+/// The instance answers, but its watch of the platform is stalled, so that it
+/// has not received the write. `--wait` must not count it as having the write
+/// in force.
 #[test]
-fn an_instance_that_answers_may_still_be_behind() {
+fn an_instance_with_a_stalled_watch_is_not_in_force() {
     let fleet = fleet(1, FleetSettings::default());
     let client = client_of(&fleet);
-    eventually_in_force(&fleet, 1);
+    wait_until_in_force(&fleet, 1);
     fleet.platform.set_faults(PlatformFaults {
         mute_watches: true,
         ..PlatformFaults::default()
@@ -158,9 +160,9 @@
             "--wait-timeout-ms=1",
         ])
     };
-    let late = set(4);
-    assert_eq!(late.code, 6, "{late}");
-    assert!(late.stderr.contains("in force on 0 of 1"), "{late}");
+    let behind = set(4);
+    assert_eq!(behind.code, 6, "{behind}");
+    assert!(behind.stderr.contains("in force on 0 of 1"), "{behind}");
     fleet.platform.set_faults(PlatformFaults::default());
     let field = ["set", "team", "gallery", "priority=4", "--wait"];
     let done = client.run(&field);
