--- a/crates/core/examples/decision.rs
+++ b/crates/core/examples/decision.rs
@@ -103,7 +103,7 @@
         model: "drafting",
         version: "v1",
         chain: &chain,
-        kv_store_blocks: 0,
+        cache_store_blocks: 0,
         avoid: &none,
         is_usable: &|_| true,
         waited_ms: 0,
--- a/crates/core/src/admission/dispatcher.rs
+++ b/crates/core/src/admission/dispatcher.rs
@@ -135,7 +135,7 @@
             model: &job.model,
             version: &job.version,
             chain: &job.chain,
-            kv_store_blocks: job.cache_store_blocks,
+            cache_store_blocks: job.cache_store_blocks,
             avoid: &job.avoid,
             is_usable,
             waited_ms: now_ms.saturating_sub(job.arrived_ms),
--- a/crates/core/src/placement/choice.rs
+++ b/crates/core/src/placement/choice.rs
@@ -11,7 +11,7 @@
     /// version.
     pub chain: &'a [u64],
     /// Leading blocks of the prompt that the KV cache store is known to hold.
-    pub kv_store_blocks: usize,
+    pub cache_store_blocks: usize,
     /// Engines that must not be used: those that an earlier attempt tried, and
     /// those that run another request suspected of causing a crash.
     pub avoid: &'a HashSet<String>,
--- a/crates/core/src/placement/decide.rs
+++ b/crates/core/src/placement/decide.rs
@@ -199,7 +199,7 @@
         // the engine skips those that it finds in its cache.
         let import_blocks = if imports {
             request
-                .kv_store_blocks
+                .cache_store_blocks
                 .saturating_sub(candidate.held_blocks)
         } else {
             0
@@ -237,7 +237,7 @@
     fn prefill_ms(&self, request: &PlacementRequest<'_>, held_blocks: f64) -> (f64, bool) {
         let settings = &self.settings;
         let blocks = request.chain.len() as f64;
-        let importable = (request.kv_store_blocks as f64 - held_blocks).max(0.0);
+        let importable = (request.cache_store_blocks as f64 - held_blocks).max(0.0);
         let import_us = settings.import_us.filter(|us| *us < settings.miss_us);
         let imported = import_us.map_or(0.0, |_| importable);
         let missed = (blocks - held_blocks - imported).max(0.0);
--- a/crates/core/src/pool/kv_store.rs
+++ b/crates/core/src/pool/cache_store.rs
@@ -15,7 +15,7 @@
 
 /// Contents of a KV cache store as known to this instance.
 #[derive(Debug, Default)]
-pub struct KvStoreContents {
+pub struct CacheStoreContents {
     epoch: Option<u64>,
     held: HashSet<u64>,
     is_up: bool,
@@ -23,7 +23,7 @@
 }
 
 /// Returns the key of a part that is stored under a salt.
-pub fn kv_store_key(salt: &str, part: u64) -> u64 {
+pub fn cache_store_key(salt: &str, part: u64) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for byte in salt.bytes() {
         hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
@@ -31,7 +31,7 @@
     hash ^ part
 }
 
-impl KvStoreContents {
+impl CacheStoreContents {
     /// Records that the store answered. Clears the known contents if the store
     /// has restarted (a new `epoch`) or changes were `lost`.
     pub fn record_answer(&mut self, epoch: u64, lost: bool) {
--- a/crates/core/src/pool/mod.rs
+++ b/crates/core/src/pool/mod.rs
@@ -3,12 +3,12 @@
 
 mod admit;
 mod cache_source;
+mod cache_store;
 mod choice;
 mod departures;
 mod entry;
 mod health;
 mod known_engine;
-mod kv_store;
 mod listing_status;
 mod prompt_length;
 mod requirements;
@@ -18,12 +18,12 @@
 pub use {
     admit::{AdmitSettings, PrefillRate, retry_after_ms},
     cache_source::{CacheSource, find_cache_source},
+    cache_store::{CacheStoreContents, cache_store_key},
     choice::{ChoiceSettings, choose, rendezvous},
     departures::Departure,
     entry::{EngineEntry, Incarnation, ModelVersion},
     health::{Health, HealthSettings},
     known_engine::{KnownEngine, Load, WorkPause},
-    kv_store::{KvStoreContents, kv_store_key},
     listing_status::{DepartureSuspicion, ListingStatus},
     prompt_length::MeanPromptLength,
     requirements::{EngineRequirements, PromptPart},
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -11,7 +11,7 @@
     configuration::{CallerLimits, Configuration},
     repeat_policy::RepeatPolicy,
     route::{Route, WeightedService},
-    service::{EngineLimits, KvCacheStore, Service},
+    service::{CacheStore, EngineLimits, Service},
     table::{RouteError, RouteTable},
     tenant::{Tenant, TokenRate},
 };
--- a/crates/core/src/routing/service.rs
+++ b/crates/core/src/routing/service.rs
@@ -12,7 +12,7 @@
 
 /// A store for cached parts of prompts, which outlives the engines' memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KvCacheStore {
+pub struct CacheStore {
     /// Address on which the store listens.
     pub address: SocketAddr,
     /// Failure domain of the store.
@@ -30,5 +30,5 @@
     /// Capacity of each engine; `None` for services that are no model engines.
     pub engine: Option<EngineLimits>,
     /// Set if the service is a KV cache store. Such a service runs no requests.
-    pub kv_cache_store: Option<KvCacheStore>,
+    pub cache_store: Option<CacheStore>,
 }
--- a/crates/core/tests/pool.rs
+++ b/crates/core/tests/pool.rs
@@ -3,9 +3,9 @@
 use {
     mangowalk_core::{
         pool::{
-            AdmitSettings, ChoiceSettings, EngineEntry, EngineRequirements, EngineTable, Health,
-            HealthSettings, Incarnation, KnownEngine, KvStoreContents, Load, ModelVersion,
-            PrefillRate, PromptPart, Turnover, choose, find_cache_source, kv_store_key,
+            AdmitSettings, CacheStoreContents, ChoiceSettings, EngineEntry, EngineRequirements,
+            EngineTable, Health, HealthSettings, Incarnation, KnownEngine, Load, ModelVersion,
+            PrefillRate, PromptPart, Turnover, cache_store_key, choose, find_cache_source,
             retry_after_ms, short_hash,
         },
         weights::VersionBounds,
@@ -425,15 +425,15 @@
 /// while it does not answer.
 #[test]
 fn a_kv_store_is_empty_after_a_restart() {
-    let mut kv_store = KvStoreContents::default();
-    let key = kv_store_key("w1", 5);
-    kv_store.record_answer(10, false);
-    kv_store.apply_change(key, true);
-    assert!(kv_store.holds(key) && !kv_store.holds(kv_store_key("w2", 5)));
-    kv_store.mark_down();
-    assert!(!kv_store.holds(key));
-    kv_store.record_answer(11, false);
-    assert!(!kv_store.holds(key));
+    let mut cache_store = CacheStoreContents::default();
+    let key = cache_store_key("w1", 5);
+    cache_store.record_answer(10, false);
+    cache_store.apply_change(key, true);
+    assert!(cache_store.holds(key) && !cache_store.holds(cache_store_key("w2", 5)));
+    cache_store.mark_down();
+    assert!(!cache_store.holds(key));
+    cache_store.record_answer(11, false);
+    assert!(!cache_store.holds(key));
 }
 
 /// Many requests read the same part at the same time. Only one engine may be
@@ -441,11 +441,11 @@
 /// given up.
 #[test]
 fn a_part_is_saved_by_one_engine_at_a_time() {
-    let mut kv_store = KvStoreContents::default();
-    assert!(kv_store.claim_save(5, 1_000));
-    assert!(!kv_store.claim_save(5, 1_001) && !kv_store.claim_save(5, 3_499));
-    assert!(kv_store.claim_save(6, 1_001));
-    assert!(kv_store.claim_save(5, 3_500));
+    let mut cache_store = CacheStoreContents::default();
+    assert!(cache_store.claim_save(5, 1_000));
+    assert!(!cache_store.claim_save(5, 1_001) && !cache_store.claim_save(5, 3_499));
+    assert!(cache_store.claim_save(6, 1_001));
+    assert!(cache_store.claim_save(5, 3_500));
 }
 
 /// Under overload, a request that would wait longer than permitted must be
--- a/crates/gateway/src/callers/plan.rs
+++ b/crates/gateway/src/callers/plan.rs
@@ -5,7 +5,7 @@
     },
     mangowalk_core::pool::{
         CacheSource, ChoiceSettings, EngineEntry, EngineRequirements, KnownEngine, ListingStatus,
-        Load, choose, find_cache_source, kv_store_key, retry_after_ms,
+        Load, cache_store_key, choose, find_cache_source, retry_after_ms,
     },
     mangowalk_platform::{Forward, forward_headers},
     std::net::SocketAddr,
@@ -115,7 +115,7 @@
     let services = &routes.configuration().services;
     let store = services
         .iter()
-        .find_map(|service| service.kv_cache_store.as_ref());
+        .find_map(|service| service.cache_store.as_ref());
     let store = store.map(|store| store.address);
     let draw = rand::random();
     let source = find_cache_source(
@@ -253,7 +253,7 @@
     let is_in_store = cache_salt
         .as_ref()
         .zip(shared)
-        .is_some_and(|(cache_salt, part)| cache_store.holds(kv_store_key(cache_salt, part.id)));
+        .is_some_and(|(cache_salt, part)| cache_store.holds(cache_store_key(cache_salt, part.id)));
     // The KV cache store goes first if it holds the part. Another engine's link
     // is faster, but its memory turns over within seconds.
     let (fetch_from, fetched_tokens) = match (is_in_store, source) {
--- a/crates/gateway/src/instance/shared_state.rs
+++ b/crates/gateway/src/instance/shared_state.rs
@@ -6,7 +6,9 @@
     crate::clock::now_ms,
     mangowalk_core::{
         mesh::{MemberTable, OrderReport},
-        pool::{EngineTable, KvStoreContents, MeanPromptLength, PrefillRate, Turnover, short_hash},
+        pool::{
+            CacheStoreContents, EngineTable, MeanPromptLength, PrefillRate, Turnover, short_hash,
+        },
         retries::RetryBudget,
         routing::{Configuration, RouteTable},
         share::{ShareSettings, ShareTable},
@@ -63,7 +65,7 @@
     /// Requests that were running on engines when these crashed.
     pub crashes: RefCell<CrashTracker>,
     /// Known contents of the KV cache store.
-    pub cache_store: RefCell<KvStoreContents>,
+    pub cache_store: RefCell<CacheStoreContents>,
     /// Shared prompt parts that engines recently cached for this instance, oldest
     /// first: time in milliseconds, part and short hash of the engine's name.
     pub placements: RefCell<VecDeque<(u64, u64, u32)>>,
--- a/crates/gateway/src/upstreams/cache_store.rs
+++ b/crates/gateway/src/upstreams/cache_store.rs
@@ -1,6 +1,6 @@
 use {
     crate::{instance::Instance, logs::LIFECYCLE, store::CallClient},
-    mangowalk_core::pool::kv_store_key,
+    mangowalk_core::pool::cache_store_key,
     mangowalk_platform::CacheStoreChanges,
     std::{net::SocketAddr, rc::Rc, time::Duration},
     tokio::time::sleep,
@@ -43,7 +43,7 @@
 fn cache_store_address(instance: &Instance) -> Option<SocketAddr> {
     let routes = instance.routes.borrow();
     let mut services = routes.configuration().services.iter();
-    services.find_map(|service| Some(service.kv_cache_store.as_ref()?.address))
+    services.find_map(|service| Some(service.cache_store.as_ref()?.address))
 }
 
 fn is_follower(instance: &Instance) -> bool {
@@ -85,6 +85,6 @@
     }
     cache_store.record_answer(changes.epoch, changes.lost);
     for change in &changes.changes {
-        cache_store.apply_change(kv_store_key(&change.salt, change.part), change.is_added);
+        cache_store.apply_change(cache_store_key(&change.salt, change.part), change.is_added);
     }
 }
--- a/crates/mangowalkd/src/operator/candidates.rs
+++ b/crates/mangowalkd/src/operator/candidates.rs
@@ -128,7 +128,7 @@
             model: self.model,
             version: self.version,
             chain: &self.chain,
-            kv_store_blocks: 0,
+            cache_store_blocks: 0,
             avoid,
             is_usable: &|name| force || self.board.upstreams.usable(name, self.now_ms),
             force,
--- a/crates/mangowalkd/src/serve/place.rs
+++ b/crates/mangowalkd/src/serve/place.rs
@@ -79,7 +79,7 @@
             model: &request.model,
             version: &version,
             chain: &chain,
-            kv_store_blocks: 0,
+            cache_store_blocks: 0,
             avoid: &avoid,
             is_usable,
             waited_ms: 0,
--- a/crates/standins/src/queue/mangowalk.rs
+++ b/crates/standins/src/queue/mangowalk.rs
@@ -125,7 +125,7 @@
             model: MODEL,
             version: VERSION,
             chain: &request.chain,
-            kv_store_blocks: 0,
+            cache_store_blocks: 0,
             avoid: &avoid,
             is_usable: &|_| true,
             waited_ms: 0,
