--- a/crates/mangowalk/tests/client/story_of_processes.rs
+++ b/crates/mangowalk/tests/client/story_of_processes.rs
@@ -30,11 +30,11 @@
     let deployment = deployment();
     for engine in &deployment.engines {
         engine.set_faults(EngineFaults {
-            sheds: true,
+            refuses_as_not_run: true,
             ..EngineFaults::default()
         });
     }
-    let id = Caller::fresh_id();
+    let id = Caller::new_request_id();
     let reply = deployment.caller(0).stream(RouteKind::Stream.path(), &id);
     assert_eq!(reply.status, 503, "{reply:?}");
     let text = told(&deployment, &id);
@@ -56,9 +56,9 @@
             ..EngineFaults::default()
         });
     }
-    let id = Caller::fresh_id();
+    let id = Caller::new_request_id();
     let reply = deployment.caller(1).stream(RouteKind::Stream.path(), &id);
-    assert!(reply.status == 200 && !reply.is_whole, "{reply:?}");
+    assert!(reply.status == 200 && !reply.is_complete, "{reply:?}");
     let text = told(&deployment, &id);
     let ran = deployment.engines.iter().find(|engine| {
         let runs = engine.runs();
@@ -77,11 +77,11 @@
     let deployment = deployment();
     for service in &deployment.services {
         service.set_faults(EngineFaults {
-            loses_answers: true,
+            drops_responses: true,
             ..EngineFaults::default()
         });
     }
-    let id = Caller::fresh_id();
+    let id = Caller::new_request_id();
     let reply = deployment
         .caller(0)
         .plain("POST", RouteKind::Once.path(), &id);
--- a/crates/mangowalkd/tests/machines/answers.rs
+++ b/crates/mangowalkd/tests/machines/answers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::PROGRAM,
-    mangowalk_platform_standins::{Caller, Deployment, EngineFaults, RouteKind, wait},
+    mangowalk_platform_standins::{Caller, Deployment, EngineFaults, RouteKind, wait_until},
     std::{
         io::{Read, Write},
         net::{TcpListener, TcpStream},
@@ -12,17 +12,17 @@
 };
 
 #[test]
-fn every_kind_of_request_is_answered_whole() {
+fn every_kind_of_request_gets_a_complete_response() {
     let deployment = Deployment::start(PROGRAM, 2, 3);
     for machine in 0..2 {
         let caller = deployment.caller(machine);
         for kind in [RouteKind::Resumable, RouteKind::Stream] {
-            let reply = caller.stream(kind.path(), &Caller::fresh_id());
-            assert!(reply.is_whole_stream(), "{kind:?}: {reply:?}");
-            assert!(reply.is_signed());
+            let reply = caller.stream(kind.path(), &Caller::new_request_id());
+            assert!(reply.is_complete_stream(), "{kind:?}: {reply:?}");
+            assert!(reply.has_response_stamp());
         }
         for (kind, method) in [(RouteKind::Idempotent, "GET"), (RouteKind::Once, "POST")] {
-            let id = Caller::fresh_id();
+            let id = Caller::new_request_id();
             let reply = caller.plain(method, kind.path(), &id);
             assert_eq!((reply.status, reply.body), (200, format!("body of {id}")));
             assert_eq!(deployment.times_run(&id), 1);
@@ -36,12 +36,12 @@
 fn an_engine_sees_the_team_and_not_the_key() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
     let mut caller = deployment.caller(0);
-    caller.pretend("walled", "theirs");
-    let id = Caller::fresh_id();
+    caller.set_forged_team("walled", "theirs");
+    let id = Caller::new_request_id();
     assert!(
         caller
             .stream(RouteKind::Resumable.path(), &id)
-            .is_whole_stream()
+            .is_complete_stream()
     );
     let runs = deployment.engines[0].runs();
     let run = runs
@@ -49,21 +49,24 @@
         .find(|run| run.request_id == id)
         .expect("it ran");
     assert_eq!(run.tenant.as_deref(), Some("shop"));
-    assert!(!run.saw_key);
+    assert!(!run.received_key);
     assert_ne!(run.salt.as_deref(), Some("theirs"));
-    assert!(run.left_ms <= 5_000 && run.left_ms > 4_000, "{run:?}");
+    assert!(
+        run.remaining_ms <= 5_000 && run.remaining_ms > 4_000,
+        "{run:?}"
+    );
 }
 
 /// Two teams send the same prompt, and one of them is isolated. Their parts
 /// must be kept under different texts, or one would use what the other read.
 #[test]
-fn an_isolated_team_shares_no_part() {
+fn an_isolated_team_shares_no_cached_part() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
     let shared = deployment.caller(0);
-    let walled = Caller::new(shared.address, "key-of-walled");
-    for caller in [&shared, &walled] {
-        let reply = caller.stream(RouteKind::Stream.path(), &Caller::fresh_id());
-        assert!(reply.is_whole_stream());
+    let isolated = Caller::new(shared.address, "key-of-walled");
+    for caller in [&shared, &isolated] {
+        let reply = caller.stream(RouteKind::Stream.path(), &Caller::new_request_id());
+        assert!(reply.is_complete_stream());
     }
     let salts: Vec<_> = deployment.engines[0]
         .runs()
@@ -74,36 +77,42 @@
 }
 
 #[test]
-fn unknown_keys_and_routes_are_told_apart() {
+fn unknown_keys_get_401_and_unknown_routes_404() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
     let mut caller = deployment.caller(0);
     assert_eq!(
         caller
-            .plain("GET", "/nowhere/1", &Caller::fresh_id())
+            .plain("GET", "/nowhere/1", &Caller::new_request_id())
             .status,
         404
     );
     caller.key = Some("nobody's".to_owned());
     let path = RouteKind::Idempotent.path();
-    assert_eq!(caller.plain("GET", path, &Caller::fresh_id()).status, 401);
+    assert_eq!(
+        caller.plain("GET", path, &Caller::new_request_id()).status,
+        401
+    );
     caller.key = None;
-    assert_eq!(caller.plain("GET", path, &Caller::fresh_id()).status, 401);
+    assert_eq!(
+        caller.plain("GET", path, &Caller::new_request_id()).status,
+        401
+    );
 }
 
 /// The engine charges the caller, and its answer is lost on the way. The
 /// request must not run again, and the caller must not be told that it did
 /// not run: 502, never 503.
 #[test]
-fn a_lost_answer_is_not_called_a_request_that_did_not_run() {
+fn a_lost_response_is_reported_as_502_and_not_retried() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
     for service in &deployment.services {
         service.set_faults(EngineFaults {
-            loses_answers: true,
+            drops_responses: true,
             ..EngineFaults::default()
         });
     }
     for _ in 0..4 {
-        let id = Caller::fresh_id();
+        let id = Caller::new_request_id();
         let reply = deployment
             .caller(0)
             .plain("POST", RouteKind::Once.path(), &id);
@@ -115,20 +124,20 @@
 /// One engine fails what it runs. A request that may run again is answered by
 /// the other engine; one that may not gets the engine's own answer.
 #[test]
-fn a_failed_run_is_repeated_only_where_it_may_be() {
+fn only_idempotent_requests_are_retried_after_an_engine_error() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
     deployment.services[0].set_faults(EngineFaults {
-        fails_with: Some(500),
+        error_status: Some(500),
         ..EngineFaults::default()
     });
     let caller = deployment.caller(0);
     for _ in 0..6 {
-        let id = Caller::fresh_id();
+        let id = Caller::new_request_id();
         let reply = caller.plain("GET", RouteKind::Idempotent.path(), &id);
         assert_eq!(reply.status, 200, "{reply:?}");
     }
     for _ in 0..6 {
-        let id = Caller::fresh_id();
+        let id = Caller::new_request_id();
         let reply = caller.plain("POST", RouteKind::Once.path(), &id);
         assert!([200, 500].contains(&reply.status), "{reply:?}");
         assert_eq!(deployment.times_run(&id), 1);
@@ -138,15 +147,15 @@
 /// An answer arrives late, where the next one is due, and names another
 /// request. It must reach nobody.
 #[test]
-fn an_answer_to_another_request_reaches_nobody() {
+fn a_response_to_another_request_is_not_forwarded() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
     for service in &deployment.services {
         service.set_faults(EngineFaults {
-            names_other_request: true,
+            sends_other_request_id: true,
             ..EngineFaults::default()
         });
     }
-    let id = Caller::fresh_id();
+    let id = Caller::new_request_id();
     let reply = deployment
         .caller(0)
         .plain("POST", RouteKind::Once.path(), &id);
@@ -158,23 +167,23 @@
 /// may run only once goes to another engine then; where all refuse, the
 /// caller is told so, and when to come back.
 #[test]
-fn a_request_that_was_refused_goes_elsewhere() {
+fn a_request_refused_as_not_run_is_sent_to_another_engine() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
-    let shedding = EngineFaults {
-        sheds: true,
+    let refusal_faults = EngineFaults {
+        refuses_as_not_run: true,
         ..EngineFaults::default()
     };
-    deployment.services[0].set_faults(shedding.clone());
+    deployment.services[0].set_faults(refusal_faults.clone());
     let caller = deployment.caller(0);
     for _ in 0..4 {
-        let id = Caller::fresh_id();
+        let id = Caller::new_request_id();
         assert_eq!(
             caller.plain("POST", RouteKind::Once.path(), &id).status,
             200
         );
     }
-    deployment.services[1].set_faults(shedding);
-    let id = Caller::fresh_id();
+    deployment.services[1].set_faults(refusal_faults);
+    let id = Caller::new_request_id();
     let began = Instant::now();
     let reply = caller.plain("POST", RouteKind::Once.path(), &id);
     assert_eq!(reply.status, 503);
@@ -193,20 +202,20 @@
 /// stream with each event once: it goes on at the other engine behind the
 /// last whole event, and the half event is thrown away.
 #[test]
-fn a_resumable_stream_outlives_its_engine() {
+fn a_resumable_stream_resumes_after_its_engine_breaks_off() {
     let deployment = Deployment::start(PROGRAM, 1, 2);
-    let cutting = EngineFaults {
+    let cut_faults = EngineFaults {
         cut_after_events: Some(4),
-        half_event: true,
+        sends_half_event: true,
         ..EngineFaults::default()
     };
-    deployment.engines[0].set_faults(cutting);
+    deployment.engines[0].set_faults(cut_faults);
     let caller = deployment.caller(0);
     let mut resumed = 0;
     for _ in 0..8 {
-        let id = Caller::fresh_id();
+        let id = Caller::new_request_id();
         let reply = caller.stream(RouteKind::Resumable.path(), &id);
-        assert!(reply.is_whole_stream(), "{reply:?}");
+        assert!(reply.is_complete_stream(), "{reply:?}");
         resumed += usize::from(deployment.times_run(&id) == 2);
     }
     assert!(resumed > 0, "no stream met the engine that breaks off");
@@ -217,7 +226,7 @@
 /// patience ends. The instance finds that the engine takes no connection, and
 /// the stream goes on at the other engine behind the last event.
 #[test]
-fn a_resumable_stream_leaves_an_engine_that_falls_silent() {
+fn a_resumable_stream_resumes_after_its_engine_stalls() {
     let deployment = Deployment::start(PROGRAM, 1, 2);
     let silent = EngineFaults {
         silent_after_events: Some(4),
@@ -227,10 +236,10 @@
     let caller = deployment.caller(0);
     let mut resumed = 0;
     for _ in 0..8 {
-        let id = Caller::fresh_id();
+        let id = Caller::new_request_id();
         let asked = Instant::now();
         let reply = caller.stream(RouteKind::Resumable.path(), &id);
-        assert!(reply.is_whole_stream(), "{reply:?}");
+        assert!(reply.is_complete_stream(), "{reply:?}");
         assert!(asked.elapsed() < Duration::from_secs(2), "{reply:?}");
         resumed += usize::from(deployment.times_run(&id) == 2);
     }
@@ -240,16 +249,16 @@
 /// The engine breaks off a stream that may run only once. What the caller
 /// got must not look whole, and nothing runs a second time.
 #[test]
-fn a_broken_stream_does_not_look_whole() {
+fn a_stream_cut_off_without_resume_ends_as_incomplete() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
     deployment.engines[0].set_faults(EngineFaults {
         cut_after_events: Some(5),
         ..EngineFaults::default()
     });
-    let id = Caller::fresh_id();
+    let id = Caller::new_request_id();
     let reply = deployment.caller(0).stream(RouteKind::Stream.path(), &id);
     assert_eq!(reply.status, 200);
-    assert!(!reply.is_whole, "{reply:?}");
+    assert!(!reply.is_complete, "{reply:?}");
     assert_eq!(reply.event_ids(), vec![0, 1, 2, 3, 4]);
     assert_eq!(deployment.times_run(&id), 1);
 }
@@ -257,16 +266,16 @@
 /// A caller reads a few events and leaves. The engine must be free soon: it
 /// sees its connection close, and the run doesn't come to its end.
 #[test]
-fn a_caller_that_leaves_frees_the_engine() {
+fn a_caller_that_disconnects_ends_the_run_at_the_engine() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
     deployment.engines[0].set_faults(EngineFaults {
-        event_ms: 150,
+        event_interval_ms: 150,
         ..EngineFaults::default()
     });
-    let id = Caller::fresh_id();
+    let id = Caller::new_request_id();
     deployment
         .caller(0)
-        .leave_stream(RouteKind::Stream.path(), &id, 200)
+        .abandon_stream(RouteKind::Stream.path(), &id, 200)
         .expect("the stream begins");
     std::thread::sleep(Duration::from_millis(2_500));
     let runs = deployment.engines[0].runs();
@@ -275,7 +284,7 @@
         .find(|run| run.request_id == id)
         .expect("it ran");
     assert!(
-        !run.is_whole,
+        !run.is_complete,
         "the engine went on for a caller that had left"
     );
 }
@@ -284,16 +293,16 @@
 /// again" where a router says it. Passed on, it would make the caller send the
 /// charge again; the caller must learn that it may have run.
 #[test]
-fn a_status_that_promises_is_not_passed_on_for_what_has_run() {
+fn a_not_run_status_of_a_request_that_ran_becomes_502() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
     for status in [408, 429, 503] {
         for service in &deployment.services {
             service.set_faults(EngineFaults {
-                fails_with: Some(status),
+                error_status: Some(status),
                 ..EngineFaults::default()
             });
         }
-        let id = Caller::fresh_id();
+        let id = Caller::new_request_id();
         let reply = deployment
             .caller(0)
             .plain("POST", RouteKind::Once.path(), &id);
@@ -306,23 +315,23 @@
 /// it would look whole; it must go on at another engine, behind the last event
 /// that came whole.
 #[test]
-fn a_stream_that_ends_within_an_event_goes_on_elsewhere() {
+fn a_stream_that_ends_within_an_event_resumes_at_another_engine() {
     let deployment = Deployment::start(PROGRAM, 1, 2);
-    let is_spoiled = |engine: usize, spoiled: bool| {
+    let set_cut = |engine: usize, is_cut: bool| {
         deployment.engines[engine].set_faults(EngineFaults {
-            cut_after_events: spoiled.then_some(4),
-            half_event: spoiled,
-            ends_cleanly: spoiled,
+            cut_after_events: is_cut.then_some(4),
+            sends_half_event: is_cut,
+            ends_cleanly: is_cut,
             ..EngineFaults::default()
         });
     };
-    for spoiled in [0, 1] {
-        is_spoiled(spoiled, true);
-        is_spoiled(1 - spoiled, false);
+    for cut_engine in [0, 1] {
+        set_cut(cut_engine, true);
+        set_cut(1 - cut_engine, false);
         for _ in 0..4 {
             let caller = deployment.caller(0);
-            let reply = caller.stream(RouteKind::Resumable.path(), &Caller::fresh_id());
-            assert!(reply.is_whole_stream(), "{reply:?}");
+            let reply = caller.stream(RouteKind::Resumable.path(), &Caller::new_request_id());
+            assert!(reply.is_complete_stream(), "{reply:?}");
         }
     }
     let runs = deployment.engines.iter().flat_map(|engine| engine.runs());
@@ -332,13 +341,13 @@
 /// An engine is gone without a word. Requests must not be lost to it: a
 /// connection that can't be made is known not to have carried anything.
 #[test]
-fn an_engine_that_takes_no_connection_gets_no_work() {
+fn an_engine_that_accepts_no_connection_loses_no_request() {
     let mut deployment = Deployment::start(PROGRAM, 1, 3);
     drop(deployment.engines.remove(0));
     let caller = deployment.caller(0);
     for _ in 0..12 {
-        let reply = caller.stream(RouteKind::Stream.path(), &Caller::fresh_id());
-        assert!(reply.is_whole_stream(), "{reply:?}");
+        let reply = caller.stream(RouteKind::Stream.path(), &Caller::new_request_id());
+        assert!(reply.is_complete_stream(), "{reply:?}");
     }
 }
 
@@ -347,25 +356,28 @@
 /// twice ends as lost, as nobody can know, and never as not run; one that may run
 /// again is answered by another engine.
 #[test]
-fn an_answer_from_a_stranger_at_an_engines_address_is_no_answer() {
+fn a_response_from_another_server_at_an_engines_address_is_not_forwarded() {
     let mut deployment = Deployment::start(PROGRAM, 1, 2);
     let address = deployment.engines[0].address();
     drop(deployment.engines.remove(0));
-    let stranger = TcpListener::bind(address).expect("the address is free again");
+    let other_server = TcpListener::bind(address).expect("the address is free again");
     thread::spawn(move || {
-        for connection in stranger.incoming().flatten() {
+        for connection in other_server.incoming().flatten() {
             answer_not_found(connection);
         }
     });
     let caller = deployment.caller(0);
     let mut statuses = Vec::new();
     for _ in 0..12 {
-        let id = Caller::fresh_id();
+        let id = Caller::new_request_id();
         let reply = caller.stream(RouteKind::Stream.path(), &id);
-        assert!(reply.is_whole_stream() || reply.status == 502, "{reply:?}");
+        assert!(
+            reply.is_complete_stream() || reply.status == 502,
+            "{reply:?}"
+        );
         statuses.push(reply.status);
-        let reply = caller.stream(RouteKind::Resumable.path(), &Caller::fresh_id());
-        assert!(reply.is_whole_stream(), "{reply:?}");
+        let reply = caller.stream(RouteKind::Resumable.path(), &Caller::new_request_id());
+        assert!(reply.is_complete_stream(), "{reply:?}");
     }
     assert!(statuses.contains(&502), "the stranger was never asked");
 }
@@ -381,7 +393,7 @@
 /// An engine writes that it is about to leave. Two seconds later it gets no
 /// new work, though it would still take it.
 #[test]
-fn a_draining_engine_gets_no_new_work() {
+fn a_draining_engine_gets_no_new_requests() {
     let deployment = Deployment::start(PROGRAM, 2, 2);
     let leaving = &deployment.engines[0];
     deployment
@@ -392,8 +404,8 @@
     for machine in 0..2 {
         for _ in 0..6 {
             let caller = deployment.caller(machine);
-            let reply = caller.stream(RouteKind::Stream.path(), &Caller::fresh_id());
-            assert!(reply.is_whole_stream());
+            let reply = caller.stream(RouteKind::Stream.path(), &Caller::new_request_id());
+            assert!(reply.is_complete_stream());
         }
     }
     assert_eq!(leaving.runs().len(), before);
@@ -402,7 +414,7 @@
 /// An entry of the list is damaged, and another is forged. They name no
 /// engine; the others go on serving.
 #[test]
-fn a_damaged_entry_hides_no_engine() {
+fn a_damaged_list_entry_does_not_affect_other_engines() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
     deployment
         .store
@@ -410,11 +422,11 @@
     let mut forged = deployment.engines[0].entry("ready");
     forged["State"] = serde_json::json!("excellent");
     deployment.store.write("servers", "i-forged", forged);
-    wait("requests are served", || {
+    wait_until("requests are served", || {
         let reply = deployment
             .caller(0)
-            .stream(RouteKind::Stream.path(), &Caller::fresh_id());
-        reply.is_whole_stream()
+            .stream(RouteKind::Stream.path(), &Caller::new_request_id());
+        reply.is_complete_stream()
     });
 }
 
@@ -422,18 +434,20 @@
 /// it again, through one instance after the other. After the third engine it
 /// is refused as not run, everywhere; other requests go on being served.
 #[test]
-fn a_request_that_crashes_engines_is_stopped() {
+fn a_request_that_crashes_engines_is_refused_after_three() {
     let deployment = Deployment::start(PROGRAM, 2, 7);
     for engine in &deployment.engines {
         engine.set_faults(EngineFaults {
-            crashes_on: Some("/advice/poison".to_owned()),
+            crash_path: Some("/advice/poison".to_owned()),
             ..EngineFaults::default()
         });
     }
     let mut last = 0;
     for number in 0..8 {
         let caller = deployment.caller(number % 2);
-        last = caller.stream("/advice/poison", &Caller::fresh_id()).status;
+        last = caller
+            .stream("/advice/poison", &Caller::new_request_id())
+            .status;
         // Heartbeats carry the crash to the other instance.
         std::thread::sleep(Duration::from_millis(700));
     }
@@ -445,6 +459,6 @@
     assert_eq!(last, 503);
     let reply = deployment
         .caller(0)
-        .stream(RouteKind::Stream.path(), &Caller::fresh_id());
-    assert!(reply.is_whole_stream(), "{reply:?}");
+        .stream(RouteKind::Stream.path(), &Caller::new_request_id());
+    assert!(reply.is_complete_stream(), "{reply:?}");
 }
--- a/crates/mangowalkd/tests/machines/input.rs
+++ b/crates/mangowalkd/tests/machines/input.rs
@@ -6,7 +6,7 @@
     std::{fs, process::Command},
 };
 
-fn check(text: &str) -> (Option<i32>, String) {
+fn check_settings(text: &str) -> (Option<i32>, String) {
     let path = std::env::temp_dir().join(format!(
         "mangowalk-check-{}-{}.conf",
         std::process::id(),
@@ -26,31 +26,31 @@
     )
 }
 
-const GOOD: &str = "NodeName=m\nZone=a\nListen.Front=127.0.0.1:1\nListen.Ready=127.0.0.1:2\n\
+const VALID_SETTINGS: &str = "NodeName=m\nZone=a\nListen.Front=127.0.0.1:1\nListen.Ready=127.0.0.1:2\n\
                     Listen.Directory=127.0.0.1:3\nInternalPorts=4,9\nProvider.Address=127.0.0.1:5\n";
 
 #[test]
 fn a_settings_file_is_checked_by_field() {
     assert_eq!(
-        check(GOOD),
+        check_settings(VALID_SETTINGS),
         (Some(0), "The settings can be used.\n".to_owned())
     );
-    let (code, text) = check(&GOOD.replace("Zone=a\n", ""));
+    let (code, text) = check_settings(&VALID_SETTINGS.replace("Zone=a\n", ""));
     assert_eq!(code, Some(2));
     insta::assert_snapshot!(text, @"mangowalkd machine: The settings file lacks Zone; add a line Zone=VALUE.");
-    let (code, text) = check(&GOOD.replace("127.0.0.1:2", "here"));
+    let (code, text) = check_settings(&VALID_SETTINGS.replace("127.0.0.1:2", "here"));
     assert_eq!(code, Some(2));
     insta::assert_snapshot!(text, @"mangowalkd machine: The settings file has Listen.Ready=here; write an IP number, a colon and a port there.");
-    let (code, _) = check(&format!("{GOOD}Unknown.Field=7\n"));
+    let (code, _) = check_settings(&format!("{VALID_SETTINGS}Unknown.Field=7\n"));
     assert_eq!(code, Some(0), "fields that aren't known are passed over");
 }
 
 /// Callers send heads that can't be read, are too long, or name two lengths.
 /// Each gets an answer of its own, and the next caller is served.
 #[test]
-fn bad_requests_harm_nobody() {
+fn malformed_requests_are_rejected_and_the_next_is_served() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
-    let address = deployment.machines[0].callers();
+    let address = deployment.machines[0].caller_address();
     let long = format!(
         "GET / HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n",
         "x".repeat(40_000)
@@ -63,21 +63,22 @@
             &[400],
         ),
         (
-            &Caller::text("POST", "/order/1", "6b6b", KEY, two_lengths),
+            &Caller::request_text("POST", "/order/1", "6b6b", KEY, two_lengths),
             &[400],
         ),
-        (&Caller::text_with_bad_deadline("/lookup/1"), &[400]),
+        (&Caller::request_text_with_bad_deadline("/lookup/1"), &[400]),
         (&long, &[400, 431]),
     ];
     for (text, statuses) in cases {
-        let reply = Caller::raw(address, text.as_bytes());
+        let reply = Caller::send_raw(address, text.as_bytes());
         let begin: String = text.chars().take(60).collect();
         assert!(statuses.contains(&reply.status), "{begin}: {reply:?}");
     }
-    let reply =
-        deployment
-            .caller(0)
-            .plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+    let reply = deployment.caller(0).plain(
+        "GET",
+        RouteKind::Idempotent.path(),
+        &Caller::new_request_id(),
+    );
     assert_eq!(reply.status, 200);
 }
 
@@ -86,13 +87,13 @@
 #[test]
 fn a_smuggled_request_reaches_no_engine() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
-    let inner = Caller::text("POST", "/order/1", "5a5a", KEY, "Content-Length: 0\r\n\r\n");
+    let inner = Caller::request_text("POST", "/order/1", "5a5a", KEY, "Content-Length: 0\r\n\r\n");
     let framing = format!(
         "Content-Length: {}\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{inner}",
         inner.len() + 5,
     );
-    let text = Caller::text("POST", "/order/1", "7b7b", KEY, &framing);
-    Caller::raw(deployment.machines[0].callers(), text.as_bytes());
+    let text = Caller::request_text("POST", "/order/1", "7b7b", KEY, &framing);
+    Caller::send_raw(deployment.machines[0].caller_address(), text.as_bytes());
     assert_eq!(deployment.times_run("5a5a"), 0);
 }
 
@@ -100,17 +101,17 @@
 /// tokens. It must not pass for a small request that its team's rate allows; no
 /// engine may get it.
 #[test]
-fn tokens_whose_sum_would_wrap_are_refused() {
+fn token_counts_whose_sum_overflows_are_refused() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
-    let address = deployment.machines[0].callers();
+    let address = deployment.machines[0].caller_address();
     let path = RouteKind::Stream.path();
-    let wrapping = Caller::text_with_tokens(path, "9d9d", "key-of-small", u64::MAX, 80);
-    let reply = Caller::raw(address, wrapping.as_bytes());
+    let wrapping = Caller::request_text_with_tokens(path, "9d9d", "key-of-small", u64::MAX, 80);
+    let reply = Caller::send_raw(address, wrapping.as_bytes());
     assert_eq!(reply.status, 400, "{reply:?}");
     assert!(reply.body.contains("tokens"), "{reply:?}");
     assert_eq!(deployment.times_run("9d9d"), 0);
-    let sound = Caller::text_with_tokens(path, "9e9e", KEY, 1_000, 80);
-    assert_eq!(Caller::raw(address, sound.as_bytes()).status, 200);
+    let sound = Caller::request_text_with_tokens(path, "9e9e", KEY, 1_000, 80);
+    assert_eq!(Caller::send_raw(address, sound.as_bytes()).status, 200);
 }
 
 #[test]
@@ -121,8 +122,8 @@
         "Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
         body.len(),
     );
-    let text = Caller::text("POST", "/order/1", "8c8c", KEY, &rest);
-    let reply = Caller::raw(deployment.machines[0].callers(), text.as_bytes());
+    let text = Caller::request_text("POST", "/order/1", "8c8c", KEY, &rest);
+    let reply = Caller::send_raw(deployment.machines[0].caller_address(), text.as_bytes());
     assert!([0, 413].contains(&reply.status), "{reply:?}");
     assert_eq!(deployment.times_run("8c8c"), 0);
 }
--- a/crates/mangowalkd/tests/machines/lagging.rs
+++ b/crates/mangowalkd/tests/machines/lagging.rs
@@ -2,7 +2,7 @@
 
 use {
     super::PROGRAM,
-    mangowalk_platform_standins::{Caller, Deployment, Engine, RouteKind, StoreFault, wait},
+    mangowalk_platform_standins::{Caller, Deployment, Engine, RouteKind, StoreFault, wait_until},
     serde_json::json,
     std::{
         thread,
@@ -14,33 +14,33 @@
 const INSTANCES: usize = 5;
 
 /// Time in which no change may need longer to be known everywhere.
-const SOON: Duration = Duration::from_millis(1_500);
+const MAX_PROPAGATION: Duration = Duration::from_millis(1_500);
 
 /// Time of the watches with which an instance begins, which are current as it
 /// hears no peer yet.
-const FIRST_WATCH: Duration = Duration::from_millis(2_800);
+const INITIAL_WATCHES: Duration = Duration::from_millis(2_800);
 
 /// Lets the readings of all but the current readers lag from now on.
-fn let_readings_lag(deployment: &Deployment) {
-    thread::sleep(FIRST_WATCH);
+fn make_reads_lag(deployment: &Deployment) {
+    thread::sleep(INITIAL_WATCHES);
     deployment.store.set_lagging(true);
 }
 
 /// Lets callers of each instance ask, and returns the engine that ran the most.
-fn busiest(deployment: &Deployment) -> &Engine {
-    ask_everywhere(deployment);
+fn busiest_engine(deployment: &Deployment) -> &Engine {
+    send_to_all_instances(deployment);
     let engines = deployment.engines.iter();
     engines
         .max_by_key(|engine| engine.runs().len())
         .expect("there are engines")
 }
 
-fn ask_everywhere(deployment: &Deployment) {
+fn send_to_all_instances(deployment: &Deployment) {
     for machine in 0..deployment.machines.len() {
         for _ in 0..6 {
             let caller = deployment.caller(machine);
-            let reply = caller.stream(RouteKind::Stream.path(), &Caller::fresh_id());
-            assert!(reply.is_whole_stream(), "instance {machine}: {reply:?}");
+            let reply = caller.stream(RouteKind::Stream.path(), &Caller::new_request_id());
+            assert!(reply.is_complete_stream(), "instance {machine}: {reply:?}");
         }
     }
 }
@@ -49,53 +49,61 @@
 /// each would still be sent to it, and fail once it ends. Two instances read
 /// currently and tell the others, so that none gets work there.
 #[test]
-fn an_engine_that_leaves_gets_no_work_though_readings_lag() {
+fn a_draining_engine_gets_no_requests_while_reads_lag() {
     let deployment = Deployment::start(PROGRAM, INSTANCES, 2);
-    let leaving = busiest(&deployment);
-    let_readings_lag(&deployment);
+    let leaving = busiest_engine(&deployment);
+    make_reads_lag(&deployment);
     deployment
         .store
         .write("servers", leaving.id(), leaving.entry("draining"));
-    thread::sleep(SOON);
+    thread::sleep(MAX_PROPAGATION);
     let before = leaving.runs().len();
-    ask_everywhere(&deployment);
+    send_to_all_instances(&deployment);
     assert_eq!(leaving.runs().len(), before);
 }
 
 /// The same with an engine that leaves the list without a word before.
 #[test]
-fn an_engine_that_left_the_list_gets_no_work_though_readings_lag() {
+fn an_engine_removed_from_the_list_gets_no_requests_while_reads_lag() {
     let deployment = Deployment::start(PROGRAM, INSTANCES, 2);
-    let gone = busiest(&deployment);
-    let_readings_lag(&deployment);
+    let gone = busiest_engine(&deployment);
+    make_reads_lag(&deployment);
     deployment.store.remove("servers", gone.id());
-    thread::sleep(SOON);
+    thread::sleep(MAX_PROPAGATION);
     let before = gone.runs().len();
-    ask_everywhere(&deployment);
+    send_to_all_instances(&deployment);
     assert_eq!(gone.runs().len(), before);
 }
 
 /// A key is withdrawn and new weights are named while readings lag. Both are in
 /// force at each instance soon, by what the current readers tell.
 #[test]
-fn versions_are_in_force_though_readings_lag() {
+fn new_versions_take_effect_while_reads_lag() {
     let mut deployment = Deployment::start(PROGRAM, INSTANCES, 2);
-    let_readings_lag(&deployment);
+    make_reads_lag(&deployment);
     let changed = Instant::now();
     deployment.configure(|configuration| {
         configuration["Tenants"][1]["ApiKeys"] = json!([]);
     });
-    deployment.name_weights(2);
+    deployment.publish_weights(2);
     for machine in 0..INSTANCES {
         let mut caller = deployment.caller(machine);
         caller.key = Some("key-of-walled".to_owned());
-        wait("the key is out", || {
-            let reply = caller.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+        wait_until("the key is out", || {
+            let reply = caller.plain(
+                "GET",
+                RouteKind::Idempotent.path(),
+                &Caller::new_request_id(),
+            );
             reply.status == 401
         });
     }
-    assert!(changed.elapsed() < SOON, "{:?}", changed.elapsed());
-    wait("the engines have the new weights", || {
+    assert!(
+        changed.elapsed() < MAX_PROPAGATION,
+        "{:?}",
+        changed.elapsed()
+    );
+    wait_until("the engines have the new weights", || {
         deployment
             .engines
             .iter()
@@ -106,9 +114,9 @@
 /// The instances that read currently are killed while readings lag, and a key is
 /// withdrawn just then. The next ones take their place within a second.
 #[test]
-fn other_instances_read_currently_when_the_first_are_killed() {
+fn other_instances_take_over_current_reads_when_the_first_are_killed() {
     let mut deployment = Deployment::start(PROGRAM, INSTANCES, 1);
-    let_readings_lag(&deployment);
+    make_reads_lag(&deployment);
     deployment.machines[0].kill();
     deployment.machines[1].kill();
     deployment.configure(|configuration| {
@@ -118,8 +126,12 @@
     for machine in 2..INSTANCES {
         let mut caller = deployment.caller(machine);
         caller.key = Some("key-of-walled".to_owned());
-        wait("the key is out", || {
-            let reply = caller.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+        wait_until("the key is out", || {
+            let reply = caller.plain(
+                "GET",
+                RouteKind::Idempotent.path(),
+                &Caller::new_request_id(),
+            );
             reply.status == 401
         });
     }
@@ -134,7 +146,7 @@
 /// Calls to the store are paid for, and a reading that may lag costs a tenth.
 /// While nothing changes, few instances of many read currently.
 #[test]
-fn few_instances_read_currently_while_nothing_changes() {
+fn few_instances_make_current_reads_while_nothing_changes() {
     let deployment = Deployment::start(PROGRAM, INSTANCES, 2);
     thread::sleep(Duration::from_secs(3));
     let before = deployment.store.current_calls();
@@ -148,7 +160,7 @@
 /// come back within two seconds of its return. Callers must be served all the
 /// while: the engines have never stopped.
 #[test]
-fn engines_whose_entries_lapsed_are_used_until_they_are_back() {
+fn engines_whose_entries_expired_are_used_until_they_are_rewritten() {
     let deployment = Deployment::start(PROGRAM, 2, 2);
     deployment.store.set_fault(StoreFault::Busy);
     thread::sleep(Duration::from_millis(1_500));
@@ -161,7 +173,11 @@
     while Instant::now() < until {
         for machine in 0..2 {
             let caller = deployment.caller(machine);
-            let reply = caller.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+            let reply = caller.plain(
+                "GET",
+                RouteKind::Idempotent.path(),
+                &Caller::new_request_id(),
+            );
             assert_eq!(reply.status, 200, "{reply:?}");
         }
         thread::sleep(Duration::from_millis(50));
@@ -172,25 +188,26 @@
             .write("servers", engine.id(), engine.entry("ready"));
     }
     thread::sleep(Duration::from_secs(2));
-    let reply =
-        deployment
-            .caller(0)
-            .plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+    let reply = deployment.caller(0).plain(
+        "GET",
+        RouteKind::Idempotent.path(),
+        &Caller::new_request_id(),
+    );
     assert_eq!(reply.status, 200, "{reply:?}");
 }
 
 /// The store is away, an engine's entry lapses and stays away. After the grace
 /// the engine counts as gone.
 #[test]
-fn an_engine_whose_entry_does_not_come_back_is_gone() {
+fn an_engine_whose_entry_stays_missing_is_removed_after_the_grace_period() {
     let deployment = Deployment::start(PROGRAM, 2, 2);
-    let gone = busiest(&deployment);
+    let gone = busiest_engine(&deployment);
     deployment.store.set_fault(StoreFault::Busy);
     thread::sleep(Duration::from_millis(1_500));
     deployment.store.remove("servers", gone.id());
     deployment.store.set_fault(StoreFault::None);
     thread::sleep(Duration::from_millis(4_500));
     let before = gone.runs().len();
-    ask_everywhere(&deployment);
+    send_to_all_instances(&deployment);
     assert_eq!(gone.runs().len(), before);
 }
--- a/crates/mangowalkd/tests/machines/leaving.rs
+++ b/crates/mangowalkd/tests/machines/leaving.rs
@@ -10,22 +10,22 @@
 };
 
 /// Time in which all peers of an instance know of a change and have told it.
-const TOLD: Duration = Duration::from_millis(1_500);
+const PEER_REPORT_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Longer than anything that peers tell is believed without being told anew.
-const LONG: Duration = Duration::from_secs(12);
+const PAST_REPORT_LIFETIME: Duration = Duration::from_secs(12);
 
 /// Time after which an instance that reaches the store again has to know the list.
-const KNOWN_AGAIN: Duration = Duration::from_secs(3);
+const LIST_REREAD_DELAY: Duration = Duration::from_secs(3);
 
 /// The instance nearest to the engine that leaves.
-const NEAREST: usize = 0;
+const GATED_MACHINE: usize = 0;
 
 /// Starts a deployment whose nearest instance reaches the store through a gate.
 fn start_behind_gate(instances: usize) -> (Deployment, StoreGate) {
     let mut deployment = Deployment::prepare(PROGRAM, instances, 1);
-    let gate = StoreGate::to(&deployment.store);
-    deployment.machines[NEAREST].use_gate(&gate);
+    let gate = StoreGate::new(&deployment.store);
+    deployment.machines[GATED_MACHINE].use_gate(&gate);
     for machine in &mut deployment.machines {
         machine.start();
     }
@@ -34,48 +34,48 @@
 }
 
 /// Sends orders to an instance for a time; each has to be served.
-fn order_for(deployment: &Deployment, machine: usize, time: Duration) {
+fn send_orders_for(deployment: &Deployment, machine: usize, time: Duration) {
     let until = Instant::now() + time;
     while Instant::now() < until {
         let caller = deployment.caller(machine);
-        let reply = caller.plain("POST", RouteKind::Once.path(), &Caller::fresh_id());
+        let reply = caller.plain("POST", RouteKind::Once.path(), &Caller::new_request_id());
         assert_eq!(reply.status, 200, "{reply:?}");
         thread::sleep(Duration::from_millis(100));
     }
 }
 
 /// Lets an engine leave the list without a word before. It serves on.
-fn leave(deployment: &Deployment, engine: &Engine) {
-    order_for(deployment, NEAREST, Duration::from_millis(300));
+fn remove_from_list(deployment: &Deployment, engine: &Engine) {
+    send_orders_for(deployment, GATED_MACHINE, Duration::from_millis(300));
     assert!(!engine.runs().is_empty(), "the engine is used");
     deployment.store.remove("servers", engine.id());
-    thread::sleep(TOLD);
+    thread::sleep(PEER_REPORT_DELAY);
 }
 
 /// Guards against work for an engine that peers saw leave longer ago than their
 /// word is believed.
 #[test]
-fn an_engine_that_left_gets_no_work_from_an_instance_that_the_store_refuses() {
+fn an_engine_that_left_gets_no_requests_while_the_store_refuses_the_instance() {
     let (deployment, gate) = start_behind_gate(3);
     let engine = &deployment.services[0];
     gate.close();
-    leave(&deployment, engine);
+    remove_from_list(&deployment, engine);
     let before = engine.runs().len();
-    order_for(&deployment, NEAREST, LONG);
+    send_orders_for(&deployment, GATED_MACHINE, PAST_REPORT_LIFETIME);
     assert_eq!(engine.runs().len(), before);
 }
 
 /// Guards against taking the entry of an engine that peers saw leave for one that
 /// lapsed with the store away.
 #[test]
-fn an_engine_that_left_gets_no_work_once_the_list_is_read_again() {
+fn an_engine_that_left_gets_no_requests_after_the_list_is_read_again() {
     let (deployment, gate) = start_behind_gate(3);
     let engine = &deployment.services[0];
     gate.close();
-    leave(&deployment, engine);
-    thread::sleep(LONG);
+    remove_from_list(&deployment, engine);
+    thread::sleep(PAST_REPORT_LIFETIME);
     let before = engine.runs().len();
     gate.open();
-    order_for(&deployment, NEAREST, KNOWN_AGAIN);
+    send_orders_for(&deployment, GATED_MACHINE, LIST_REREAD_DELAY);
     assert_eq!(engine.runs().len(), before);
 }
--- a/crates/mangowalkd/tests/machines/logs.rs
+++ b/crates/mangowalkd/tests/machines/logs.rs
@@ -12,13 +12,17 @@
 
 /// Nobody reads the log, and its pipe fills up. Callers must not notice.
 #[test]
-fn a_log_that_nobody_reads_delays_nobody() {
+fn an_unread_log_delays_no_request() {
     let mut deployment = Deployment::prepare(PROGRAM, 1, 1);
-    deployment.machines[0].start_unread();
+    deployment.machines[0].start_with_unread_log();
     deployment.wait_until_ready();
     let caller = deployment.caller(0);
     for _ in 0..700 {
-        let reply = caller.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+        let reply = caller.plain(
+            "GET",
+            RouteKind::Idempotent.path(),
+            &Caller::new_request_id(),
+        );
         assert_eq!(reply.status, 200);
     }
 }
@@ -28,12 +32,16 @@
     let deployment = Deployment::start(PROGRAM, 1, 1);
     let caller = deployment.caller(0);
     for _ in 0..3 {
-        caller.stream(RouteKind::Stream.path(), &Caller::fresh_id());
+        caller.stream(RouteKind::Stream.path(), &Caller::new_request_id());
     }
-    let mut stranger = caller.clone();
-    stranger.key = Some("nobody's".to_owned());
-    stranger.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
-    let metrics = Caller::get(deployment.machines[0].metrics(), "/metrics").body;
+    let mut unknown_caller = caller.clone();
+    unknown_caller.key = Some("nobody's".to_owned());
+    unknown_caller.plain(
+        "GET",
+        RouteKind::Idempotent.path(),
+        &Caller::new_request_id(),
+    );
+    let metrics = Caller::get(deployment.machines[0].metrics_address(), "/metrics").body;
     assert!(
         metrics.contains("mangowalk_answered_total{reason=\"engine\"} 3"),
         "{metrics}"
@@ -53,29 +61,33 @@
 /// by the open connection once kept it until it was killed. On-call must see from
 /// the log that it was told to stop, and that it did.
 #[test]
-fn the_end_of_an_instance_is_logged_under_load() {
+fn shutdown_is_logged_under_load() {
     let mut deployment = Deployment::start(PROGRAM, 1, 1);
     deployment.engines[0].set_faults(EngineFaults {
-        event_ms: 2_000,
+        event_interval_ms: 2_000,
         ..EngineFaults::default()
     });
     let caller = deployment.caller(0);
     let stream =
-        thread::spawn(move || caller.stream(RouteKind::Stream.path(), &Caller::fresh_id()));
+        thread::spawn(move || caller.stream(RouteKind::Stream.path(), &Caller::new_request_id()));
     thread::sleep(Duration::from_millis(200));
-    let crowd = deployment.caller(0);
-    let flood = thread::spawn(move || {
+    let load_caller = deployment.caller(0);
+    let load = thread::spawn(move || {
         let until = Instant::now() + Duration::from_millis(1_500);
         while Instant::now() < until {
-            crowd.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+            load_caller.plain(
+                "GET",
+                RouteKind::Idempotent.path(),
+                &Caller::new_request_id(),
+            );
             thread::sleep(Duration::from_millis(1));
         }
     });
     thread::sleep(Duration::from_millis(300));
     deployment.machines[0].signal(Signal::SIGTERM);
-    let code = deployment.machines[0].wait_for_end(Duration::from_millis(3_750));
+    let code = deployment.machines[0].wait_for_exit(Duration::from_millis(3_750));
     assert_eq!(code, Some(0), "it ends well before it would be killed");
-    flood.join().expect("the callers end");
+    load.join().expect("the callers end");
     stream.join().expect("the caller ends");
     let log = deployment.machines[0].log();
     let dropped = log.contains("dropped_lines=");
--- a/crates/mangowalkd/tests/machines/rates.rs
+++ b/crates/mangowalkd/tests/machines/rates.rs
@@ -8,22 +8,26 @@
 
 /// Each plain request of the team takes 200 tokens of 1,000 a second and
 /// 4,000 at once.
-const TOKENS: f64 = 200.0;
-const PER_S: f64 = 1_000.0;
-const BURST: f64 = 4_000.0;
+const TOKENS_PER_REQUEST: f64 = 200.0;
+const TOKENS_PER_S: f64 = 1_000.0;
+const BURST_TOKENS: f64 = 4_000.0;
 
 /// A team sends five times its rate, to three instances in turn. Over all of
 /// them together it must get no more than rate and burst and a tenth; and what
 /// it is refused is refused as not run, with a time to come back.
 #[test]
-fn a_team_gets_its_rate_once_over_all_instances() {
+fn a_team_rate_applies_once_across_all_instances() {
     let deployment = Deployment::start(PROGRAM, 3, 1);
     let began = Instant::now();
     let (mut served, mut refused) = (0, 0);
     while began.elapsed() < Duration::from_secs(4) {
         for machine in &deployment.machines {
-            let caller = Caller::new(machine.callers(), "key-of-small");
-            let reply = caller.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+            let caller = Caller::new(machine.caller_address(), "key-of-small");
+            let reply = caller.plain(
+                "GET",
+                RouteKind::Idempotent.path(),
+                &Caller::new_request_id(),
+            );
             match reply.status {
                 200 => served += 1,
                 429 => {
@@ -35,25 +39,33 @@
         }
         std::thread::sleep(Duration::from_millis(25));
     }
-    let allowed = (PER_S * began.elapsed().as_secs_f64() + BURST) * 1.1;
-    let got = f64::from(served) * TOKENS;
+    let allowed = (TOKENS_PER_S * began.elapsed().as_secs_f64() + BURST_TOKENS) * 1.1;
+    let got = f64::from(served) * TOKENS_PER_REQUEST;
     assert!(got <= allowed, "{got} tokens of {allowed}");
     // The rate itself must be handed out, whichever instance is asked.
-    assert!(got >= PER_S * 4.0 * 0.7, "{got} tokens");
+    assert!(got >= TOKENS_PER_S * 4.0 * 0.7, "{got} tokens");
     assert!(refused > 0);
 }
 
 /// A team without a limit is never refused for another's rate.
 #[test]
-fn another_teams_rate_refuses_nobody() {
+fn a_team_without_a_limit_is_not_refused_for_another_teams_rate() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
-    let small = Caller::new(deployment.machines[0].callers(), "key-of-small");
+    let small = Caller::new(deployment.machines[0].caller_address(), "key-of-small");
     for _ in 0..30 {
-        small.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+        small.plain(
+            "GET",
+            RouteKind::Idempotent.path(),
+            &Caller::new_request_id(),
+        );
     }
     let caller = deployment.caller(0);
     for _ in 0..10 {
-        let reply = caller.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+        let reply = caller.plain(
+            "GET",
+            RouteKind::Idempotent.path(),
+            &Caller::new_request_id(),
+        );
         assert_eq!(reply.status, 200);
     }
 }
--- a/crates/mangowalkd/tests/machines/sizes.rs
+++ b/crates/mangowalkd/tests/machines/sizes.rs
@@ -2,7 +2,7 @@
 
 use {
     super::PROGRAM,
-    mangowalk_platform_standins::{Caller, Deployment, Reply, RouteKind, wait},
+    mangowalk_platform_standins::{Caller, Deployment, Reply, RouteKind, wait_until},
     std::{thread, time::Duration},
 };
 
@@ -14,13 +14,13 @@
     let deployment = Deployment::start(PROGRAM, 20, 2);
     for machine in 0..20 {
         let caller = deployment.caller(machine);
-        let reply = caller.stream(RouteKind::Resumable.path(), &Caller::fresh_id());
-        assert!(reply.is_whole_stream(), "instance {machine}: {reply:?}");
-        let reply = caller.plain("POST", RouteKind::Once.path(), &Caller::fresh_id());
+        let reply = caller.stream(RouteKind::Resumable.path(), &Caller::new_request_id());
+        assert!(reply.is_complete_stream(), "instance {machine}: {reply:?}");
+        let reply = caller.plain("POST", RouteKind::Once.path(), &Caller::new_request_id());
         assert_eq!(reply.status, 200, "instance {machine}: {reply:?}");
     }
-    deployment.name_weights(2);
-    wait("both engines have the new weights", || {
+    deployment.publish_weights(2);
+    wait_until("both engines have the new weights", || {
         deployment
             .engines
             .iter()
@@ -42,11 +42,11 @@
     let mut ran = 0;
     for _ in 0..8 {
         let replies: Vec<Reply> = thread::scope(|scope| {
-            let asked: Vec<_> = (0..20)
+            let requests: Vec<_> = (0..20)
                 .map(|machine| deployment.caller(machine))
-                .map(|caller| scope.spawn(move || ask_as_small_team(caller)))
+                .map(|caller| scope.spawn(move || send_as_small_team(caller)))
                 .collect();
-            let replies = asked.into_iter().map(|reply| reply.join());
+            let replies = requests.into_iter().map(|reply| reply.join());
             replies.map(|reply| reply.expect("it ends")).collect()
         });
         ran += replies.iter().filter(|reply| reply.status == 200).count();
@@ -56,11 +56,11 @@
     assert!((2..=9).contains(&ran), "{ran} of 160 ran");
 }
 
-fn ask_as_small_team(mut caller: Caller) -> Reply {
+fn send_as_small_team(mut caller: Caller) -> Reply {
     caller.key = Some("key-of-small".to_owned());
-    let reply = caller.stream(RouteKind::Stream.path(), &Caller::fresh_id());
+    let reply = caller.stream(RouteKind::Stream.path(), &Caller::new_request_id());
     assert!([200, 429].contains(&reply.status), "{reply:?}");
-    let says_when = reply.retry_after_s().is_some_and(|wait_s| wait_s > 0.0);
-    assert!(reply.status == 200 || says_when, "{reply:?}");
+    let has_retry_after = reply.retry_after_s().is_some_and(|wait_s| wait_s > 0.0);
+    assert!(reply.status == 200 || has_retry_after, "{reply:?}");
     reply
 }
--- a/crates/mangowalkd/tests/machines/stopping.rs
+++ b/crates/mangowalkd/tests/machines/stopping.rs
@@ -3,7 +3,7 @@
 use {
     super::PROGRAM,
     mangowalk_platform_standins::{
-        Caller, Deployment, EngineFaults, KeptConnection, RouteKind, wait,
+        Caller, Deployment, EngineFaults, KeepAliveConnection, RouteKind, wait_until,
     },
     nix::sys::signal::Signal,
     std::time::Duration,
@@ -13,58 +13,63 @@
 /// addresses of all at once and no longer ready, the stream comes to its end,
 /// and the process ends by itself before it would be killed.
 #[test]
-fn a_stopping_instance_finishes_what_it_has() {
+fn a_stopping_instance_finishes_open_streams_and_exits() {
     let mut deployment = Deployment::start(PROGRAM, 2, 1);
     deployment.engines[0].set_faults(EngineFaults {
-        event_ms: 120,
+        event_interval_ms: 120,
         ..EngineFaults::default()
     });
     let caller = deployment.caller(0);
-    let stream =
-        std::thread::spawn(move || caller.stream(RouteKind::Stream.path(), &Caller::fresh_id()));
+    let stream = std::thread::spawn(move || {
+        caller.stream(RouteKind::Stream.path(), &Caller::new_request_id())
+    });
     std::thread::sleep(Duration::from_millis(300));
     deployment.machines[0].signal(Signal::SIGTERM);
-    wait("it says that it is not ready", || {
-        deployment.machines[0].says_ready() == 503
+    wait_until("it says that it is not ready", || {
+        deployment.machines[0].ready_status() == 503
     });
-    let gone = deployment.machines[0].callers().to_string();
-    wait("the other names it no more", || {
+    let stopped_address = deployment.machines[0].caller_address().to_string();
+    wait_until("the other names it no more", || {
         !deployment
             .addresses(&deployment.machines[1])
-            .contains(&gone)
+            .contains(&stopped_address)
     });
-    let late = deployment.caller(0);
-    let reply = late.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+    let late_caller = deployment.caller(0);
+    let reply = late_caller.plain(
+        "GET",
+        RouteKind::Idempotent.path(),
+        &Caller::new_request_id(),
+    );
     assert_eq!(reply.status, 200, "callers with an old address are served");
     assert_eq!(reply.header("connection"), Some("close"));
     let reply = stream.join().expect("the caller ends");
-    assert!(reply.is_whole_stream(), "{reply:?}");
-    let code = deployment.machines[0].wait_for_end(Duration::from_secs(5));
+    assert!(reply.is_complete_stream(), "{reply:?}");
+    let code = deployment.machines[0].wait_for_exit(Duration::from_secs(5));
     assert_eq!(code, Some(0));
 }
 
 /// Guards against taking a request that may outlast the time to stop.
 #[test]
-fn a_request_after_the_time_of_old_addresses_is_not_run() {
+fn a_request_after_the_address_ttl_of_a_stopping_instance_is_not_run() {
     let deployment = Deployment::start(PROGRAM, 2, 1);
     let machine = &deployment.machines[0];
     machine.change_settings(|text| text.replace("GraceS=4", "GraceS=8"));
     machine.signal(Signal::SIGHUP);
-    wait("the new time is in force", || {
+    wait_until("the new time is in force", || {
         machine.log().contains("taken=grace_ms")
     });
     let caller = deployment.caller(0);
-    let mut kept = KeptConnection::default();
+    let mut connection = KeepAliveConnection::default();
     let path = RouteKind::Stream.path();
     assert!(
         caller
-            .on_kept(&mut kept, path, &Caller::fresh_id())
-            .is_whole_stream()
+            .send_on(&mut connection, path, &Caller::new_request_id())
+            .is_complete_stream()
     );
     machine.signal(Signal::SIGTERM);
     std::thread::sleep(Duration::from_millis(3_050));
-    let id = Caller::fresh_id();
-    let reply = caller.on_kept(&mut kept, path, &id);
+    let id = Caller::new_request_id();
+    let reply = caller.send_on(&mut connection, path, &id);
     // An idle connection is closed; what crosses that is not read.
     assert!(matches!(reply.status, 0 | 503), "{reply:?}");
     assert_eq!(deployment.times_run(&id), 0);
@@ -73,15 +78,15 @@
 /// A killed instance leaves the addresses though it could tell nobody, and is
 /// there again once it is back.
 #[test]
-fn a_killed_instance_is_missed_and_comes_back() {
+fn a_killed_instance_leaves_the_addresses_until_it_restarts() {
     let mut deployment = Deployment::start(PROGRAM, 3, 1);
-    let gone = deployment.machines[2].callers().to_string();
+    let stopped_address = deployment.machines[2].caller_address().to_string();
     deployment.machines[2].kill();
-    wait("the others name it no more", || {
+    wait_until("the others name it no more", || {
         (0..2).all(|m| {
             !deployment
                 .addresses(&deployment.machines[m])
-                .contains(&gone)
+                .contains(&stopped_address)
         })
     });
     deployment.machines[2].start();
@@ -91,7 +96,7 @@
 /// All instances are killed together, and start together. They find each
 /// other and serve, though each knows only what lies in the store.
 #[test]
-fn all_instances_come_back_together() {
+fn all_instances_serve_after_a_common_restart() {
     let mut deployment = Deployment::start(PROGRAM, 3, 1);
     for machine in &mut deployment.machines {
         machine.kill();
@@ -102,27 +107,28 @@
     deployment.wait_until_ready();
     let reply = deployment
         .caller(1)
-        .stream(RouteKind::Stream.path(), &Caller::fresh_id());
-    assert!(reply.is_whole_stream());
+        .stream(RouteKind::Stream.path(), &Caller::new_request_id());
+    assert!(reply.is_complete_stream());
 }
 
 /// An instance is frozen for a while. The others stop naming it, and once it
 /// goes on it serves again.
 #[test]
-fn a_frozen_instance_is_missed_and_goes_on() {
+fn a_frozen_instance_leaves_the_addresses_and_serves_when_resumed() {
     let deployment = Deployment::start(PROGRAM, 2, 1);
-    let frozen = deployment.machines[1].callers().to_string();
+    let frozen_address = deployment.machines[1].caller_address().to_string();
     deployment.machines[1].signal(Signal::SIGSTOP);
-    wait("the other names it no more", || {
+    wait_until("the other names it no more", || {
         !deployment
             .addresses(&deployment.machines[0])
-            .contains(&frozen)
+            .contains(&frozen_address)
     });
     deployment.machines[1].signal(Signal::SIGCONT);
     deployment.wait_until_ready();
-    let reply =
-        deployment
-            .caller(1)
-            .plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+    let reply = deployment.caller(1).plain(
+        "GET",
+        RouteKind::Idempotent.path(),
+        &Caller::new_request_id(),
+    );
     assert_eq!(reply.status, 200);
 }
--- a/crates/mangowalkd/tests/soak/check.rs
+++ b/crates/mangowalkd/tests/soak/check.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        faults::{Faults, Left, Span},
-        traffic::Asked,
+        faults::{Departure, Faults, Span},
+        traffic::SentRequest,
     },
     mangowalk_platform_standins::{RouteKind, Run},
     std::{
@@ -11,23 +11,23 @@
 };
 
 /// Time for which nothing may have disturbed a machine for bounds to hold there.
-const STABLE: Duration = Duration::from_millis(3_000);
+const SETTLE_TIME: Duration = Duration::from_millis(3_000);
 
 /// Time after an engine's word that it leaves from which on it gets no work, with
 /// what a request may take on its way on a busy machine.
-const DRAIN: Duration = Duration::from_millis(2_000 + 300);
+const MAX_DRAIN_DELAY: Duration = Duration::from_millis(2_000 + 300);
 
 /// Time in which a withdrawn key stops.
-const WITHDRAW: Duration = Duration::from_millis(2_000 + 300);
+const MAX_WITHDRAWAL_DELAY: Duration = Duration::from_millis(2_000 + 300);
 
 /// Descriptors that an instance with few callers may hold.
-const MOST_DESCRIPTORS: usize = 200;
+const MAX_DESCRIPTORS: usize = 200;
 
 /// What engines ran, by request.
 type Runs<'a> = HashMap<String, Vec<(&'a str, Run)>>;
 
 /// Returns the promises that were broken.
-pub(crate) fn check(faults: &Faults, asked: &[Asked], recovered: Instant) -> Vec<String> {
+pub(crate) fn check(faults: &Faults, requests: &[SentRequest], recovered: Instant) -> Vec<String> {
     let deployment = &faults.deployment;
     let mut runs: Runs<'_> = HashMap::new();
     for engine in deployment.engines.iter().chain(&deployment.services) {
@@ -36,58 +36,64 @@
             of_request.push((engine.id(), run));
         }
     }
-    let mut broken = Vec::new();
-    for one in asked {
-        let ran = runs.get(&one.id).map_or(&[][..], Vec::as_slice);
+    let mut violations = Vec::new();
+    for request in requests {
+        let ran = runs.get(&request.id).map_or(&[][..], Vec::as_slice);
         let checks = [
-            once(one, ran),
-            refusal(one, ran),
-            answer(one),
-            team(one, ran),
-            leaving(faults, one, ran),
-            withdrawn(faults, one),
+            check_runs_at_most_once(request, ran),
+            check_refused_not_run(request, ran),
+            check_response(request),
+            check_team(request, ran),
+            check_departed_engine(faults, request, ran),
+            check_withdrawn_key(faults, request),
         ];
         let failures = checks.into_iter().flatten();
-        broken.extend(failures.map(|failure| {
+        violations.extend(failures.map(|failure| {
             format!(
                 "{failure}: request {} at m{} got {}, {ran:?}",
-                one.id, one.machine, one.reply.status
+                request.id, request.machine, request.reply.status
             )
         }));
     }
-    broken.extend(recovery(faults, asked, recovered));
-    broken.extend(descriptors(faults));
-    broken
+    violations.extend(check_recovery(faults, requests, recovered));
+    violations.extend(check_descriptors(faults));
+    violations
 }
 
-fn may_run_again(one: &Asked) -> bool {
-    matches!(one.kind, RouteKind::Idempotent | RouteKind::Resumable)
+fn may_run_again(request: &SentRequest) -> bool {
+    matches!(request.kind, RouteKind::Idempotent | RouteKind::Resumable)
 }
 
-fn once(one: &Asked, ran: &[(&str, Run)]) -> Option<&'static str> {
-    (!may_run_again(one) && ran.len() > 1).then_some("it ran twice")
+fn check_runs_at_most_once(request: &SentRequest, ran: &[(&str, Run)]) -> Option<&'static str> {
+    (!may_run_again(request) && ran.len() > 1).then_some("it ran twice")
 }
 
-fn refusal(one: &Asked, ran: &[(&str, Run)]) -> Option<&'static str> {
-    let promises = matches!(one.reply.status, 408 | 421 | 429 | 503);
-    (promises && !may_run_again(one) && !ran.is_empty()).then_some("it was refused and has run")
+fn check_refused_not_run(request: &SentRequest, ran: &[(&str, Run)]) -> Option<&'static str> {
+    let is_refusal = matches!(request.reply.status, 408 | 421 | 429 | 503);
+    (is_refusal && !may_run_again(request) && !ran.is_empty())
+        .then_some("it was refused and has run")
 }
 
-fn answer(one: &Asked) -> Option<&'static str> {
-    let reply = &one.reply;
-    if reply.status != 200 || !reply.is_whole {
+fn check_response(request: &SentRequest) -> Option<&'static str> {
+    let reply = &request.reply;
+    if reply.status != 200 || !reply.is_complete {
         return None;
     }
-    let is_own = match one.kind {
-        RouteKind::Stream | RouteKind::Resumable => reply.is_whole_stream(),
-        RouteKind::Once | RouteKind::Idempotent => reply.body == format!("body of {}", one.id),
+    let is_own = match request.kind {
+        RouteKind::Stream | RouteKind::Resumable => reply.is_complete_stream(),
+        RouteKind::Once | RouteKind::Idempotent => reply.body == format!("body of {}", request.id),
     };
-    (!is_own || !reply.is_signed()).then_some("the answer is not the whole one of the request")
+    (!is_own || !reply.has_response_stamp())
+        .then_some("the answer is not the whole one of the request")
 }
 
-fn team(one: &Asked, ran: &[(&str, Run)]) -> Option<&'static str> {
-    let team = if one.is_walled { "walled" } else { "shop" };
-    if ran.iter().any(|(_, run)| run.saw_key) {
+fn check_team(request: &SentRequest, ran: &[(&str, Run)]) -> Option<&'static str> {
+    let team = if request.uses_withdrawn_key {
+        "walled"
+    } else {
+        "shop"
+    };
+    if ran.iter().any(|(_, run)| run.received_key) {
         return Some("an engine saw the key");
     }
     let is_own = |run: &Run| run.tenant.as_deref() == Some(team);
@@ -95,84 +101,92 @@
     is_foreign.then_some("it ran for another team")
 }
 
-fn is_clear(span: &Span, from: Instant, to: Instant) -> bool {
-    span.from > to || span.to + STABLE < from
+fn is_outside(span: &Span, from: Instant, to: Instant) -> bool {
+    span.from > to || span.to + SETTLE_TIME < from
 }
 
 /// Returns whether neither the machine nor the store was disturbed for long.
-fn is_in_touch(faults: &Faults, machine: usize, from: Instant, to: Instant) -> bool {
+fn is_undisturbed(faults: &Faults, machine: usize, from: Instant, to: Instant) -> bool {
     let own = &faults.disturbed[machine];
     let mut all = own.iter().chain(&faults.store_disturbed);
-    all.all(|span| is_clear(span, from, to))
+    all.all(|span| is_outside(span, from, to))
 }
 
 /// Returns whether a machine runs whose peers have told it what they read in the
 /// store: one of them was in touch from a departure on.
-fn is_told(faults: &Faults, machine: usize, left: &Left, to: Instant) -> bool {
+fn has_informed_peer(faults: &Faults, machine: usize, departure: &Departure, to: Instant) -> bool {
     let mut stopped = faults.stopped[machine].iter();
-    let runs = stopped.all(|span| is_clear(span, to, to));
+    let runs = stopped.all(|span| is_outside(span, to, to));
     let mut peers = (0..faults.disturbed.len()).filter(|peer| *peer != machine);
-    runs && peers.any(|peer| is_in_touch(faults, peer, left.at, to))
+    runs && peers.any(|peer| is_undisturbed(faults, peer, departure.at, to))
 }
 
-fn leaving(faults: &Faults, one: &Asked, ran: &[(&str, Run)]) -> Option<&'static str> {
+fn check_departed_engine(
+    faults: &Faults,
+    request: &SentRequest,
+    ran: &[(&str, Run)],
+) -> Option<&'static str> {
     for (engine, run) in ran {
-        let mut left = faults.left.iter();
-        let Some(left) = left.find(|left| left.engine == *engine) else {
+        let mut departures = faults.departures.iter();
+        let Some(departure) = departures.find(|departure| departure.engine == *engine) else {
             continue;
         };
-        if run.at <= left.at + DRAIN {
+        if run.started_at <= departure.at + MAX_DRAIN_DELAY {
             continue;
         }
         // What the store took on while it was disturbed binds nobody.
         let mut disturbed = faults.store_disturbed.iter();
-        let is_binding = disturbed.all(|span| is_clear(span, left.at, left.at));
-        if is_binding && is_in_touch(faults, one.machine, one.sent, run.at) {
+        let store_was_undisturbed =
+            disturbed.all(|span| is_outside(span, departure.at, departure.at));
+        if store_was_undisturbed
+            && is_undisturbed(faults, request.machine, request.sent, run.started_at)
+        {
             return Some("an engine that leaves got work");
         }
-        if is_told(faults, one.machine, left, run.at) {
+        if has_informed_peer(faults, request.machine, departure, run.started_at) {
             return Some("an engine got work that a peer saw leave");
         }
     }
     None
 }
 
-fn withdrawn(faults: &Faults, one: &Asked) -> Option<&'static str> {
-    if !one.is_walled || one.reply.status != 200 {
+fn check_withdrawn_key(faults: &Faults, request: &SentRequest) -> Option<&'static str> {
+    if !request.uses_withdrawn_key || request.reply.status != 200 {
         return None;
     }
-    let is_out = |span: &Span| one.sent > span.from + WITHDRAW && one.ended < span.to;
+    let is_out =
+        |span: &Span| request.sent > span.from + MAX_WITHDRAWAL_DELAY && request.ended < span.to;
     let is_late = faults.withdrawn.iter().any(is_out)
-        && is_in_touch(faults, one.machine, one.sent, one.ended);
+        && is_undisturbed(faults, request.machine, request.sent, request.ended);
     is_late.then_some("a withdrawn key was served")
 }
 
-fn recovery(faults: &Faults, asked: &[Asked], recovered: Instant) -> Vec<String> {
+fn check_recovery(faults: &Faults, requests: &[SentRequest], recovered: Instant) -> Vec<String> {
     let machines = faults.deployment.machines.iter().enumerate();
-    let later = asked
+    let later = requests
         .iter()
-        .filter(|one| one.sent > recovered + Duration::from_secs(2));
-    let unwell = machines.filter_map(|(place, machine)| {
-        let served = later.clone().filter(|one| one.machine == place);
-        let (all, served) = served.fold((0, 0), |(all, served), one| {
-            (all + 1, served + usize::from(one.reply.status == 200))
+        .filter(|request| request.sent > recovered + Duration::from_secs(2));
+    let failures = machines.filter_map(|(place, machine)| {
+        let served = later.clone().filter(|request| request.machine == place);
+        let (all, served) = served.fold((0, 0), |(all, served), request| {
+            (all + 1, served + usize::from(request.reply.status == 200))
         });
-        let is_well = machine.is_ready() && served * 10 >= all * 9;
-        (!is_well).then(|| {
+        let is_recovered = machine.is_ready() && served * 10 >= all * 9;
+        (!is_recovered).then(|| {
             let name = machine.name();
             format!("{name} is not well after the faults: {served} of {all} served")
         })
     });
-    unwell.collect()
+    failures.collect()
 }
 
-fn descriptors(faults: &Faults) -> Vec<String> {
+fn check_descriptors(faults: &Faults) -> Vec<String> {
     let machines = faults.deployment.machines.iter();
     let held = machines.map(|machine| {
         let open = std::fs::read_dir(format!("/proc/{}/fd", machine.pid()));
         (machine.name(), open.map_or(0, Iterator::count))
     });
-    held.filter(|(_, count)| *count > MOST_DESCRIPTORS)
+    held.filter(|(_, count)| *count > MAX_DESCRIPTORS)
         .map(|(name, count)| format!("{name} holds {count} descriptors"))
         .collect()
 }
--- a/crates/mangowalkd/tests/soak/faults.rs
+++ b/crates/mangowalkd/tests/soak/faults.rs
@@ -8,23 +8,23 @@
 
 /// What a fault does later.
 #[derive(Debug, Clone)]
-enum Later {
-    Open(usize),
-    Thaw(usize),
-    Start(usize),
-    StoreWell,
-    ReadingsWell,
-    Unlist(String),
-    Join { is_model: bool },
-    Lapse,
-    WriteAgain,
-    EngineWell(String),
-    GiveKey,
+enum Action {
+    OpenGate(usize),
+    Unfreeze(usize),
+    StartInstance(usize),
+    RestoreStore,
+    EndReadLag,
+    RemoveEntry(String),
+    AddEngine { is_model: bool },
+    ExpireEntries,
+    RewriteEntries,
+    RestoreEngine(String),
+    RestoreKey,
 }
 
 /// When an engine left, for the store.
 #[derive(Debug, Clone)]
-pub(crate) struct Left {
+pub(crate) struct Departure {
     pub(crate) engine: String,
     pub(crate) at: Instant,
 }
@@ -46,10 +46,10 @@
 pub(crate) struct Faults {
     pub(crate) deployment: Deployment,
     gates: Vec<StoreGate>,
-    later: Vec<(Instant, Later)>,
+    pending: Vec<(Instant, Action)>,
     /// Engines on the list; those that left serve on.
     listed: Vec<String>,
-    pub(crate) left: Vec<Left>,
+    pub(crate) departures: Vec<Departure>,
     /// Times in which a machine was disturbed, its way to the store included.
     pub(crate) disturbed: Vec<Vec<Span>>,
     /// Times in which a machine's process didn't run.
@@ -59,9 +59,9 @@
     pub(crate) store_disturbed: Vec<Span>,
     pub(crate) withdrawn: Vec<Span>,
     weights: u64,
-    joined: usize,
+    added_engines: usize,
     /// Whether entries have lapsed and are not written again yet.
-    is_lapsed: bool,
+    entries_expired: bool,
 }
 
 impl Faults {
@@ -74,24 +74,24 @@
             refusals: deployment.machines.iter().map(|_| 0).collect(),
             deployment,
             gates,
-            later: Vec::new(),
-            left: Vec::new(),
+            pending: Vec::new(),
+            departures: Vec::new(),
             store_disturbed: Vec::new(),
             withdrawn: Vec::new(),
             weights: 1,
-            joined: 0,
-            is_lapsed: false,
+            added_engines: 0,
+            entries_expired: false,
         }
     }
 
     /// Carries out what is due.
     pub(crate) fn tick(&mut self, now: Instant) {
-        let (due, later) = self.later.drain(..).partition(|(at, _)| *at <= now);
-        self.later = later;
-        for (_, then) in due {
-            self.then(then, now);
+        let (due, pending) = self.pending.drain(..).partition(|(at, _)| *at <= now);
+        self.pending = pending;
+        for (_, action) in due {
+            self.run_action(action, now);
         }
-        if !self.is_lapsed {
+        if !self.entries_expired {
             self.write_entries();
         }
     }
@@ -108,26 +108,26 @@
     }
 
     /// Returns whether nothing is to come.
-    pub(crate) fn is_over(&self) -> bool {
-        self.later.is_empty()
+    pub(crate) fn is_finished(&self) -> bool {
+        self.pending.is_empty()
     }
 
-    fn after(&mut self, now: Instant, ms: u64, then: Later) {
-        self.later.push((now + Duration::from_millis(ms), then));
+    fn schedule(&mut self, now: Instant, ms: u64, action: Action) {
+        self.pending.push((now + Duration::from_millis(ms), action));
     }
 
-    fn disturb(&mut self, machine: usize, now: Instant, for_ms: u64) {
+    fn mark_disturbed(&mut self, machine: usize, now: Instant, for_ms: u64) {
         let to = now + Duration::from_millis(for_ms);
         self.disturbed[machine].push(Span { from: now, to });
     }
 
-    fn stop(&mut self, machine: usize, now: Instant, for_ms: u64) {
-        self.disturb(machine, now, for_ms);
+    fn mark_stopped(&mut self, machine: usize, now: Instant, for_ms: u64) {
+        self.mark_disturbed(machine, now, for_ms);
         let to = now + Duration::from_millis(for_ms);
         self.stopped[machine].push(Span { from: now, to });
     }
 
-    fn disturb_store(&mut self, now: Instant, for_ms: u64) {
+    fn mark_store_disturbed(&mut self, now: Instant, for_ms: u64) {
         let to = now + Duration::from_millis(for_ms);
         self.store_disturbed.push(Span { from: now, to });
     }
@@ -138,78 +138,78 @@
             Fault::Refuse { machine, for_ms } => {
                 self.gates[machine].close();
                 self.refusals[machine] += 1;
-                self.disturb(machine, now, for_ms);
-                self.after(now, for_ms, Later::Open(machine));
+                self.mark_disturbed(machine, now, for_ms);
+                self.schedule(now, for_ms, Action::OpenGate(machine));
             }
             Fault::Freeze { machine, for_ms } => {
                 self.deployment.machines[machine].signal(Signal::SIGSTOP);
-                self.stop(machine, now, for_ms);
-                self.after(now, for_ms, Later::Thaw(machine));
+                self.mark_stopped(machine, now, for_ms);
+                self.schedule(now, for_ms, Action::Unfreeze(machine));
             }
             Fault::Kill { machine, for_ms } => {
                 self.deployment.machines[machine].kill();
-                self.stop(machine, now, for_ms);
-                self.after(now, for_ms, Later::Start(machine));
+                self.mark_stopped(machine, now, for_ms);
+                self.schedule(now, for_ms, Action::StartInstance(machine));
             }
             Fault::Stop { machine } => {
                 self.deployment.machines[machine].signal(Signal::SIGTERM);
-                self.stop(machine, now, STOP_MS);
-                self.after(now, STOP_MS, Later::Start(machine));
+                self.mark_stopped(machine, now, STOP_MS);
+                self.schedule(now, STOP_MS, Action::StartInstance(machine));
             }
             Fault::StoreBusy { for_ms } => {
                 self.deployment.store.set_fault(StoreFault::Busy);
-                self.disturb_store(now, for_ms);
-                self.after(now, for_ms, Later::StoreWell);
+                self.mark_store_disturbed(now, for_ms);
+                self.schedule(now, for_ms, Action::RestoreStore);
             }
             Fault::StoreLapses { for_ms } => {
                 self.deployment.store.set_fault(StoreFault::Busy);
                 // Entries are back within two seconds.
-                self.disturb_store(now, for_ms + 2_000);
-                self.after(now, for_ms / 2, Later::Lapse);
-                self.after(now, for_ms, Later::StoreWell);
-                self.after(now, for_ms + 1_200, Later::WriteAgain);
+                self.mark_store_disturbed(now, for_ms + 2_000);
+                self.schedule(now, for_ms / 2, Action::ExpireEntries);
+                self.schedule(now, for_ms, Action::RestoreStore);
+                self.schedule(now, for_ms + 1_200, Action::RewriteEntries);
             }
             Fault::LoseAnswers { for_ms } => {
-                self.deployment.store.set_fault(StoreFault::LoseAnswers);
-                self.disturb_store(now, for_ms);
-                self.after(now, for_ms, Later::StoreWell);
+                self.deployment.store.set_fault(StoreFault::DropResponses);
+                self.mark_store_disturbed(now, for_ms);
+                self.schedule(now, for_ms, Action::RestoreStore);
             }
             Fault::Lag { for_ms } => {
                 self.deployment.store.set_lagging(true);
-                self.after(now, for_ms, Later::ReadingsWell);
+                self.schedule(now, for_ms, Action::EndReadLag);
             }
             Fault::Drain { is_model } => {
-                if let Some(id) = self.leave(is_model, now) {
+                if let Some(id) = self.remove_engine(is_model, now) {
                     let entry = self.engine(&id).map(|engine| engine.entry("draining"));
                     if let Some(entry) = entry {
                         self.deployment.store.write("servers", &id, entry);
                     }
-                    self.after(now, DRAIN_MS, Later::Unlist(id));
+                    self.schedule(now, DRAIN_MS, Action::RemoveEntry(id));
                 }
             }
             Fault::Leave { is_model } => {
-                if let Some(id) = self.leave(is_model, now) {
+                if let Some(id) = self.remove_engine(is_model, now) {
                     self.deployment.store.remove("servers", &id);
                 }
             }
             Fault::Mute { is_model, for_ms } => {
                 let faults = EngineFaults {
-                    loses_answers: true,
+                    drops_responses: true,
                     ..EngineFaults::default()
                 };
-                self.spoil(is_model, faults, for_ms, now);
+                self.set_engine_faults(is_model, faults, for_ms, now);
             }
             Fault::Cut { for_ms } => {
                 let faults = EngineFaults {
                     cut_after_events: Some(4),
-                    half_event: true,
+                    sends_half_event: true,
                     ..EngineFaults::default()
                 };
-                self.spoil(true, faults, for_ms, now);
+                self.set_engine_faults(true, faults, for_ms, now);
             }
             Fault::NameWeights => {
                 self.weights += 1;
-                self.deployment.name_weights(self.weights);
+                self.deployment.publish_weights(self.weights);
             }
             Fault::Withdraw { for_ms } => {
                 let to = now + Duration::from_millis(for_ms);
@@ -220,44 +220,44 @@
                 self.deployment.configure(|configuration| {
                     configuration["Tenants"][1]["ApiKeys"] = json!([]);
                 });
-                self.after(now, for_ms, Later::GiveKey);
+                self.schedule(now, for_ms, Action::RestoreKey);
             }
         }
     }
 
-    fn then(&mut self, then: Later, now: Instant) {
+    fn run_action(&mut self, action: Action, now: Instant) {
         let machines = &mut self.deployment.machines;
-        match then {
-            Later::Open(machine) => {
+        match action {
+            Action::OpenGate(machine) => {
                 self.refusals[machine] -= 1;
                 if self.refusals[machine] == 0 {
                     self.gates[machine].open();
                 }
             }
-            Later::Thaw(machine) => machines[machine].signal(Signal::SIGCONT),
-            Later::Start(machine) => {
+            Action::Unfreeze(machine) => machines[machine].signal(Signal::SIGCONT),
+            Action::StartInstance(machine) => {
                 machines[machine].kill();
                 machines[machine].start();
                 // It reads the store anew.
-                self.stop(machine, now, 500);
+                self.mark_stopped(machine, now, 500);
             }
-            Later::StoreWell => self.deployment.store.set_fault(StoreFault::None),
-            Later::ReadingsWell => self.deployment.store.set_lagging(false),
-            Later::Unlist(id) => self.deployment.store.remove("servers", &id),
-            Later::Join { is_model } => self.join(is_model),
-            Later::Lapse => {
-                self.is_lapsed = true;
+            Action::RestoreStore => self.deployment.store.set_fault(StoreFault::None),
+            Action::EndReadLag => self.deployment.store.set_lagging(false),
+            Action::RemoveEntry(id) => self.deployment.store.remove("servers", &id),
+            Action::AddEngine { is_model } => self.add_engine(is_model),
+            Action::ExpireEntries => {
+                self.entries_expired = true;
                 for id in &self.listed {
                     self.deployment.store.remove("servers", id);
                 }
             }
-            Later::WriteAgain => self.is_lapsed = false,
-            Later::EngineWell(id) => {
+            Action::RewriteEntries => self.entries_expired = false,
+            Action::RestoreEngine(id) => {
                 if let Some(engine) = self.engine(&id) {
                     engine.set_faults(EngineFaults::default());
                 }
             }
-            Later::GiveKey => self.deployment.configure(|configuration| {
+            Action::RestoreKey => self.deployment.configure(|configuration| {
                 configuration["Tenants"][1]["ApiKeys"] = json!([super::traffic::WITHDRAWN_KEY]);
             }),
         }
@@ -270,25 +270,25 @@
     }
 
     /// Takes an engine off those that stay, if another one is left.
-    fn leave(&mut self, is_model: bool, now: Instant) -> Option<String> {
-        let begin = if is_model { 'e' } else { 's' };
-        let of_kind = |id: &&String| id.starts_with(begin);
+    fn remove_engine(&mut self, is_model: bool, now: Instant) -> Option<String> {
+        let prefix = if is_model { 'e' } else { 's' };
+        let of_kind = |id: &&String| id.starts_with(prefix);
         if self.listed.iter().filter(of_kind).count() < 2 {
             return None;
         }
-        let place = self.listed.iter().position(|id| id.starts_with(begin))?;
+        let place = self.listed.iter().position(|id| id.starts_with(prefix))?;
         let id = self.listed.remove(place);
-        self.left.push(Left {
+        self.departures.push(Departure {
             engine: id.clone(),
             at: now,
         });
-        self.after(now, 1_500, Later::Join { is_model });
+        self.schedule(now, 1_500, Action::AddEngine { is_model });
         Some(id)
     }
 
-    fn join(&mut self, is_model: bool) {
-        self.joined += 1;
-        let number = 100 + self.joined;
+    fn add_engine(&mut self, is_model: bool) {
+        self.added_engines += 1;
+        let number = 100 + self.added_engines;
         let domain = ["a", "b", "c"][number % 3];
         let engine = match is_model {
             true => Engine::start(&format!("e{number}"), "llm", Some("model"), domain),
@@ -305,15 +305,21 @@
         }
     }
 
-    fn spoil(&mut self, is_model: bool, faults: EngineFaults, for_ms: u64, now: Instant) {
-        let begin = if is_model { 'e' } else { 's' };
-        let id = self.listed.iter().rfind(|id| id.starts_with(begin));
+    fn set_engine_faults(
+        &mut self,
+        is_model: bool,
+        faults: EngineFaults,
+        for_ms: u64,
+        now: Instant,
+    ) {
+        let prefix = if is_model { 'e' } else { 's' };
+        let id = self.listed.iter().rfind(|id| id.starts_with(prefix));
         let Some(id) = id.cloned() else {
             return;
         };
         if let Some(engine) = self.engine(&id) {
             engine.set_faults(faults);
         }
-        self.after(now, for_ms, Later::EngineWell(id));
+        self.schedule(now, for_ms, Action::RestoreEngine(id));
     }
 }
--- a/crates/mangowalkd/tests/soak/main.rs
+++ b/crates/mangowalkd/tests/soak/main.rs
@@ -10,7 +10,7 @@
 mod traffic;
 
 use {
-    play::play,
+    play::run_seed,
     std::{env, time::Duration},
 };
 
@@ -24,16 +24,16 @@
 const FAULTS_S: u64 = 20;
 
 #[test]
-fn promises_are_kept_under_faults_that_overlap() {
+fn guarantees_hold_under_overlapping_faults() {
     let seeds = env::var("SOAK_SEEDS").unwrap_or_else(|_| SEEDS.to_owned());
     let (first, last) = seeds.split_once('-').expect("two numbers");
     let number = |text: &str| text.parse::<u64>().expect("a number");
     let seconds = env::var("SOAK_S").map_or(FAULTS_S, |text| number(&text));
     let mut failed = Vec::new();
     for seed in number(first)..=number(last) {
-        let broken = play(seed, Duration::from_secs(seconds));
-        if !broken.is_empty() {
-            eprintln!("seed {seed}:\n{}", broken.join("\n"));
+        let violations = run_seed(seed, Duration::from_secs(seconds));
+        if !violations.is_empty() {
+            eprintln!("seed {seed}:\n{}", violations.join("\n"));
             failed.push(seed);
         }
     }
--- a/crates/mangowalkd/tests/soak/play.rs
+++ b/crates/mangowalkd/tests/soak/play.rs
@@ -4,7 +4,7 @@
         check::check,
         faults::Faults,
         schedule::schedule,
-        traffic::{Asked, ask},
+        traffic::{SentRequest, send_requests},
     },
     mangowalk_platform_standins::{Deployment, StoreGate},
     std::{
@@ -22,43 +22,48 @@
 const RECOVERY: Duration = Duration::from_secs(5);
 
 /// Plays a seed, and returns the promises that were broken.
-pub(crate) fn play(seed: u64, faults_for: Duration) -> Vec<String> {
+pub(crate) fn run_seed(seed: u64, faults_for: Duration) -> Vec<String> {
     let mut faults = start();
     let machines = &faults.deployment.machines;
-    let addresses: Vec<SocketAddr> = machines.iter().map(|machine| machine.callers()).collect();
+    let addresses: Vec<SocketAddr> = machines
+        .iter()
+        .map(|machine| machine.caller_address())
+        .collect();
     let stop = AtomicBool::new(false);
-    let (asked, recovered) = thread::scope(|scope| {
+    let (requests, recovered) = thread::scope(|scope| {
         let callers: Vec<_> = (0..CALLERS)
             .map(|caller| {
                 let (addresses, stop) = (&addresses, &stop);
-                scope.spawn(move || ask(seed * CALLERS + caller, addresses, stop))
+                scope.spawn(move || send_requests(seed * CALLERS + caller, addresses, stop))
             })
             .collect();
-        run(&mut faults, seed, faults_for);
+        run_faults(&mut faults, seed, faults_for);
         let recovered = Instant::now();
         thread::sleep(RECOVERY);
         stop.store(true, Ordering::Relaxed);
-        let asked: Vec<Asked> = callers
+        let requests: Vec<SentRequest> = callers
             .into_iter()
             .flat_map(|caller| caller.join().expect("a caller doesn't fail"))
             .collect();
-        (asked, recovered)
+        (requests, recovered)
     });
-    let broken = check(&faults, &asked, recovered);
-    let kinds = asked.iter().filter(|asked| asked.reply.status == 200);
+    let violations = check(&faults, &requests, recovered);
+    let answered = requests
+        .iter()
+        .filter(|request| request.reply.status == 200);
     eprintln!(
         "seed {seed}: {} requests, {} answered with 200, {} engines left, {} promises broken",
-        asked.len(),
-        kinds.count(),
-        faults.left.len(),
-        broken.len(),
+        requests.len(),
+        answered.count(),
+        faults.departures.len(),
+        violations.len(),
     );
-    if !broken.is_empty() {
+    if !violations.is_empty() {
         for machine in &faults.deployment.machines {
             eprintln!("log of {}:\n{}", machine.name(), machine.log());
         }
     }
-    broken
+    violations
 }
 
 fn start() -> Faults {
@@ -66,7 +71,7 @@
     let gates: Vec<StoreGate> = deployment
         .machines
         .iter()
-        .map(|_| StoreGate::to(&deployment.store))
+        .map(|_| StoreGate::new(&deployment.store))
         .collect();
     for (machine, gate) in deployment.machines.iter_mut().zip(&gates) {
         machine.use_gate(gate);
@@ -76,11 +81,11 @@
     Faults::new(deployment, gates)
 }
 
-fn run(faults: &mut Faults, seed: u64, faults_for: Duration) {
+fn run_faults(faults: &mut Faults, seed: u64, faults_for: Duration) {
     let begin = Instant::now();
     let mut due = schedule(seed, faults_for.as_millis() as u64, MACHINES).into_iter();
     let mut next = due.next();
-    while next.is_some() || !faults.is_over() {
+    while next.is_some() || !faults.is_finished() {
         let now = Instant::now();
         faults.tick(now);
         while let Some(one) = next.filter(|one| now >= begin + Duration::from_millis(one.at_ms)) {
--- a/crates/mangowalkd/tests/soak/schedule.rs
+++ b/crates/mangowalkd/tests/soak/schedule.rs
@@ -35,39 +35,41 @@
 
 /// When a fault begins.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Due {
+pub(crate) struct ScheduledFault {
     pub(crate) at_ms: u64,
     pub(crate) fault: Fault,
 }
 
 /// Longest pause between two faults of a dense and of a sparse seed; shorter than
 /// most faults last.
-const DENSE_MS: u64 = 900;
-const SPARSE_MS: u64 = 3_500;
+const DENSE_MAX_PAUSE_MS: u64 = 900;
+const SPARSE_MAX_PAUSE_MS: u64 = 3_500;
 
 /// Kinds of faults, in the order of `fault`.
-const KINDS: u32 = 14;
+const FAULT_KINDS: u32 = 14;
 
 /// Returns the faults that a seed gives, in order.
 ///
 /// Each seed has kinds of its own, about half of them: with all of them in each,
 /// one fault soon hides what another one does.
-pub(crate) fn schedule(seed: u64, faults_ms: u64, machines: usize) -> Vec<Due> {
+pub(crate) fn schedule(seed: u64, faults_ms: u64, machines: usize) -> Vec<ScheduledFault> {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut kinds: Vec<u32> = (0..KINDS).filter(|_| random.random_bool(0.5)).collect();
+    let mut kinds: Vec<u32> = (0..FAULT_KINDS)
+        .filter(|_| random.random_bool(0.5))
+        .collect();
     if kinds.is_empty() {
-        kinds = (0..KINDS).collect();
+        kinds = (0..FAULT_KINDS).collect();
     }
-    let longest_ms = random.random_range(DENSE_MS..SPARSE_MS);
+    let max_pause_ms = random.random_range(DENSE_MAX_PAUSE_MS..SPARSE_MAX_PAUSE_MS);
     let mut at_ms = 300;
-    let mut due = Vec::new();
+    let mut scheduled = Vec::new();
     while at_ms < faults_ms {
         let kind = kinds[random.random_range(0..kinds.len())];
         let fault = fault(kind, &mut random, machines);
-        due.push(Due { at_ms, fault });
-        at_ms += random.random_range(150..longest_ms);
+        scheduled.push(ScheduledFault { at_ms, fault });
+        at_ms += random.random_range(150..max_pause_ms);
     }
-    due
+    scheduled
 }
 
 fn fault(kind: u32, random: &mut SmallRng, machines: usize) -> Fault {
