--- a/crates/mangowalkd/tests/machines/answers.rs
+++ b/crates/mangowalkd/tests/machines/answers.rs
@@ -1,4 +1,4 @@
-//! What callers get, and what engines run for it.
+//! Responses to callers, and the runs at engines behind them.
 
 use {
     super::PROGRAM,
@@ -30,8 +30,9 @@
     }
 }
 
-/// The caller names a team in a header of its own. The engine must see the
-/// team that the key belongs to, and not the key.
+/// The caller sends headers with another team and cache salt. The engine must
+/// receive the team that the key belongs to, and neither the key nor the caller's
+/// salt.
 #[test]
 fn an_engine_sees_the_team_and_not_the_key() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -57,8 +58,9 @@
     );
 }
 
-/// Two teams send the same prompt, and one of them is isolated. Their parts
-/// must be kept under different texts, or one would use what the other read.
+/// Two teams send the same prompt, and one of them is isolated. Their parts must
+/// be cached under different salts, or one team would use parts that were cached
+/// for the other.
 #[test]
 fn an_isolated_team_shares_no_cached_part() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -99,9 +101,9 @@
     );
 }
 
-/// The engine charges the caller, and its answer is lost on the way. The
-/// request must not run again, and the caller must not be told that it did
-/// not run: 502, never 503.
+/// The engine runs a request that isn't idempotent, such as a charge, and its
+/// response is lost. The request must not run again. The response must be 502 and never 503, which would
+/// state that it has not run.
 #[test]
 fn a_lost_response_is_reported_as_502_and_not_retried() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -121,8 +123,8 @@
     }
 }
 
-/// One engine fails what it runs. A request that may run again is answered by
-/// the other engine; one that may not gets the engine's own answer.
+/// One engine answers with 500 after running a request. An idempotent request must
+/// be retried at the other engine; one that isn't gets the engine's own response.
 #[test]
 fn only_idempotent_requests_are_retried_after_an_engine_error() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -144,8 +146,8 @@
     }
 }
 
-/// An answer arrives late, where the next one is due, and names another
-/// request. It must reach nobody.
+/// A late response arrives in place of the next one and carries the ID of another
+/// request. It must not be forwarded to any caller.
 #[test]
 fn a_response_to_another_request_is_not_forwarded() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -163,9 +165,9 @@
     assert!(!reply.body.contains("body of"), "{reply:?}");
 }
 
-/// An engine refuses, and says that it did not run the request. Even one that
-/// may run only once goes to another engine then; where all refuse, the
-/// caller is told so, and when to come back.
+/// An engine refuses a request as not run. Even a request that must run at most
+/// once must then be sent to another engine. If all engines refuse it, the caller
+/// must get 503 with a time after which to retry.
 #[test]
 fn a_request_refused_as_not_run_is_sent_to_another_engine() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -193,14 +195,14 @@
     );
     assert!(
         began.elapsed() < Duration::from_millis(500),
-        "a refusal is not held back"
+        "a refusal must not be delayed"
     );
     assert_eq!(deployment.times_run(&id), 0);
 }
 
-/// The engine breaks off in the middle of an event. The caller sees one
-/// stream with each event once: it goes on at the other engine behind the
-/// last whole event, and the half event is thrown away.
+/// An engine closes a stream in the middle of an event. The stream must resume at
+/// the other engine after the last complete event. The half event must be dropped,
+/// so that the caller receives each event exactly once.
 #[test]
 fn a_resumable_stream_resumes_after_its_engine_breaks_off() {
     let deployment = Deployment::start(PROGRAM, 1, 2);
@@ -218,13 +220,13 @@
         assert!(reply.is_complete_stream(), "{reply:?}");
         resumed += usize::from(deployment.times_run(&id) == 2);
     }
-    assert!(resumed > 0, "no stream met the engine that breaks off");
+    assert!(resumed > 0, "no stream ran at the engine that breaks off");
 }
 
-/// The engine falls silent in the middle of a stream: its machine is gone, and
-/// no connection is reset. The caller would see the pause last until its own
-/// patience ends. The instance finds that the engine takes no connection, and
-/// the stream goes on at the other engine behind the last event.
+/// An engine stalls in the middle of a stream because its machine is gone, and no
+/// connection is reset. Without a check, the caller would wait until its own
+/// timeout. The instance must detect that the engine accepts no connection, and
+/// resume the stream at the other engine after the last event.
 #[test]
 fn a_resumable_stream_resumes_after_its_engine_stalls() {
     let deployment = Deployment::start(PROGRAM, 1, 2);
@@ -243,11 +245,11 @@
         assert!(asked.elapsed() < Duration::from_secs(2), "{reply:?}");
         resumed += usize::from(deployment.times_run(&id) == 2);
     }
-    assert!(resumed > 0, "no stream met the engine that falls silent");
+    assert!(resumed > 0, "no stream ran at the engine that stalls");
 }
 
-/// The engine breaks off a stream that may run only once. What the caller
-/// got must not look whole, and nothing runs a second time.
+/// The engine cuts off a stream that must run at most once. The response must not
+/// end cleanly, as a complete one does, and the request must not run a second time.
 #[test]
 fn a_stream_cut_off_without_resume_ends_as_incomplete() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -263,8 +265,8 @@
     assert_eq!(deployment.times_run(&id), 1);
 }
 
-/// A caller reads a few events and leaves. The engine must be free soon: it
-/// sees its connection close, and the run doesn't come to its end.
+/// A caller reads a few events and disconnects. The instance must close its
+/// connection to the engine, so that the run ends early and the engine is free.
 #[test]
 fn a_caller_that_disconnects_ends_the_run_at_the_engine() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -285,13 +287,14 @@
         .expect("it ran");
     assert!(
         !run.is_complete,
-        "the engine went on for a caller that had left"
+        "the engine completed a run whose caller had disconnected"
     );
 }
 
-/// An engine runs a charge and answers with a status that means "not run, come
-/// again" where a router says it. Passed on, it would make the caller send the
-/// charge again; the caller must learn that it may have run.
+/// An engine runs a request that isn't idempotent, such as a charge, and answers
+/// with a status that means "not run, retry" when a router sends it. If it were
+/// forwarded, the caller would retry the charge. The response must be 502, which
+/// states that the request may have run.
 #[test]
 fn a_not_run_status_of_a_request_that_ran_becomes_502() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -311,9 +314,9 @@
     }
 }
 
-/// An engine ends its stream cleanly in the middle of an event. To the caller
-/// it would look whole; it must go on at another engine, behind the last event
-/// that came whole.
+/// An engine ends a stream cleanly in the middle of an event, so that the caller
+/// would take it for a complete one. It must resume at another engine after the
+/// last complete event.
 #[test]
 fn a_stream_that_ends_within_an_event_resumes_at_another_engine() {
     let deployment = Deployment::start(PROGRAM, 1, 2);
@@ -338,8 +341,8 @@
     assert!(runs.filter(|run| run.last_event_id == Some(3)).count() > 0);
 }
 
-/// An engine is gone without a word. Requests must not be lost to it: a
-/// connection that can't be made is known not to have carried anything.
+/// An engine is gone and stays on the list. A request whose connection was refused
+/// has certainly not run, so it must be sent to another engine and not be lost.
 #[test]
 fn an_engine_that_accepts_no_connection_loses_no_request() {
     let mut deployment = Deployment::start(PROGRAM, 1, 3);
@@ -351,10 +354,10 @@
     }
 }
 
-/// An engine is gone, and its address was given to a server that speaks nothing
-/// of this. Whatever it answers is not the engine's: a request that must not run
-/// twice ends as lost, as nobody can know, and never as not run; one that may run
-/// again is answered by another engine.
+/// An engine is gone, and an unrelated server was started at its address. Responses
+/// of that server must not be taken for the engine's. A request that must run at
+/// most once may have run, so it ends with 502 and never as not run. One that may
+/// run again must be answered by another engine.
 #[test]
 fn a_response_from_another_server_at_an_engines_address_is_not_forwarded() {
     let mut deployment = Deployment::start(PROGRAM, 1, 2);
@@ -379,19 +382,22 @@
         let reply = caller.stream(RouteKind::Resumable.path(), &Caller::new_request_id());
         assert!(reply.is_complete_stream(), "{reply:?}");
     }
-    assert!(statuses.contains(&502), "the stranger was never asked");
+    assert!(
+        statuses.contains(&502),
+        "no request reached the other server"
+    );
 }
 
-/// Reads what arrives and answers as a server would that knows no such path.
+/// Reads a request and answers 404, as a server that doesn't have the path.
 fn answer_not_found(mut connection: TcpStream) {
     let mut request = [0; 4_096];
-    // A caller that has left is none of the stranger's business.
+    // Fails if the client has disconnected; the test doesn't depend on it.
     let _ = connection.read(&mut request);
     let _ = connection.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
 }
 
-/// An engine writes that it is about to leave. Two seconds later it gets no
-/// new work, though it would still take it.
+/// An engine sets its state to draining. It must get no new requests from any
+/// instance, although it would still accept them. The limit is two seconds.
 #[test]
 fn a_draining_engine_gets_no_new_requests() {
     let deployment = Deployment::start(PROGRAM, 2, 2);
@@ -411,8 +417,8 @@
     assert_eq!(leaving.runs().len(), before);
 }
 
-/// An entry of the list is damaged, and another is forged. They name no
-/// engine; the others go on serving.
+/// The engine list contains a damaged entry and one with an unknown state. They
+/// must be ignored, and the engines of the other entries must serve requests.
 #[test]
 fn a_damaged_list_entry_does_not_affect_other_engines() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -430,9 +436,9 @@
     });
 }
 
-/// One request crashes each engine that begins to run it, and its caller sends
-/// it again, through one instance after the other. After the third engine it
-/// is refused as not run, everywhere; other requests go on being served.
+/// A request crashes each engine that starts to run it, and its caller retries it
+/// through alternating instances. After the third crash all instances must refuse
+/// it as not run, and still serve other requests.
 #[test]
 fn a_request_that_crashes_engines_is_refused_after_three() {
     let deployment = Deployment::start(PROGRAM, 2, 7);
@@ -448,7 +454,7 @@
         last = caller
             .stream("/advice/poison", &Caller::new_request_id())
             .status;
-        // Heartbeats carry the crash to the other instance.
+        // Heartbeats report the crash to the other instance.
         std::thread::sleep(Duration::from_millis(700));
     }
     let crashed = deployment
--- a/crates/mangowalkd/tests/machines/configuration.rs
+++ b/crates/mangowalkd/tests/machines/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations that change, and a store that goes away.
+//! Configurations that change, and a store that is unavailable.
 
 use {
     super::PROGRAM,
@@ -32,7 +32,7 @@
     assert!(changed.elapsed() < Duration::from_secs(2));
 }
 
-/// A key is withdrawn. It must stop within two seconds at each instance.
+/// A key is withdrawn. Each instance must reject it within two seconds.
 #[test]
 fn a_withdrawn_key_is_rejected_at_all_instances() {
     let mut deployment = Deployment::start(PROGRAM, 2, 1);
@@ -52,8 +52,8 @@
     }
 }
 
-/// A key was withdrawn, and then a lagging read brings the version before, which
-/// still has it. The key must stay out at each instance.
+/// A key is withdrawn, and then a lagging read returns the previous version, which
+/// still contains it. Each instance must keep rejecting the key.
 #[test]
 fn an_older_version_does_not_restore_a_withdrawn_key() {
     let mut deployment = Deployment::start(PROGRAM, 2, 1);
@@ -67,7 +67,7 @@
         caller.key = Some("key-of-walled".to_owned());
         caller.plain("GET", path, &Caller::new_request_id()).status
     };
-    wait_until("the key is out at both", || {
+    wait_until("both instances reject the key", || {
         (0..2).all(|machine| status(machine) == 401)
     });
     deployment.store.write("config", "main", older);
@@ -78,8 +78,8 @@
     }
 }
 
-/// A version that can't be read follows one that can. The one in force stays
-/// in force, and the next readable one replaces it.
+/// A configuration that can't be decoded is written. The current one must stay in
+/// effect until the next readable one replaces it.
 #[test]
 fn an_unreadable_configuration_is_ignored() {
     let mut deployment = Deployment::start(PROGRAM, 1, 1);
@@ -97,13 +97,13 @@
     );
     deployment.configuration["Version"] = json!(901);
     deployment.configure(|configuration| configuration["Routes"] = json!([]));
-    wait_until("the next version is in force", || {
+    wait_until("the next version is in effect", || {
         caller.plain("GET", path, &Caller::new_request_id()).status == 404
     });
 }
 
-/// The store refuses every call for seconds. What was known goes on being
-/// served, and changes are seen soon after it is back.
+/// The store refuses every call for seconds. Requests must be served from the known
+/// state meanwhile, and a change must take effect after the store recovers.
 #[test]
 fn requests_are_served_while_the_store_is_unavailable() {
     let mut deployment = Deployment::start(PROGRAM, 2, 1);
@@ -117,7 +117,7 @@
     deployment.store.set_fault(StoreFault::None);
     deployment.configure(|configuration| configuration["Routes"] = json!([]));
     let caller = deployment.caller(0);
-    wait_until("the change is seen", || {
+    wait_until("the change is in effect", || {
         caller
             .plain("GET", RouteKind::Once.path(), &Caller::new_request_id())
             .status
@@ -125,8 +125,8 @@
     });
 }
 
-/// An instance starts while the store is away. It knows no configuration, so
-/// it must say that it is starting (503) and never that a route is missing.
+/// An instance starts while the store is unavailable and has no configuration. It
+/// must answer 503 with a retry time, and never report a missing route.
 #[test]
 fn an_instance_without_a_configuration_answers_503() {
     let mut deployment = Deployment::prepare(PROGRAM, 1, 1);
--- a/crates/mangowalkd/tests/machines/input.rs
+++ b/crates/mangowalkd/tests/machines/input.rs
@@ -1,4 +1,4 @@
-//! Bad input from settings, callers and the command line.
+//! Invalid settings files, and malformed or oversized requests.
 
 use {
     super::PROGRAM,
@@ -12,13 +12,13 @@
         std::process::id(),
         text.len()
     ));
-    fs::write(&path, text).expect("the folder for temporary files is writable");
+    fs::write(&path, text).expect("the temporary directory is writable");
     let output = Command::new(PROGRAM)
         .args(["machine", "--check", "--settings"])
         .arg(&path)
         .output()
         .expect("the program starts");
-    fs::remove_file(&path).expect("the file is there");
+    fs::remove_file(&path).expect("the file exists");
     let text = [output.stdout, output.stderr].concat();
     (
         output.status.code(),
@@ -42,11 +42,11 @@
     assert_eq!(code, Some(2));
     insta::assert_snapshot!(text, @"mangowalkd machine: The settings file has Listen.Ready=here; write an IP number, a colon and a port there.");
     let (code, _) = check_settings(&format!("{VALID_SETTINGS}Unknown.Field=7\n"));
-    assert_eq!(code, Some(0), "fields that aren't known are passed over");
+    assert_eq!(code, Some(0), "unknown fields are ignored");
 }
 
-/// Callers send heads that can't be read, are too long, or name two lengths.
-/// Each gets an answer of its own, and the next caller is served.
+/// Callers send request heads that are malformed, too long, or have two lengths.
+/// Each must get an error response, and the next caller must be served.
 #[test]
 fn malformed_requests_are_rejected_and_the_next_is_served() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -82,8 +82,9 @@
     assert_eq!(reply.status, 200);
 }
 
-/// A request hides a second one behind its body's length. Only the one that
-/// the caller's framing names may reach an engine.
+/// Guards against request smuggling: a request with both a length and a chunked
+/// encoding hides a second request in its body. The hidden one must not reach an
+/// engine.
 #[test]
 fn a_smuggled_request_reaches_no_engine() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
@@ -97,9 +98,9 @@
     assert_eq!(deployment.times_run("5a5a"), 0);
 }
 
-/// A caller declares prompt and answer so large that their sum wraps to a few
-/// tokens. It must not pass for a small request that its team's rate allows; no
-/// engine may get it.
+/// A caller declares numbers of prompt and answer tokens whose sum overflows to a
+/// small number. The request must not count as a small one within its team's rate
+/// limit, and no engine may receive it.
 #[test]
 fn token_counts_whose_sum_overflows_are_refused() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
--- a/crates/mangowalkd/tests/machines/kept.rs
+++ b/crates/mangowalkd/tests/machines/kept.rs
@@ -1,4 +1,4 @@
-//! Parts of prompts that a store keeps for all engines.
+//! Parts of prompts in a KV cache store that all engines share.
 
 use {
     super::PROGRAM,
@@ -6,12 +6,13 @@
     serde_json::json,
 };
 
-/// The longest shared part of the callers' prompt, and the text under which
-/// engines keep it.
+/// The longest shared part of the callers' prompt.
 const SHARED_PART: &str = "91bd3f06";
+
+/// Cache salt under which engines store it.
 const SALT: &str = "w1";
 
-/// Starts a deployment whose engines can send parts to a store.
+/// Starts a deployment with a KV cache store, and waits until all instances reach it.
 fn start(machines: usize) -> (Deployment, CacheStore) {
     let store = CacheStore::start();
     let mut deployment = Deployment::prepare(PROGRAM, machines, 3);
@@ -31,7 +32,7 @@
     }
     deployment.wait_until_ready();
     for machine in &deployment.machines {
-        wait_until("the instance knows that the store answers", || {
+        wait_until("the instance reports that the store answers", || {
             machine.log().contains("event=kept_store_answers")
         });
     }
@@ -48,15 +49,16 @@
     runs.next().expect("an engine ran it")
 }
 
-/// New weights were loaded, and no engine holds a prompt's head. Many callers
-/// ask with it at once, through all instances. The store's one link is what they
-/// wait for next; it must carry the head once, not once for each of them.
+/// After a load of new weights no engine has the beginning of a prompt cached, and
+/// many callers send it at the same time through all instances. The single link of
+/// the KV cache store would be the next bottleneck. The beginning must be sent over it
+/// once and not once per request.
 #[test]
 fn a_shared_part_is_sent_to_the_store_once() {
     let (deployment, store) = start(2);
     let first = send_stream(&deployment, 0);
     assert_eq!(first.sends_to, Some(store.address().to_string()));
-    wait_until("the other instance hears of it", || {
+    wait_until("the other instance receives the report", || {
         let run = send_stream(&deployment, 1);
         run.sends_to.is_none()
     });
@@ -64,8 +66,8 @@
     assert!(runs.iter().all(|run| run.sends_to.is_none()), "{runs:?}");
 }
 
-/// The store tells that it holds the head of a prompt. An engine that hasn't
-/// read it fetches it there, and doesn't send it again.
+/// The KV cache store reports that it holds the beginning of a prompt. An engine
+/// that doesn't have it cached must fetch it from there and not send it again.
 #[test]
 fn a_part_that_the_store_holds_is_fetched_from_it() {
     let (deployment, store) = start(1);
--- a/crates/mangowalkd/tests/machines/lagging.rs
+++ b/crates/mangowalkd/tests/machines/lagging.rs
@@ -1,4 +1,4 @@
-//! A store whose cheaper readings lag, and one from which entries lapsed.
+//! A store whose cheaper reads lag, and one whose entries have expired.
 
 use {
     super::PROGRAM,
@@ -10,23 +10,23 @@
     },
 };
 
-/// Instances beyond those that read the store currently.
+/// Number of instances, more than those that make current reads of the store.
 const INSTANCES: usize = 5;
 
-/// Time in which no change may need longer to be known everywhere.
+/// Maximum time until a change takes effect at all instances.
 const MAX_PROPAGATION: Duration = Duration::from_millis(1_500);
 
-/// Time of the watches with which an instance begins, which are current as it
-/// hears no peer yet.
+/// Duration of the first watches of an instance. They are current reads, because it
+/// has received no peer's heartbeat yet.
 const INITIAL_WATCHES: Duration = Duration::from_millis(2_800);
 
-/// Lets the readings of all but the current readers lag from now on.
+/// Makes all reads that may lag do so from now on.
 fn make_reads_lag(deployment: &Deployment) {
     thread::sleep(INITIAL_WATCHES);
     deployment.store.set_lagging(true);
 }
 
-/// Lets callers of each instance ask, and returns the engine that ran the most.
+/// Sends requests to each instance and returns the engine that ran the most of them.
 fn busiest_engine(deployment: &Deployment) -> &Engine {
     send_to_all_instances(deployment);
     let engines = deployment.engines.iter();
@@ -45,9 +45,9 @@
     }
 }
 
-/// An engine leaves while most instances' readings lag by seconds. Callers of
-/// each would still be sent to it, and fail once it ends. Two instances read
-/// currently and tell the others, so that none gets work there.
+/// An engine drains while the reads of most instances lag by seconds. They would
+/// still send requests to it, which fail once it ends. Two instances make current
+/// reads and report the change to the others, so no instance may send it a request.
 #[test]
 fn a_draining_engine_gets_no_requests_while_reads_lag() {
     let deployment = Deployment::start(PROGRAM, INSTANCES, 2);
@@ -62,7 +62,7 @@
     assert_eq!(leaving.runs().len(), before);
 }
 
-/// The same with an engine that leaves the list without a word before.
+/// The same with an engine that is removed from the list without draining first.
 #[test]
 fn an_engine_removed_from_the_list_gets_no_requests_while_reads_lag() {
     let deployment = Deployment::start(PROGRAM, INSTANCES, 2);
@@ -75,8 +75,8 @@
     assert_eq!(gone.runs().len(), before);
 }
 
-/// A key is withdrawn and new weights are named while readings lag. Both are in
-/// force at each instance soon, by what the current readers tell.
+/// A key is withdrawn and new weights are published while reads lag. Both must take
+/// effect at each instance in time, by reports of the instances with current reads.
 #[test]
 fn new_versions_take_effect_while_reads_lag() {
     let mut deployment = Deployment::start(PROGRAM, INSTANCES, 2);
@@ -89,7 +89,7 @@
     for machine in 0..INSTANCES {
         let mut caller = deployment.caller(machine);
         caller.key = Some("key-of-walled".to_owned());
-        wait_until("the key is out", || {
+        wait_until("the instance rejects the key", || {
             let reply = caller.plain(
                 "GET",
                 RouteKind::Idempotent.path(),
@@ -111,8 +111,9 @@
     });
 }
 
-/// The instances that read currently are killed while readings lag, and a key is
-/// withdrawn just then. The next ones take their place within a second.
+/// The instances that make current reads are killed while reads lag, and a key is
+/// withdrawn at the same time. Other instances must take over the current reads within
+/// a second, so that each rejects the key soon.
 #[test]
 fn other_instances_take_over_current_reads_when_the_first_are_killed() {
     let mut deployment = Deployment::start(PROGRAM, INSTANCES, 1);
@@ -126,7 +127,7 @@
     for machine in 2..INSTANCES {
         let mut caller = deployment.caller(machine);
         caller.key = Some("key-of-walled".to_owned());
-        wait_until("the key is out", || {
+        wait_until("the instance rejects the key", || {
             let reply = caller.plain(
                 "GET",
                 RouteKind::Idempotent.path(),
@@ -135,7 +136,8 @@
             reply.status == 401
         });
     }
-    // Half a watch that was begun before, and the time until the two are missed.
+    // Half of a watch that had already started, and the time until the failure of the
+    // two is detected.
     assert!(
         changed.elapsed() < Duration::from_secs(6),
         "{:?}",
@@ -143,8 +145,8 @@
     );
 }
 
-/// Calls to the store are paid for, and a reading that may lag costs a tenth.
-/// While nothing changes, few instances of many read currently.
+/// Calls to the store are billed, and a read that may lag costs a tenth of a current
+/// one. While nothing changes, only few of many instances may make current reads.
 #[test]
 fn few_instances_make_current_reads_while_nothing_changes() {
     let deployment = Deployment::start(PROGRAM, INSTANCES, 2);
@@ -152,13 +154,13 @@
     let before = deployment.store.current_calls();
     thread::sleep(Duration::from_secs(5));
     let calls = deployment.store.current_calls() - before;
-    // Two instances, three kinds, a watch of two and a half seconds each.
+    // Two instances with watches of 2.5 seconds on three kinds each.
     assert!((6..=18).contains(&calls), "{calls} calls");
 }
 
-/// The store is away for seconds and the engines' entries lapse meanwhile. They
-/// come back within two seconds of its return. Callers must be served all the
-/// while: the engines have never stopped.
+/// The store is unavailable for seconds, and the engines' entries expire meanwhile.
+/// They are rewritten within two seconds of its recovery. Callers must be served
+/// throughout, since the engines have never stopped.
 #[test]
 fn engines_whose_entries_expired_are_used_until_they_are_rewritten() {
     let deployment = Deployment::start(PROGRAM, 2, 2);
@@ -196,8 +198,8 @@
     assert_eq!(reply.status, 200, "{reply:?}");
 }
 
-/// The store is away, an engine's entry lapses and stays away. After the grace
-/// the engine counts as gone.
+/// The store is unavailable, and an engine's entry expires and isn't rewritten. After
+/// the grace period the engine must get no requests.
 #[test]
 fn an_engine_whose_entry_stays_missing_is_removed_after_the_grace_period() {
     let deployment = Deployment::start(PROGRAM, 2, 2);
--- a/crates/mangowalkd/tests/machines/leaving.rs
+++ b/crates/mangowalkd/tests/machines/leaving.rs
@@ -1,4 +1,4 @@
-//! Engines that leave while an instance can't read the list of engines.
+//! Engines that leave while an instance can't read the engine list.
 
 use {
     super::PROGRAM,
@@ -9,19 +9,20 @@
     },
 };
 
-/// Time in which all peers of an instance know of a change and have told it.
+/// Time within which all peers of an instance have read a change and reported it.
 const PEER_REPORT_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Longer than anything that peers tell is believed without being told anew.
+/// Longer than a report of a peer stays valid without being repeated.
 const PAST_REPORT_LIFETIME: Duration = Duration::from_secs(12);
 
-/// Time after which an instance that reaches the store again has to know the list.
+/// Time for an instance to read the list again after store access returns.
 const LIST_REREAD_DELAY: Duration = Duration::from_secs(3);
 
-/// The instance nearest to the engine that leaves.
+/// The machine behind the gate. Its instance is the nearest to the engine that
+/// leaves.
 const GATED_MACHINE: usize = 0;
 
-/// Starts a deployment whose nearest instance reaches the store through a gate.
+/// Starts a deployment in which `GATED_MACHINE` reaches the store through a gate.
 fn start_behind_gate(instances: usize) -> (Deployment, StoreGate) {
     let mut deployment = Deployment::prepare(PROGRAM, instances, 1);
     let gate = StoreGate::new(&deployment.store);
@@ -33,7 +34,7 @@
     (deployment, gate)
 }
 
-/// Sends orders to an instance for a time; each has to be served.
+/// Sends plain requests to an instance for a time; each must be served.
 fn send_orders_for(deployment: &Deployment, machine: usize, time: Duration) {
     let until = Instant::now() + time;
     while Instant::now() < until {
@@ -44,7 +45,7 @@
     }
 }
 
-/// Lets an engine leave the list without a word before. It serves on.
+/// Removes an engine from the list without draining it first. It keeps serving.
 fn remove_from_list(deployment: &Deployment, engine: &Engine) {
     send_orders_for(deployment, GATED_MACHINE, Duration::from_millis(300));
     assert!(!engine.runs().is_empty(), "the engine is used");
@@ -52,8 +53,8 @@
     thread::sleep(PEER_REPORT_DELAY);
 }
 
-/// Guards against work for an engine that peers saw leave longer ago than their
-/// word is believed.
+/// Guards against requests to an engine whose departure peers reported, after that
+/// report has expired at an instance that the store refuses.
 #[test]
 fn an_engine_that_left_gets_no_requests_while_the_store_refuses_the_instance() {
     let (deployment, gate) = start_behind_gate(3);
@@ -65,8 +66,9 @@
     assert_eq!(engine.runs().len(), before);
 }
 
-/// Guards against taking the entry of an engine that peers saw leave for one that
-/// lapsed with the store away.
+/// An instance regains access to the store and misses the entry of an engine whose
+/// departure peers had reported. Guards against taking the entry for one that
+/// expired while the store was unavailable, which would keep the engine in use.
 #[test]
 fn an_engine_that_left_gets_no_requests_after_the_list_is_read_again() {
     let (deployment, gate) = start_behind_gate(3);
--- a/crates/mangowalkd/tests/machines/logs.rs
+++ b/crates/mangowalkd/tests/machines/logs.rs
@@ -10,7 +10,7 @@
     },
 };
 
-/// Nobody reads the log, and its pipe fills up. Callers must not notice.
+/// Nothing reads the log pipe, so it fills up. Requests must still be served.
 #[test]
 fn an_unread_log_delays_no_request() {
     let mut deployment = Deployment::prepare(PROGRAM, 1, 1);
@@ -56,10 +56,10 @@
     );
 }
 
-/// An instance is told to stop under so much load that ordinary lines are dropped,
-/// with a stream that outlasts its time to stop. It must end by itself: a lock held
-/// by the open connection once kept it until it was killed. On-call must see from
-/// the log that it was told to stop, and that it did.
+/// An instance gets SIGTERM under so much load that ordinary log lines are dropped,
+/// with a stream that runs longer than its shutdown may take. It must exit before
+/// it would be killed, which a lock held by the open connection would prevent. For
+/// on-call, the log must still show the start of the shutdown and its end.
 #[test]
 fn shutdown_is_logged_under_load() {
     let mut deployment = Deployment::start(PROGRAM, 1, 1);
@@ -86,12 +86,12 @@
     thread::sleep(Duration::from_millis(300));
     deployment.machines[0].signal(Signal::SIGTERM);
     let code = deployment.machines[0].wait_for_exit(Duration::from_millis(3_750));
-    assert_eq!(code, Some(0), "it ends well before it would be killed");
+    assert_eq!(code, Some(0), "it exits well before it would be killed");
     load.join().expect("the callers end");
     stream.join().expect("the caller ends");
     let log = deployment.machines[0].log();
     let dropped = log.contains("dropped_lines=");
-    assert!(dropped, "the load was not enough");
+    assert!(dropped, "the load was too low to drop log lines");
     for line in ["event=started", "event=stopping", "event=stopped"] {
         assert!(log.contains(line), "{line} is missing");
     }
--- a/crates/mangowalkd/tests/machines/main.rs
+++ b/crates/mangowalkd/tests/machines/main.rs
@@ -1,4 +1,5 @@
-//! Instances on the users' machines, as real processes against stand-ins.
+//! Runs instances as real processes, as on the users' machines, against stand-ins
+//! of the platform.
 
 mod answers;
 mod configuration;
--- a/crates/mangowalkd/tests/machines/rates.rs
+++ b/crates/mangowalkd/tests/machines/rates.rs
@@ -1,4 +1,4 @@
-//! A team's rate over all instances.
+//! Rate limits of teams, applied over all instances.
 
 use {
     super::PROGRAM,
@@ -6,15 +6,16 @@
     std::time::{Duration, Instant},
 };
 
-/// Each plain request of the team takes 200 tokens of 1,000 a second and
-/// 4,000 at once.
+/// Tokens that each plain request of the team takes.
 const TOKENS_PER_REQUEST: f64 = 200.0;
+
+/// Rate and burst of the team.
 const TOKENS_PER_S: f64 = 1_000.0;
 const BURST_TOKENS: f64 = 4_000.0;
 
-/// A team sends five times its rate, to three instances in turn. Over all of
-/// them together it must get no more than rate and burst and a tenth; and what
-/// it is refused is refused as not run, with a time to come back.
+/// A team sends five times its rate to three instances in turn. Over all of them it
+/// must get at most its rate and burst plus 10%. Refusals must be 429, which states
+/// that the request has not run, with a time after which to retry.
 #[test]
 fn a_team_rate_applies_once_across_all_instances() {
     let deployment = Deployment::start(PROGRAM, 3, 1);
@@ -42,12 +43,12 @@
     let allowed = (TOKENS_PER_S * began.elapsed().as_secs_f64() + BURST_TOKENS) * 1.1;
     let got = f64::from(served) * TOKENS_PER_REQUEST;
     assert!(got <= allowed, "{got} tokens of {allowed}");
-    // The rate itself must be handed out, whichever instance is asked.
+    // The rate must be usable at whichever instance the requests arrive.
     assert!(got >= TOKENS_PER_S * 4.0 * 0.7, "{got} tokens");
     assert!(refused > 0);
 }
 
-/// A team without a limit is never refused for another's rate.
+/// A team uses up its rate. A team without a limit must not be refused for it.
 #[test]
 fn a_team_without_a_limit_is_not_refused_for_another_teams_rate() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
--- a/crates/mangowalkd/tests/machines/settings.rs
+++ b/crates/mangowalkd/tests/machines/settings.rs
@@ -8,11 +8,11 @@
     nix::sys::signal::Signal,
 };
 
-/// Events behind which the engines cut each run.
+/// Number of events after which the engines cut off each run.
 const EVENTS_BEFORE_CUT: usize = 3;
 
-/// Starts an instance whose engines cut each stream, so that a stream goes on
-/// once where repeats are allowed.
+/// Starts an instance whose engines cut off each stream, so that a stream is resumed
+/// once where retries are allowed.
 fn start() -> Deployment {
     let deployment = Deployment::start(PROGRAM, 1, 2);
     for engine in &deployment.engines {
@@ -37,9 +37,9 @@
     reply.event_ids().len()
 }
 
-/// The operators lower the budget of repeats while engines fail. The signal
-/// says so, and from then on no stream goes on at a second engine, without a
-/// restart and without a request lost.
+/// The operators set the retry budget to zero while engines fail, and send SIGHUP.
+/// From then on no stream may resume at a second engine, without a restart of the
+/// instance and without a lost request.
 #[test]
 fn a_changed_setting_takes_effect_after_sighup() {
     let deployment = start();
@@ -47,24 +47,25 @@
     assert_eq!(event_count(&deployment), 2 * EVENTS_BEFORE_CUT);
     disable_retries(machine);
     machine.signal(Signal::SIGHUP);
-    wait_until("the new settings are in force", || {
+    wait_until("the new settings are in effect", || {
         machine.log().contains("event=reloaded taken=retries ")
     });
     assert_eq!(event_count(&deployment), EVENTS_BEFORE_CUT);
 }
 
-/// The file changes and nobody says so. It is in force some seconds later.
+/// The file changes without a signal. It must take effect within seconds.
 #[test]
 fn a_changed_setting_takes_effect_without_a_signal() {
     let deployment = start();
     disable_retries(&deployment.machines[0]);
-    wait_until("the new settings are in force", || {
+    wait_until("the new settings are in effect", || {
         event_count(&deployment) == EVENTS_BEFORE_CUT
     });
 }
 
-/// A file is written that lacks a field. The instance says which, and goes on
-/// with what it has; an address that changes waits for the next start.
+/// A file without a required field is written. The instance must log which field is
+/// missing and keep its settings. A changed failure domain must wait for the next
+/// start.
 #[test]
 fn an_unusable_settings_file_is_ignored() {
     let deployment = start();
--- a/crates/mangowalkd/tests/machines/sizes.rs
+++ b/crates/mangowalkd/tests/machines/sizes.rs
@@ -1,4 +1,4 @@
-//! Deployments of other sizes than those that are known.
+//! Deployments of unusual sizes, with more instances than engines.
 
 use {
     super::PROGRAM,
@@ -6,9 +6,9 @@
     std::{thread, time::Duration},
 };
 
-/// Twenty instances in three failure domains share two engines, more instances
-/// than engines and than a heartbeat reaches at once. Callers of each are
-/// served, and new weights reach both engines from one orderer.
+/// Twenty instances in three failure domains share two engines. They are more than
+/// the engines and more than one heartbeat reaches. Callers of each instance must
+/// be served, and one lease holder must order new weights at both engines.
 #[test]
 fn twenty_instances_share_two_engines() {
     let deployment = Deployment::start(PROGRAM, 20, 2);
@@ -33,9 +33,9 @@
     assert_eq!(holders.len(), 1, "{holders:?}");
 }
 
-/// A team may spend no more than one request's tokens a second, over twenty
-/// instances. Its callers go to all of them at once; what runs must stay within
-/// rate and burst, and some of it must run.
+/// A team's rate allows less than one request per second over twenty instances. Its
+/// callers send to all of them at the same time. The requests that run must stay
+/// within rate and burst, and some must run.
 #[test]
 fn twenty_instances_share_a_tiny_rate() {
     let deployment = Deployment::start(PROGRAM, 20, 2);
@@ -52,7 +52,8 @@
         ran += replies.iter().filter(|reply| reply.status == 200).count();
         thread::sleep(Duration::from_millis(700));
     }
-    // 1,050 tokens a request; in six seconds 6,000 by the rate and 4,000 at once.
+    // A request takes 1,050 tokens. Six seconds allow 6,000 by the rate and 4,000 by
+    // the burst.
     assert!((2..=9).contains(&ran), "{ran} of 160 ran");
 }
 
--- a/crates/mangowalkd/tests/machines/stopping.rs
+++ b/crates/mangowalkd/tests/machines/stopping.rs
@@ -1,4 +1,4 @@
-//! Instances that stop, are killed, or come late.
+//! Instances that shut down, are killed, are frozen or restart.
 
 use {
     super::PROGRAM,
@@ -9,9 +9,9 @@
     std::time::Duration,
 };
 
-/// An instance is told to stop while a stream runs. It is out of the
-/// addresses of all at once and no longer ready, the stream comes to its end,
-/// and the process ends by itself before it would be killed.
+/// An instance gets SIGTERM while a stream runs. It must report that it isn't
+/// ready, leave the addresses of the other instance, still serve callers that
+/// hold its old address, complete the stream, and exit before it would be killed.
 #[test]
 fn a_stopping_instance_finishes_open_streams_and_exits() {
     let mut deployment = Deployment::start(PROGRAM, 2, 1);
@@ -25,11 +25,11 @@
     });
     std::thread::sleep(Duration::from_millis(300));
     deployment.machines[0].signal(Signal::SIGTERM);
-    wait_until("it says that it is not ready", || {
+    wait_until("it reports that it is not ready", || {
         deployment.machines[0].ready_status() == 503
     });
     let stopped_address = deployment.machines[0].caller_address().to_string();
-    wait_until("the other names it no more", || {
+    wait_until("the other instance no longer lists it", || {
         !deployment
             .addresses(&deployment.machines[1])
             .contains(&stopped_address)
@@ -40,7 +40,10 @@
         RouteKind::Idempotent.path(),
         &Caller::new_request_id(),
     );
-    assert_eq!(reply.status, 200, "callers with an old address are served");
+    assert_eq!(
+        reply.status, 200,
+        "callers with an old address are still served"
+    );
     assert_eq!(reply.header("connection"), Some("close"));
     let reply = stream.join().expect("the caller ends");
     assert!(reply.is_complete_stream(), "{reply:?}");
@@ -48,14 +51,15 @@
     assert_eq!(code, Some(0));
 }
 
-/// Guards against taking a request that may outlast the time to stop.
+/// Guards against accepting a request that may run longer than the time left for
+/// the shutdown.
 #[test]
 fn a_request_after_the_address_ttl_of_a_stopping_instance_is_not_run() {
     let deployment = Deployment::start(PROGRAM, 2, 1);
     let machine = &deployment.machines[0];
     machine.change_settings(|text| text.replace("GraceS=4", "GraceS=8"));
     machine.signal(Signal::SIGHUP);
-    wait_until("the new time is in force", || {
+    wait_until("the new grace period is in effect", || {
         machine.log().contains("taken=grace_ms")
     });
     let caller = deployment.caller(0);
@@ -70,19 +74,19 @@
     std::thread::sleep(Duration::from_millis(3_050));
     let id = Caller::new_request_id();
     let reply = caller.send_on(&mut connection, path, &id);
-    // An idle connection is closed; what crosses that is not read.
+    // An idle connection is closed. A request sent at the same moment isn't read.
     assert!(matches!(reply.status, 0 | 503), "{reply:?}");
     assert_eq!(deployment.times_run(&id), 0);
 }
 
-/// A killed instance leaves the addresses though it could tell nobody, and is
-/// there again once it is back.
+/// A killed instance can't announce its end. The others must remove it from their
+/// addresses, and list it again after it restarts.
 #[test]
 fn a_killed_instance_leaves_the_addresses_until_it_restarts() {
     let mut deployment = Deployment::start(PROGRAM, 3, 1);
     let stopped_address = deployment.machines[2].caller_address().to_string();
     deployment.machines[2].kill();
-    wait_until("the others name it no more", || {
+    wait_until("the other instances no longer list it", || {
         (0..2).all(|m| {
             !deployment
                 .addresses(&deployment.machines[m])
@@ -93,8 +97,8 @@
     deployment.wait_until_ready();
 }
 
-/// All instances are killed together, and start together. They find each
-/// other and serve, though each knows only what lies in the store.
+/// All instances are killed and restarted together. They must find each other and
+/// serve requests, although each knows only what the store contains.
 #[test]
 fn all_instances_serve_after_a_common_restart() {
     let mut deployment = Deployment::start(PROGRAM, 3, 1);
@@ -111,14 +115,14 @@
     assert!(reply.is_complete_stream());
 }
 
-/// An instance is frozen for a while. The others stop naming it, and once it
-/// goes on it serves again.
+/// An instance is frozen by SIGSTOP. The other one must remove it from its
+/// addresses, and it must serve requests again after SIGCONT.
 #[test]
 fn a_frozen_instance_leaves_the_addresses_and_serves_when_resumed() {
     let deployment = Deployment::start(PROGRAM, 2, 1);
     let frozen_address = deployment.machines[1].caller_address().to_string();
     deployment.machines[1].signal(Signal::SIGSTOP);
-    wait_until("the other names it no more", || {
+    wait_until("the other instance no longer lists it", || {
         !deployment
             .addresses(&deployment.machines[0])
             .contains(&frozen_address)
--- a/crates/mangowalkd/tests/machines/weights.rs
+++ b/crates/mangowalkd/tests/machines/weights.rs
@@ -1,4 +1,4 @@
-//! New weights, brought to all engines by one instance.
+//! New weights, ordered at all engines by the holder of the lease.
 
 use {
     super::PROGRAM,
@@ -9,8 +9,8 @@
     std::time::Duration,
 };
 
-/// Time for which two instances may not both have given orders, as the
-/// settings of the stand-ins' machines say.
+/// Minimum time between orders of two different instances: `Bounds.LeaseMs` in the
+/// settings of the machines.
 const MIN_HOLDER_GAP: Duration = Duration::from_millis(1_000);
 
 fn all_engines_have(deployment: &Deployment, version: u64) -> bool {
@@ -35,13 +35,13 @@
         let gap = pair[1].accepted_at - pair[0].accepted_at;
         assert!(
             pair[0].holder == pair[1].holder || gap >= MIN_HOLDER_GAP,
-            "{} and {} gave orders within {gap:?}",
+            "{} and {} sent orders within {gap:?}",
             pair[0].holder,
             pair[1].holder,
         );
         assert!(
             pair[0].fence <= pair[1].fence,
-            "a lower number after a higher one"
+            "an order with a lower fencing token after a higher one"
         );
     }
 }
@@ -62,9 +62,9 @@
     assert!(orders.iter().all(|order| order.holder == orders[0].holder));
 }
 
-/// Streams run while weights change. Each caller gets its whole stream, those
-/// that may go on elsewhere as well as those that may not, and parts are kept
-/// under a text of their own for each version.
+/// Streams run while weights change. Each caller must get a complete stream, on
+/// resumable and other routes, and parts of prompts must be cached under a
+/// different salt for each version.
 #[test]
 fn streams_complete_during_a_change_of_weights() {
     let deployment = Deployment::start(PROGRAM, 2, 4);
@@ -104,13 +104,13 @@
     }
 }
 
-/// The instance that orders is killed in the middle. Another goes on, and not
-/// before the first one's last order is old enough.
+/// The lease holder is killed during a rollout. Another instance must continue it,
+/// and not before the lease time has passed since the first one's last order.
 #[test]
 fn another_instance_continues_when_the_lease_holder_is_killed() {
     let mut deployment = Deployment::start(PROGRAM, 3, 6);
     deployment.publish_weights(2);
-    wait_until("an order was given", || !orders(&deployment).is_empty());
+    wait_until("an order was accepted", || !orders(&deployment).is_empty());
     let holder = orders(&deployment)[0].holder.clone();
     let mut machines = deployment.machines.iter_mut();
     let lease_holder = machines.find(|machine| machine.name() == holder);
@@ -121,9 +121,9 @@
     assert_one_holder_at_a_time(&orders(&deployment));
 }
 
-/// The instance that orders is frozen in the middle, another goes on, and the
-/// first one wakes up with its lease long over. It must give no order on what
-/// it believed before.
+/// The lease holder is frozen during a rollout, and another instance continues it.
+/// When the first one resumes, its lease has long expired. It must send no order
+/// based on its old state.
 #[test]
 fn a_resumed_instance_with_an_expired_lease_sends_no_order() {
     let deployment = Deployment::start(PROGRAM, 3, 6);
@@ -134,7 +134,7 @@
         });
     }
     deployment.publish_weights(2);
-    wait_until("an order was given", || !orders(&deployment).is_empty());
+    wait_until("an order was accepted", || !orders(&deployment).is_empty());
     let holder = orders(&deployment)[0].holder.clone();
     let mut machines = deployment.machines.iter();
     let lease_holder = machines.find(|machine| machine.name() == holder);
@@ -152,8 +152,8 @@
     assert_one_holder_at_a_time(&orders(&deployment));
 }
 
-/// Engines carry orders out and their answers are lost. Each engine still
-/// gets the newest weights, and none loads the same twice.
+/// Engines execute orders and their responses are lost. Each engine must get the
+/// newest weights, and none may load the same version twice.
 #[test]
 fn an_order_whose_response_is_lost_is_executed_once() {
     let deployment = Deployment::start(PROGRAM, 2, 3);
@@ -173,13 +173,14 @@
     }
 }
 
-/// The store carries renewals out and gives no answers. No two instances may
-/// give orders side by side, and once it answers again the weights arrive.
+/// The store applies renewals of the lease and drops its responses. No two instances
+/// may send orders within the lease time of each other, and the rollout must complete
+/// after the store recovers.
 #[test]
 fn lost_renewal_responses_cause_no_second_lease_holder() {
     let deployment = Deployment::start(PROGRAM, 3, 4);
     deployment.publish_weights(2);
-    wait_until("an order was given", || !orders(&deployment).is_empty());
+    wait_until("an order was accepted", || !orders(&deployment).is_empty());
     deployment.store.set_fault(StoreFault::DropResponses);
     std::thread::sleep(Duration::from_millis(1_500));
     deployment.store.set_fault(StoreFault::None);
