--- a/crates/mangowalkd/tests/soak/check.rs
+++ b/crates/mangowalkd/tests/soak/check.rs
@@ -10,23 +10,24 @@
     },
 };
 
-/// Time for which nothing may have disturbed a machine for bounds to hold there.
+/// Time after the last disturbance of a machine from which time bounds apply to it.
 const SETTLE_TIME: Duration = Duration::from_millis(3_000);
 
-/// Time after an engine's word that it leaves from which on it gets no work, with
-/// what a request may take on its way on a busy machine.
+/// Time after an engine's departure from which it must get no request, with an
+/// allowance for a request already on its way on a busy machine.
 const MAX_DRAIN_DELAY: Duration = Duration::from_millis(2_000 + 300);
 
-/// Time in which a withdrawn key stops.
+/// Time after which a withdrawn key must be rejected, with the same allowance.
 const MAX_WITHDRAWAL_DELAY: Duration = Duration::from_millis(2_000 + 300);
 
-/// Descriptors that an instance with few callers may hold.
+/// Maximum number of open file descriptors of an instance with few callers.
 const MAX_DESCRIPTORS: usize = 200;
 
-/// What engines ran, by request.
+/// Runs with the IDs of their engines, by request ID.
 type Runs<'a> = HashMap<String, Vec<(&'a str, Run)>>;
 
-/// Returns the promises that were broken.
+/// Checks all requests and the state of the instances. Returns a message for each
+/// violated guarantee.
 pub(crate) fn check(faults: &Faults, requests: &[SentRequest], recovered: Instant) -> Vec<String> {
     let deployment = &faults.deployment;
     let mut runs: Runs<'_> = HashMap::new();
@@ -71,7 +72,7 @@
 fn check_refused_not_run(request: &SentRequest, ran: &[(&str, Run)]) -> Option<&'static str> {
     let is_refusal = matches!(request.reply.status, 408 | 421 | 429 | 503);
     (is_refusal && !may_run_again(request) && !ran.is_empty())
-        .then_some("it was refused and has run")
+        .then_some("it ran although it was refused as not run")
 }
 
 fn check_response(request: &SentRequest) -> Option<&'static str> {
@@ -84,7 +85,7 @@
         RouteKind::Once | RouteKind::Idempotent => reply.body == format!("body of {}", request.id),
     };
     (!is_own || !reply.has_response_stamp())
-        .then_some("the answer is not the whole one of the request")
+        .then_some("the response isn't the complete response to this request")
 }
 
 fn check_team(request: &SentRequest, ran: &[(&str, Run)]) -> Option<&'static str> {
@@ -105,15 +106,16 @@
     span.from > to || span.to + SETTLE_TIME < from
 }
 
-/// Returns whether neither the machine nor the store was disturbed for long.
+/// Returns whether neither the machine nor the store was disturbed in an interval or
+/// shortly before it.
 fn is_undisturbed(faults: &Faults, machine: usize, from: Instant, to: Instant) -> bool {
     let own = &faults.disturbed[machine];
     let mut all = own.iter().chain(&faults.store_disturbed);
     all.all(|span| is_outside(span, from, to))
 }
 
-/// Returns whether a machine runs whose peers have told it what they read in the
-/// store: one of them was in touch from a departure on.
+/// Returns whether a machine was running and at least one of its peers could read the
+/// store and report to it, undisturbed since a departure.
 fn has_informed_peer(faults: &Faults, machine: usize, departure: &Departure, to: Instant) -> bool {
     let mut stopped = faults.stopped[machine].iter();
     let runs = stopped.all(|span| is_outside(span, to, to));
@@ -134,17 +136,19 @@
         if run.started_at <= departure.at + MAX_DRAIN_DELAY {
             continue;
         }
-        // What the store took on while it was disturbed binds nobody.
+        // A departure written while the store was disturbed sets no time bound.
         let mut disturbed = faults.store_disturbed.iter();
         let store_was_undisturbed =
             disturbed.all(|span| is_outside(span, departure.at, departure.at));
         if store_was_undisturbed
             && is_undisturbed(faults, request.machine, request.sent, run.started_at)
         {
-            return Some("an engine that leaves got work");
+            return Some("a departed engine got a request from an instance with store access");
         }
         if has_informed_peer(faults, request.machine, departure, run.started_at) {
-            return Some("an engine got work that a peer saw leave");
+            return Some(
+                "a departed engine got a request although a peer could report its departure",
+            );
         }
     }
     None
@@ -174,7 +178,7 @@
         let is_recovered = machine.is_ready() && served * 10 >= all * 9;
         (!is_recovered).then(|| {
             let name = machine.name();
-            format!("{name} is not well after the faults: {served} of {all} served")
+            format!("{name} has not recovered after the faults: {served} of {all} served")
         })
     });
     failures.collect()
@@ -187,6 +191,6 @@
         (machine.name(), open.map_or(0, Iterator::count))
     });
     held.filter(|(_, count)| *count > MAX_DESCRIPTORS)
-        .map(|(name, count)| format!("{name} holds {count} descriptors"))
+        .map(|(name, count)| format!("{name} has {count} open file descriptors"))
         .collect()
 }
--- a/crates/mangowalkd/tests/soak/faults.rs
+++ b/crates/mangowalkd/tests/soak/faults.rs
@@ -6,7 +6,7 @@
     std::time::{Duration, Instant},
 };
 
-/// What a fault does later.
+/// A scheduled later step of a fault. Machines are given by index, engines by ID.
 #[derive(Debug, Clone)]
 enum Action {
     OpenGate(usize),
@@ -22,45 +22,49 @@
     RestoreKey,
 }
 
-/// When an engine left, for the store.
+/// Departure of an engine, at the time of its write to the store.
 #[derive(Debug, Clone)]
 pub(crate) struct Departure {
     pub(crate) engine: String,
     pub(crate) at: Instant,
 }
 
-/// A time in which something was disturbed.
+/// An interval in which a machine, the store or a key was affected by a fault.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Span {
     pub(crate) from: Instant,
     pub(crate) to: Instant,
 }
 
-/// Time for which a stopping instance is waited for; it has four seconds.
+/// Time from SIGTERM to the restart of an instance, in milliseconds. It has four
+/// seconds to exit.
 const STOP_MS: u64 = 4_600;
 
-/// Time between the word of an engine that it leaves and the end of its entry.
+/// Time from the draining state of an engine to the removal of its entry, in
+/// milliseconds.
 const DRAIN_MS: u64 = 2_200;
 
-/// Carries faults out, and notes what was disturbed when.
+/// Injects faults and records the intervals in which they affect machines, the store
+/// and the key.
 pub(crate) struct Faults {
     pub(crate) deployment: Deployment,
     gates: Vec<StoreGate>,
+    /// Later steps of faults, with the time at which they are due.
     pending: Vec<(Instant, Action)>,
-    /// Engines on the list; those that left serve on.
+    /// IDs of the engines on the list. Engines that have left it keep serving.
     listed: Vec<String>,
     pub(crate) departures: Vec<Departure>,
-    /// Times in which a machine was disturbed, its way to the store included.
+    /// Intervals in which a machine or its access to the store was disturbed, by machine.
     pub(crate) disturbed: Vec<Vec<Span>>,
-    /// Times in which a machine's process didn't run.
+    /// Intervals in which a machine's process was not running, by machine.
     pub(crate) stopped: Vec<Vec<Span>>,
-    /// Refusals by the store that each machine is under; they overlap.
+    /// Number of current `Fault::Refuse` per machine. They can overlap.
     refusals: Vec<usize>,
     pub(crate) store_disturbed: Vec<Span>,
     pub(crate) withdrawn: Vec<Span>,
     weights: u64,
     added_engines: usize,
-    /// Whether entries have lapsed and are not written again yet.
+    /// Whether entries have expired and must not be rewritten yet.
     entries_expired: bool,
 }
 
@@ -84,7 +88,7 @@
         }
     }
 
-    /// Carries out what is due.
+    /// Runs the due actions, and rewrites the entries of the listed engines.
     pub(crate) fn tick(&mut self, now: Instant) {
         let (due, pending) = self.pending.drain(..).partition(|(at, _)| *at <= now);
         self.pending = pending;
@@ -96,7 +100,8 @@
         }
     }
 
-    /// Lets engines write what has changed of themselves: their weights.
+    /// Writes the entries of the listed engines, in which the version of the weights
+    /// changes.
     fn write_entries(&self) {
         for id in &self.listed {
             if let Some(engine) = self.engine(id) {
@@ -107,7 +112,7 @@
         }
     }
 
-    /// Returns whether nothing is to come.
+    /// Returns whether no action is pending.
     pub(crate) fn is_finished(&self) -> bool {
         self.pending.is_empty()
     }
@@ -132,7 +137,7 @@
         self.store_disturbed.push(Span { from: now, to });
     }
 
-    /// Begins a fault.
+    /// Starts a fault: injects it, records its interval and schedules its end.
     pub(crate) fn begin(&mut self, fault: Fault, now: Instant) {
         match fault {
             Fault::Refuse { machine, for_ms } => {
@@ -163,7 +168,7 @@
             }
             Fault::StoreLapses { for_ms } => {
                 self.deployment.store.set_fault(StoreFault::Busy);
-                // Entries are back within two seconds.
+                // Entries are rewritten within two seconds of the store's recovery.
                 self.mark_store_disturbed(now, for_ms + 2_000);
                 self.schedule(now, for_ms / 2, Action::ExpireEntries);
                 self.schedule(now, for_ms, Action::RestoreStore);
@@ -238,7 +243,7 @@
             Action::StartInstance(machine) => {
                 machines[machine].kill();
                 machines[machine].start();
-                // It reads the store anew.
+                // The instance has to read the store again after its start.
                 self.mark_stopped(machine, now, 500);
             }
             Action::RestoreStore => self.deployment.store.set_fault(StoreFault::None),
@@ -269,7 +274,8 @@
         engines.find(|engine| engine.id() == id)
     }
 
-    /// Takes an engine off those that stay, if another one is left.
+    /// Takes an engine off the listed ones, records its departure and schedules its
+    /// replacement. Returns its ID, or `None` if it is the last one of its kind.
     fn remove_engine(&mut self, is_model: bool, now: Instant) -> Option<String> {
         let prefix = if is_model { 'e' } else { 's' };
         let of_kind = |id: &&String| id.starts_with(prefix);
--- a/crates/mangowalkd/tests/soak/main.rs
+++ b/crates/mangowalkd/tests/soak/main.rs
@@ -1,7 +1,9 @@
-//! Instances as real processes, under faults in series that overlap.
+//! Soak test: runs instances as real processes under a series of overlapping faults
+//! and checks the guarantees to callers, teams and engines.
 //!
-//! A seed gives the schedule. `SOAK_SEEDS=FIRST-LAST` plays others than those of
-//! a plain run, `SOAK_S` sets how long faults come.
+//! A seed determines the schedule of faults. `SOAK_SEEDS=FIRST-LAST` selects other
+//! seeds than the default ones. `SOAK_S` sets the time for which faults are injected,
+//! in seconds.
 
 mod check;
 mod faults;
@@ -17,10 +19,10 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mangowalkd");
 
-/// Seeds of a plain run.
+/// Seeds without `SOAK_SEEDS`, first and last.
 const SEEDS: &str = "7-8";
 
-/// Time for which faults come.
+/// Time for which faults are injected without `SOAK_S`, in seconds.
 const FAULTS_S: u64 = 20;
 
 #[test]
--- a/crates/mangowalkd/tests/soak/play.rs
+++ b/crates/mangowalkd/tests/soak/play.rs
@@ -18,10 +18,11 @@
 const MACHINES: usize = 4;
 const CALLERS: u64 = 6;
 
-/// Time after the last fault in which all has to be well again.
+/// Time after the last fault for which callers keep sending requests. All instances
+/// must recover within it.
 const RECOVERY: Duration = Duration::from_secs(5);
 
-/// Plays a seed, and returns the promises that were broken.
+/// Runs the schedule of a seed under traffic and returns the violated guarantees.
 pub(crate) fn run_seed(seed: u64, faults_for: Duration) -> Vec<String> {
     let mut faults = start();
     let machines = &faults.deployment.machines;
@@ -43,7 +44,7 @@
         stop.store(true, Ordering::Relaxed);
         let requests: Vec<SentRequest> = callers
             .into_iter()
-            .flat_map(|caller| caller.join().expect("a caller doesn't fail"))
+            .flat_map(|caller| caller.join().expect("a caller doesn't panic"))
             .collect();
         (requests, recovered)
     });
--- a/crates/mangowalkd/tests/soak/schedule.rs
+++ b/crates/mangowalkd/tests/soak/schedule.rs
@@ -1,57 +1,58 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// One fault; machines and engines are named by their places.
+/// One fault. Machines are given by index, engines by whether they serve a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The store refuses one machine.
+    /// The store refuses all calls of one machine.
     Refuse { machine: usize, for_ms: u64 },
-    /// A machine stands still.
+    /// The instance of a machine is frozen.
     Freeze { machine: usize, for_ms: u64 },
-    /// An instance is killed, and started again.
+    /// An instance is killed and restarted after the time.
     Kill { machine: usize, for_ms: u64 },
-    /// An instance is told to stop, and started again.
+    /// An instance gets SIGTERM and is restarted.
     Stop { machine: usize },
-    /// The store refuses all.
+    /// The store refuses all calls.
     StoreBusy { for_ms: u64 },
-    /// The same, and the engines' entries lapse meanwhile.
+    /// The store refuses all calls, and the engines' entries expire meanwhile.
     StoreLapses { for_ms: u64 },
-    /// The store carries writes out and doesn't answer them.
+    /// The store applies writes and drops its responses to them.
     LoseAnswers { for_ms: u64 },
-    /// Cheaper readings lag.
+    /// Reads that may lag do so.
     Lag { for_ms: u64 },
-    /// An engine says that it leaves, then leaves the list; another one comes.
+    /// An engine sets its state to draining, then leaves the list. Another one joins.
     Drain { is_model: bool },
-    /// An engine leaves the list without a word before; another one comes.
+    /// An engine leaves the list without draining first. Another one joins.
     Leave { is_model: bool },
-    /// An engine runs requests and gives no answers.
+    /// An engine runs requests and drops its responses.
     Mute { is_model: bool, for_ms: u64 },
     /// An engine cuts its streams off.
     Cut { for_ms: u64 },
-    /// New weights are named.
+    /// New weights are published.
     NameWeights,
-    /// A key is withdrawn, and given again.
+    /// A key is withdrawn and restored after the time.
     Withdraw { for_ms: u64 },
 }
 
-/// When a fault begins.
+/// A fault and its start, in milliseconds from the start of the run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ScheduledFault {
     pub(crate) at_ms: u64,
     pub(crate) fault: Fault,
 }
 
-/// Longest pause between two faults of a dense and of a sparse seed; shorter than
-/// most faults last.
+/// Bounds of the maximum pause between two faults, in milliseconds. A seed draws it
+/// between them, so that schedules are dense or sparse. Most faults last longer than a
+/// pause.
 const DENSE_MAX_PAUSE_MS: u64 = 900;
 const SPARSE_MAX_PAUSE_MS: u64 = 3_500;
 
-/// Kinds of faults, in the order of `fault`.
+/// Number of kinds of faults, which `fault` numbers from 0.
 const FAULT_KINDS: u32 = 14;
 
-/// Returns the faults that a seed gives, in order.
+/// Returns the schedule of faults for a seed, in order of time.
 ///
-/// Each seed has kinds of its own, about half of them: with all of them in each,
-/// one fault soon hides what another one does.
+/// Each seed uses about half of the kinds, chosen at random. With all kinds in each schedule, one
+/// fault would soon hide the effects of another one.
 pub(crate) fn schedule(seed: u64, faults_ms: u64, machines: usize) -> Vec<ScheduledFault> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut kinds: Vec<u32> = (0..FAULT_KINDS)
--- a/crates/mangowalkd/tests/soak/traffic.rs
+++ b/crates/mangowalkd/tests/soak/traffic.rs
@@ -9,10 +9,10 @@
     },
 };
 
-/// Key of the team that is withdrawn at times.
+/// API key that `Fault::Withdraw` withdraws, of the team `walled`.
 pub(crate) const WITHDRAWN_KEY: &str = "key-of-walled";
 
-/// One request, and what its caller got.
+/// One request of a caller, and its reply.
 #[derive(Debug)]
 pub(crate) struct SentRequest {
     pub(crate) id: String,
@@ -24,11 +24,12 @@
     pub(crate) reply: Reply,
 }
 
-/// Time that callers give their requests.
+/// Deadline of the requests, in milliseconds.
 const DEADLINE_MS: u64 = 3_000;
 
-/// Lets one caller ask until it is told to stop. It keeps a connection to each
-/// machine, until that closes it.
+/// Sends random requests of one caller to random machines until `stop` is set, and
+/// returns them. The caller reuses a connection to each machine until the machine
+/// closes it.
 pub(crate) fn send_requests(
     seed: u64,
     machines: &[SocketAddr],
