--- a/crates/mangowalkd/tests/machines/answers.rs
+++ b/crates/mangowalkd/tests/machines/answers.rs
@@ -239,10 +239,10 @@
     let mut resumed = 0;
     for _ in 0..8 {
         let id = Caller::new_request_id();
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let reply = caller.stream(RouteKind::Resumable.path(), &id);
         assert!(reply.is_complete_stream(), "{reply:?}");
-        assert!(asked.elapsed() < Duration::from_secs(2), "{reply:?}");
+        assert!(sent_at.elapsed() < Duration::from_secs(2), "{reply:?}");
         resumed += usize::from(deployment.times_run(&id) == 2);
     }
     assert!(resumed > 0, "no stream ran at the engine that stalls");
@@ -401,12 +401,14 @@
 #[test]
 fn a_draining_engine_gets_no_new_requests() {
     let deployment = Deployment::start(PROGRAM, 2, 2);
-    let leaving = &deployment.engines[0];
-    deployment
-        .store
-        .write("servers", leaving.id(), leaving.entry("draining"));
+    let draining_engine = &deployment.engines[0];
+    deployment.store.write(
+        "servers",
+        draining_engine.id(),
+        draining_engine.entry("draining"),
+    );
     std::thread::sleep(Duration::from_millis(1_000));
-    let before = leaving.runs().len();
+    let before = draining_engine.runs().len();
     for machine in 0..2 {
         for _ in 0..6 {
             let caller = deployment.caller(machine);
@@ -414,7 +416,7 @@
             assert!(reply.is_complete_stream());
         }
     }
-    assert_eq!(leaving.runs().len(), before);
+    assert_eq!(draining_engine.runs().len(), before);
 }
 
 /// The engine list contains a damaged entry and one with an unknown state. They
--- a/crates/mangowalkd/tests/machines/input.rs
+++ b/crates/mangowalkd/tests/machines/input.rs
@@ -71,8 +71,8 @@
     ];
     for (text, statuses) in cases {
         let reply = Caller::send_raw(address, text.as_bytes());
-        let begin: String = text.chars().take(60).collect();
-        assert!(statuses.contains(&reply.status), "{begin}: {reply:?}");
+        let excerpt: String = text.chars().take(60).collect();
+        assert!(statuses.contains(&reply.status), "{excerpt}: {reply:?}");
     }
     let reply = deployment.caller(0).plain(
         "GET",
--- a/crates/mangowalkd/tests/machines/lagging.rs
+++ b/crates/mangowalkd/tests/machines/lagging.rs
@@ -51,28 +51,30 @@
 #[test]
 fn a_draining_engine_gets_no_requests_while_reads_lag() {
     let deployment = Deployment::start(PROGRAM, INSTANCES, 2);
-    let leaving = busiest_engine(&deployment);
+    let draining_engine = busiest_engine(&deployment);
     make_reads_lag(&deployment);
-    deployment
-        .store
-        .write("servers", leaving.id(), leaving.entry("draining"));
+    deployment.store.write(
+        "servers",
+        draining_engine.id(),
+        draining_engine.entry("draining"),
+    );
     thread::sleep(MAX_PROPAGATION);
-    let before = leaving.runs().len();
+    let before = draining_engine.runs().len();
     send_to_all_instances(&deployment);
-    assert_eq!(leaving.runs().len(), before);
+    assert_eq!(draining_engine.runs().len(), before);
 }
 
 /// The same with an engine that is removed from the list without draining first.
 #[test]
 fn an_engine_removed_from_the_list_gets_no_requests_while_reads_lag() {
     let deployment = Deployment::start(PROGRAM, INSTANCES, 2);
-    let gone = busiest_engine(&deployment);
+    let removed_engine = busiest_engine(&deployment);
     make_reads_lag(&deployment);
-    deployment.store.remove("servers", gone.id());
+    deployment.store.remove("servers", removed_engine.id());
     thread::sleep(MAX_PROPAGATION);
-    let before = gone.runs().len();
+    let before = removed_engine.runs().len();
     send_to_all_instances(&deployment);
-    assert_eq!(gone.runs().len(), before);
+    assert_eq!(removed_engine.runs().len(), before);
 }
 
 /// A key is withdrawn and new weights are published while reads lag. Both must take
@@ -203,13 +205,13 @@
 #[test]
 fn an_engine_whose_entry_stays_missing_is_removed_after_the_grace_period() {
     let deployment = Deployment::start(PROGRAM, 2, 2);
-    let gone = busiest_engine(&deployment);
+    let removed_engine = busiest_engine(&deployment);
     deployment.store.set_fault(StoreFault::Busy);
     thread::sleep(Duration::from_millis(1_500));
-    deployment.store.remove("servers", gone.id());
+    deployment.store.remove("servers", removed_engine.id());
     deployment.store.set_fault(StoreFault::None);
     thread::sleep(Duration::from_millis(4_500));
-    let before = gone.runs().len();
+    let before = removed_engine.runs().len();
     send_to_all_instances(&deployment);
-    assert_eq!(gone.runs().len(), before);
+    assert_eq!(removed_engine.runs().len(), before);
 }
--- a/crates/mangowalkd/tests/soak/check.rs
+++ b/crates/mangowalkd/tests/soak/check.rs
@@ -170,8 +170,8 @@
     let later = requests
         .iter()
         .filter(|request| request.sent > recovered + Duration::from_secs(2));
-    let failures = machines.filter_map(|(place, machine)| {
-        let served = later.clone().filter(|request| request.machine == place);
+    let failures = machines.filter_map(|(index, machine)| {
+        let served = later.clone().filter(|request| request.machine == index);
         let (all, served) = served.fold((0, 0), |(all, served), request| {
             (all + 1, served + usize::from(request.reply.status == 200))
         });
@@ -186,11 +186,12 @@
 
 fn check_descriptors(faults: &Faults) -> Vec<String> {
     let machines = faults.deployment.machines.iter();
-    let held = machines.map(|machine| {
+    let counts = machines.map(|machine| {
         let open = std::fs::read_dir(format!("/proc/{}/fd", machine.pid()));
         (machine.name(), open.map_or(0, Iterator::count))
     });
-    held.filter(|(_, count)| *count > MAX_DESCRIPTORS)
+    counts
+        .filter(|(_, count)| *count > MAX_DESCRIPTORS)
         .map(|(name, count)| format!("{name} has {count} open file descriptors"))
         .collect()
 }
--- a/crates/mangowalkd/tests/soak/faults.rs
+++ b/crates/mangowalkd/tests/soak/faults.rs
@@ -282,8 +282,8 @@
         if self.listed.iter().filter(of_kind).count() < 2 {
             return None;
         }
-        let place = self.listed.iter().position(|id| id.starts_with(prefix))?;
-        let id = self.listed.remove(place);
+        let index = self.listed.iter().position(|id| id.starts_with(prefix))?;
+        let id = self.listed.remove(index);
         self.departures.push(Departure {
             engine: id.clone(),
             at: now,
--- a/crates/mangowalkd/tests/soak/play.rs
+++ b/crates/mangowalkd/tests/soak/play.rs
@@ -84,15 +84,15 @@
 
 fn run_faults(faults: &mut Faults, seed: u64, faults_for: Duration) {
     let begin = Instant::now();
-    let mut due = schedule(seed, faults_for.as_millis() as u64, MACHINES).into_iter();
-    let mut next = due.next();
+    let mut scheduled = schedule(seed, faults_for.as_millis() as u64, MACHINES).into_iter();
+    let mut next = scheduled.next();
     while next.is_some() || !faults.is_finished() {
         let now = Instant::now();
         faults.tick(now);
-        while let Some(one) = next.filter(|one| now >= begin + Duration::from_millis(one.at_ms)) {
-            eprintln!("seed {seed} {:>6} ms  {:?}", one.at_ms, one.fault);
-            faults.begin(one.fault, now);
-            next = due.next();
+        while let Some(due) = next.filter(|due| now >= begin + Duration::from_millis(due.at_ms)) {
+            eprintln!("seed {seed} {:>6} ms  {:?}", due.at_ms, due.fault);
+            faults.begin(due.fault, now);
+            next = scheduled.next();
         }
         thread::sleep(Duration::from_millis(5));
     }
