--- a/crates/mangowalkd/tests/machines/answers.rs
+++ b/crates/mangowalkd/tests/machines/answers.rs
@@ -102,8 +102,8 @@
 }
 
 /// The engine runs a request that isn't idempotent, such as a charge, and its
-/// response is lost. The request must not run again. The response must be 502 and never 503, which would
-/// state that it has not run.
+/// response is lost. The request must not run again. The caller must get 502 and never
+/// 503, which would state that the request has not run.
 #[test]
 fn a_lost_response_is_reported_as_502_and_not_retried() {
     let deployment = Deployment::start(PROGRAM, 1, 1);
--- a/crates/mangowalkd/tests/machines/configuration.rs
+++ b/crates/mangowalkd/tests/machines/configuration.rs
@@ -126,7 +126,8 @@
 }
 
 /// An instance starts while the store is unavailable and has no configuration. It
-/// must answer 503 with a retry time, and never report a missing route.
+/// must report that it is starting, by 503 with a retry time, and never that a route
+/// is missing.
 #[test]
 fn an_instance_without_a_configuration_answers_503() {
     let mut deployment = Deployment::prepare(PROGRAM, 1, 1);
--- a/crates/mangowalkd/tests/machines/leaving.rs
+++ b/crates/mangowalkd/tests/machines/leaving.rs
@@ -66,9 +66,9 @@
     assert_eq!(engine.runs().len(), before);
 }
 
-/// An instance regains access to the store and misses the entry of an engine whose
-/// departure peers had reported. Guards against taking the entry for one that
-/// expired while the store was unavailable, which would keep the engine in use.
+/// An instance regains access to the store, and the entry of an engine whose departure
+/// peers had reported is missing. Guards against taking the entry for one that expired
+/// while the store was unavailable, which would keep the engine in use.
 #[test]
 fn an_engine_that_left_gets_no_requests_after_the_list_is_read_again() {
     let (deployment, gate) = start_behind_gate(3);
--- a/crates/mangowalkd/tests/soak/schedule.rs
+++ b/crates/mangowalkd/tests/soak/schedule.rs
@@ -51,8 +51,8 @@
 
 /// Returns the schedule of faults for a seed, in order of time.
 ///
-/// Each seed uses about half of the kinds, chosen at random. With all kinds in each schedule, one
-/// fault would soon hide the effects of another one.
+/// Each seed uses about half of the kinds, chosen at random. With all kinds in each
+/// schedule, one fault would soon hide the effects of another one.
 pub(crate) fn schedule(seed: u64, faults_ms: u64, machines: usize) -> Vec<ScheduledFault> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut kinds: Vec<u32> = (0..FAULT_KINDS)
