--- a/crates/mangowalkd/tests/machines/lagging.rs
+++ b/crates/mangowalkd/tests/machines/lagging.rs
@@ -1,8 +1,8 @@
-//! A store whose cheaper readings lag, and one from which entries lapsed.
+//! A store whose cheaper reads lag, and one whose entries have expired.
 
 use {
     super::PROGRAM,
-    mangowalk_platform_standins::{Caller, Deployment, Engine, RouteKind, StoreFault, wait},
+    mangowalk_platform_standins::{Caller, Deployment, Engine, RouteKind, StoreFault, wait_until},
     serde_json::json,
     std::{
         thread,
@@ -10,92 +10,102 @@
     },
 };
 
-/// Instances beyond those that read the store currently.
+/// Number of instances, more than those that make current reads of the store.
 const INSTANCES: usize = 5;
 
-/// Time in which no change may need longer to be known everywhere.
-const SOON: Duration = Duration::from_millis(1_500);
+/// Maximum time until a change takes effect at all instances.
+const MAX_PROPAGATION: Duration = Duration::from_millis(1_500);
 
-/// Time of the watches with which an instance begins, which are current as it
-/// hears no peer yet.
-const FIRST_WATCH: Duration = Duration::from_millis(2_800);
+/// Duration of the first watches of an instance. They are current reads, because it
+/// has received no peer's heartbeat yet.
+const INITIAL_WATCHES: Duration = Duration::from_millis(2_800);
 
-/// Lets the readings of all but the current readers lag from now on.
-fn let_readings_lag(deployment: &Deployment) {
-    thread::sleep(FIRST_WATCH);
+/// Makes all reads that may lag do so from now on.
+fn make_reads_lag(deployment: &Deployment) {
+    thread::sleep(INITIAL_WATCHES);
     deployment.store.set_lagging(true);
 }
 
-/// Lets callers of each instance ask, and returns the engine that ran the most.
-fn busiest(deployment: &Deployment) -> &Engine {
-    ask_everywhere(deployment);
+/// Sends requests to each instance and returns the engine that ran the most of them.
+fn busiest_engine(deployment: &Deployment) -> &Engine {
+    send_to_all_instances(deployment);
     let engines = deployment.engines.iter();
     engines
         .max_by_key(|engine| engine.runs().len())
         .expect("there are engines")
 }
 
-fn ask_everywhere(deployment: &Deployment) {
+fn send_to_all_instances(deployment: &Deployment) {
     for machine in 0..deployment.machines.len() {
         for _ in 0..6 {
             let caller = deployment.caller(machine);
-            let reply = caller.stream(RouteKind::Stream.path(), &Caller::fresh_id());
-            assert!(reply.is_whole_stream(), "instance {machine}: {reply:?}");
+            let reply = caller.stream(RouteKind::Stream.path(), &Caller::new_request_id());
+            assert!(reply.is_complete_stream(), "instance {machine}: {reply:?}");
         }
     }
 }
 
-/// An engine leaves while most instances' readings lag by seconds. Callers of
-/// each would still be sent to it, and fail once it ends. Two instances read
-/// currently and tell the others, so that none gets work there.
+/// An engine drains while the reads of most instances lag by seconds. They would
+/// still send requests to it, which fail once it ends. Two instances make current
+/// reads and report the change to the others, so no instance may send it a request.
 #[test]
-fn an_engine_that_leaves_gets_no_work_though_readings_lag() {
+fn a_draining_engine_gets_no_requests_while_reads_lag() {
     let deployment = Deployment::start(PROGRAM, INSTANCES, 2);
-    let leaving = busiest(&deployment);
-    let_readings_lag(&deployment);
-    deployment
-        .store
-        .write("servers", leaving.id(), leaving.entry("draining"));
-    thread::sleep(SOON);
-    let before = leaving.runs().len();
-    ask_everywhere(&deployment);
-    assert_eq!(leaving.runs().len(), before);
+    let draining_engine = busiest_engine(&deployment);
+    make_reads_lag(&deployment);
+    deployment.store.write(
+        "servers",
+        draining_engine.id(),
+        draining_engine.entry("draining"),
+    );
+    thread::sleep(MAX_PROPAGATION);
+    let before = draining_engine.runs().len();
+    send_to_all_instances(&deployment);
+    assert_eq!(draining_engine.runs().len(), before);
 }
 
-/// The same with an engine that leaves the list without a word before.
+/// The same with an engine that is removed from the list without draining first.
 #[test]
-fn an_engine_that_left_the_list_gets_no_work_though_readings_lag() {
+fn an_engine_removed_from_the_list_gets_no_requests_while_reads_lag() {
     let deployment = Deployment::start(PROGRAM, INSTANCES, 2);
-    let gone = busiest(&deployment);
-    let_readings_lag(&deployment);
-    deployment.store.remove("servers", gone.id());
-    thread::sleep(SOON);
-    let before = gone.runs().len();
-    ask_everywhere(&deployment);
-    assert_eq!(gone.runs().len(), before);
+    let removed_engine = busiest_engine(&deployment);
+    make_reads_lag(&deployment);
+    deployment.store.remove("servers", removed_engine.id());
+    thread::sleep(MAX_PROPAGATION);
+    let before = removed_engine.runs().len();
+    send_to_all_instances(&deployment);
+    assert_eq!(removed_engine.runs().len(), before);
 }
 
-/// A key is withdrawn and new weights are named while readings lag. Both are in
-/// force at each instance soon, by what the current readers tell.
+/// A key is withdrawn and new weights are published while reads lag. Both must take
+/// effect at each instance in time, by reports of the instances with current reads.
 #[test]
-fn versions_are_in_force_though_readings_lag() {
+fn new_versions_take_effect_while_reads_lag() {
     let mut deployment = Deployment::start(PROGRAM, INSTANCES, 2);
-    let_readings_lag(&deployment);
+    make_reads_lag(&deployment);
     let changed = Instant::now();
     deployment.configure(|configuration| {
         configuration["Tenants"][1]["ApiKeys"] = json!([]);
     });
-    deployment.name_weights(2);
+    deployment.publish_weights(2);
     for machine in 0..INSTANCES {
         let mut caller = deployment.caller(machine);
         caller.key = Some("key-of-walled".to_owned());
-        wait("the key is out", || {
-            let reply = caller.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+        wait_until("the instance rejects the key", || {
+            let reply = caller.plain(
+                "GET",
+                RouteKind::Idempotent.path(),
+                &Caller::new_request_id(),
+            );
             reply.status == 401
         });
     }
-    assert!(changed.elapsed() < SOON, "{:?}", changed.elapsed());
-    wait("the engines have the new weights", || {
+    assert!(
+        changed.elapsed() < MAX_PROPAGATION,
+        "{:?}",
+        changed.elapsed()
+    );
+    wait_until("the engines have the new weights", || {
         deployment
             .engines
             .iter()
@@ -103,12 +113,13 @@
     });
 }
 
-/// The instances that read currently are killed while readings lag, and a key is
-/// withdrawn just then. The next ones take their place within a second.
+/// The instances that make current reads are killed while reads lag, and a key is
+/// withdrawn at the same time. Other instances must take over the current reads within
+/// a second, so that each rejects the key soon.
 #[test]
-fn other_instances_read_currently_when_the_first_are_killed() {
+fn other_instances_take_over_current_reads_when_the_first_are_killed() {
     let mut deployment = Deployment::start(PROGRAM, INSTANCES, 1);
-    let_readings_lag(&deployment);
+    make_reads_lag(&deployment);
     deployment.machines[0].kill();
     deployment.machines[1].kill();
     deployment.configure(|configuration| {
@@ -118,12 +129,17 @@
     for machine in 2..INSTANCES {
         let mut caller = deployment.caller(machine);
         caller.key = Some("key-of-walled".to_owned());
-        wait("the key is out", || {
-            let reply = caller.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+        wait_until("the instance rejects the key", || {
+            let reply = caller.plain(
+                "GET",
+                RouteKind::Idempotent.path(),
+                &Caller::new_request_id(),
+            );
             reply.status == 401
         });
     }
-    // Half a watch that was begun before, and the time until the two are missed.
+    // Half of a watch that had already started, and the time until the failure of the
+    // two is detected.
     assert!(
         changed.elapsed() < Duration::from_secs(6),
         "{:?}",
@@ -131,24 +147,24 @@
     );
 }
 
-/// Calls to the store are paid for, and a reading that may lag costs a tenth.
-/// While nothing changes, few instances of many read currently.
+/// Calls to the store are billed, and a read that may lag costs a tenth of a current
+/// one. While nothing changes, only few of many instances may make current reads.
 #[test]
-fn few_instances_read_currently_while_nothing_changes() {
+fn few_instances_make_current_reads_while_nothing_changes() {
     let deployment = Deployment::start(PROGRAM, INSTANCES, 2);
     thread::sleep(Duration::from_secs(3));
     let before = deployment.store.current_calls();
     thread::sleep(Duration::from_secs(5));
     let calls = deployment.store.current_calls() - before;
-    // Two instances, three kinds, a watch of two and a half seconds each.
+    // Two instances with watches of 2.5 seconds on three kinds each.
     assert!((6..=18).contains(&calls), "{calls} calls");
 }
 
-/// The store is away for seconds and the engines' entries lapse meanwhile. They
-/// come back within two seconds of its return. Callers must be served all the
-/// while: the engines have never stopped.
+/// The store is unavailable for seconds, and the engines' entries expire meanwhile.
+/// They are rewritten within two seconds of its recovery. Callers must be served
+/// throughout, since the engines have never stopped.
 #[test]
-fn engines_whose_entries_lapsed_are_used_until_they_are_back() {
+fn engines_whose_entries_expired_are_used_until_they_are_rewritten() {
     let deployment = Deployment::start(PROGRAM, 2, 2);
     deployment.store.set_fault(StoreFault::Busy);
     thread::sleep(Duration::from_millis(1_500));
@@ -161,7 +177,11 @@
     while Instant::now() < until {
         for machine in 0..2 {
             let caller = deployment.caller(machine);
-            let reply = caller.plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+            let reply = caller.plain(
+                "GET",
+                RouteKind::Idempotent.path(),
+                &Caller::new_request_id(),
+            );
             assert_eq!(reply.status, 200, "{reply:?}");
         }
         thread::sleep(Duration::from_millis(50));
@@ -172,25 +192,26 @@
             .write("servers", engine.id(), engine.entry("ready"));
     }
     thread::sleep(Duration::from_secs(2));
-    let reply =
-        deployment
-            .caller(0)
-            .plain("GET", RouteKind::Idempotent.path(), &Caller::fresh_id());
+    let reply = deployment.caller(0).plain(
+        "GET",
+        RouteKind::Idempotent.path(),
+        &Caller::new_request_id(),
+    );
     assert_eq!(reply.status, 200, "{reply:?}");
 }
 
-/// The store is away, an engine's entry lapses and stays away. After the grace
-/// the engine counts as gone.
+/// The store is unavailable, and an engine's entry expires and isn't rewritten. After
+/// the grace period the engine must get no requests.
 #[test]
-fn an_engine_whose_entry_does_not_come_back_is_gone() {
+fn an_engine_whose_entry_stays_missing_is_removed_after_the_grace_period() {
     let deployment = Deployment::start(PROGRAM, 2, 2);
-    let gone = busiest(&deployment);
+    let removed_engine = busiest_engine(&deployment);
     deployment.store.set_fault(StoreFault::Busy);
     thread::sleep(Duration::from_millis(1_500));
-    deployment.store.remove("servers", gone.id());
+    deployment.store.remove("servers", removed_engine.id());
     deployment.store.set_fault(StoreFault::None);
     thread::sleep(Duration::from_millis(4_500));
-    let before = gone.runs().len();
-    ask_everywhere(&deployment);
-    assert_eq!(gone.runs().len(), before);
+    let before = removed_engine.runs().len();
+    send_to_all_instances(&deployment);
+    assert_eq!(removed_engine.runs().len(), before);
 }
--- a/crates/mangowalkd/tests/soak/main.rs
+++ b/crates/mangowalkd/tests/soak/main.rs
@@ -1,7 +1,9 @@
-//! Instances as real processes, under faults in series that overlap.
+//! Soak test: runs instances as real processes under a series of overlapping faults
+//! and checks the guarantees to callers, teams and engines.
 //!
-//! A seed gives the schedule. `SOAK_SEEDS=FIRST-LAST` plays others than those of
-//! a plain run, `SOAK_S` sets how long faults come.
+//! A seed determines the schedule of faults. `SOAK_SEEDS=FIRST-LAST` selects other
+//! seeds than the default ones. `SOAK_S` sets the time for which faults are injected,
+//! in seconds.
 
 mod check;
 mod faults;
@@ -10,30 +12,30 @@
 mod traffic;
 
 use {
-    play::play,
+    play::run_seed,
     std::{env, time::Duration},
 };
 
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mangowalkd");
 
-/// Seeds of a plain run.
+/// Seeds without `SOAK_SEEDS`, first and last.
 const SEEDS: &str = "7-8";
 
-/// Time for which faults come.
+/// Time for which faults are injected without `SOAK_S`, in seconds.
 const FAULTS_S: u64 = 20;
 
 #[test]
-fn promises_are_kept_under_faults_that_overlap() {
+fn guarantees_hold_under_overlapping_faults() {
     let seeds = env::var("SOAK_SEEDS").unwrap_or_else(|_| SEEDS.to_owned());
     let (first, last) = seeds.split_once('-').expect("two numbers");
     let number = |text: &str| text.parse::<u64>().expect("a number");
     let seconds = env::var("SOAK_S").map_or(FAULTS_S, |text| number(&text));
     let mut failed = Vec::new();
     for seed in number(first)..=number(last) {
-        let broken = play(seed, Duration::from_secs(seconds));
-        if !broken.is_empty() {
-            eprintln!("seed {seed}:\n{}", broken.join("\n"));
+        let violations = run_seed(seed, Duration::from_secs(seconds));
+        if !violations.is_empty() {
+            eprintln!("seed {seed}:\n{}", violations.join("\n"));
             failed.push(seed);
         }
     }
