--- a/crates/core/src/admission/settings.rs
+++ b/crates/core/src/admission/settings.rs
@@ -16,7 +16,7 @@
 
 /// Error for a profile name that does not exist.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("Unknown admission profile; use first-token or worst-team.")]
+#[display("No such profile; give first-token or worst-team.")]
 pub struct UnknownProfile;
 
 impl std::str::FromStr for AdmissionProfile {
