--- a/crates/core/src/claim/epoch.rs
+++ b/crates/core/src/claim/epoch.rs
@@ -22,8 +22,8 @@
 
 /// Tracks the shared epoch, a logical clock by which claims expire.
 ///
-/// A claim is deleted a day after it was made, but no instance may run for a
-/// whole day, and wall clocks are not trusted: a clock that is a day ahead would
+/// A claim is deleted a day after it was made, but possibly no instance runs for
+/// a whole day, and wall clocks are not trusted: a clock that is a day ahead would
 /// delete claims made a minute ago. Therefore any instance that has observed an
 /// epoch for [`MIN_EPOCH_MS`] writes the next one, on the condition that the
 /// object is unchanged. 150 epochs take at least 25 hours, whichever instances
--- a/crates/core/src/claim/lifecycle.rs
+++ b/crates/core/src/claim/lifecycle.rs
@@ -7,7 +7,8 @@
 };
 
 /// Maximum time between making a claim and sending the request, in milliseconds.
-/// After a longer pause of the process the claim may have been deleted.
+/// After a longer pause of the process, the request must not be sent, because
+/// the claim may have been deleted.
 const MAX_UNSENT_MS: u64 = 3_600_000;
 
 /// Claim in one of its states.
--- a/crates/core/src/membership/members.rs
+++ b/crates/core/src/membership/members.rs
@@ -168,8 +168,9 @@
         (alive.count(), known.count())
     }
 
-    /// Removes departed instances whose departure was sent often enough, and
-    /// instances that were suspected for `forget_ms`.
+    /// Removes instances that were suspected for `forget_ms`. Moves an instance
+    /// to `departed` if it is departing and suspected and this was sent often
+    /// enough.
     pub fn forget(&mut self, now_ms: u64) {
         let forget_ms = self.settings.forget_ms;
         let is_recent = |member: &Member| {
--- a/crates/core/src/mesh/members.rs
+++ b/crates/core/src/mesh/members.rs
@@ -26,9 +26,9 @@
     ///
     /// Above it, one peer in each other failure domain gets the heartbeat and
     /// relays it, because traffic between domains costs money. All peers still
-    /// receive every heartbeat. If the peers of a large fleet took turns
-    /// instead, each would receive so few heartbeats that it took others for
-    /// silent.
+    /// receive every heartbeat, within one heartbeat interval. If the peers of a
+    /// large fleet took turns instead, each would receive so few heartbeats that
+    /// it took others for silent.
     pub max_direct_peers: usize,
 }
 
--- a/crates/core/src/rollout/action.rs
+++ b/crates/core/src/rollout/action.rs
@@ -1,4 +1,4 @@
-/// Next action of the lease holder. Every action is idempotent.
+/// Next action of the lease holder. Every action may be repeated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action<'a> {
     /// Set the engine's drain mark, so that no instance sends it new requests.
--- a/crates/core/src/rollout/settings.rs
+++ b/crates/core/src/rollout/settings.rs
@@ -1,8 +1,8 @@
 /// Timeouts and limits of a rollout.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutSettings {
-    /// Maximum number of engines that load at the same time. More would load
-    /// more slowly, and each one takes away capacity.
+    /// Maximum number of engines that load or are drained at the same time. More
+    /// would load more slowly, and each one takes away capacity.
     pub concurrent_loads: usize,
     /// Maximum share of engines drained at the same time, in percent. In any
     /// fleet of two or more, one engine may be drained.
--- a/crates/core/src/weights/history.rs
+++ b/crates/core/src/weights/history.rs
@@ -14,8 +14,9 @@
     Unknown,
 }
 
-/// Maximum time since the store's last answer, in milliseconds, after which a
+/// Maximum time since the store's last answer, in milliseconds, up to which a
 /// version that is new in a read counts as published at the time of that answer.
+/// After a longer gap its publication time is unknown.
 const MAX_GAP_MS: u64 = 1_000;
 
 impl PublishedAt {
--- a/crates/core/src/weights/lease.rs
+++ b/crates/core/src/weights/lease.rs
@@ -20,7 +20,8 @@
 
 impl LeaseSettings {
     /// Returns the time, in milliseconds, for which a record must be unchanged
-    /// before it is taken from a holder that sends no reports.
+    /// before it is taken without a [`HolderReport`] that counts, as from a holder
+    /// that is silent.
     ///
     /// The holder may be behind a partition, waiting for the exclusion time of
     /// the previous holder; taking the lease from it would start that wait
--- a/crates/core/src/weights/load_concurrency.rs
+++ b/crates/core/src/weights/load_concurrency.rs
@@ -1,7 +1,8 @@
 /// Minimum limit of concurrent loads.
 const MIN_CONCURRENT_LOADS: usize = 2;
 
-/// Number of fast loads at the limit before the limit is raised by one.
+/// Number of fast loads at the limit, with no slow one in between, before the
+/// limit is raised by one.
 const FAST_LOADS_TO_RAISE: u32 = 4;
 
 /// Multiple of the typical duration above which a load counts as slow. The
@@ -20,7 +21,7 @@
 /// speed; beyond it, every load slows down by more than the added concurrency
 /// gains. That number is unknown. The limit starts at what is needed to finish
 /// in time, rises by one after a run of fast loads, and falls after the first
-/// slow load.
+/// slow load to about the number that can load at full speed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadConcurrency {
     limit: usize,
--- a/crates/core/tests/weights.rs
+++ b/crates/core/tests/weights.rs
@@ -364,7 +364,7 @@
 /// Guards against updating a large fleet too slowly, in which case callers get
 /// answers by replaced weights, or refusals because no engine has allowed ones.
 /// 90 engines with loads of 1.3 s, 18 of which can load at full speed, have to
-/// be updated within 7 s. Raising the limit only one by one took 17 s.
+/// be updated within 7 s. Raising the limit only one by one takes 17 s.
 #[test]
 fn a_large_fleet_finishes_loading_in_time() {
     let mut concurrency = LoadConcurrency::default();
--- a/crates/gateway/src/weights/lease.rs
+++ b/crates/gateway/src/weights/lease.rs
@@ -120,7 +120,8 @@
         responsive.any(|member| member.last_heartbeat.holds_lease)
     }
 
-    /// Returns whether this instance may try to take the lease now.
+    /// Returns whether this instance may now try to take the lease if the record
+    /// is not its own.
     ///
     /// Instances try one after another, the most recently started first: during a
     /// rolling restart, the instance that has just started is the last to be
@@ -150,8 +151,9 @@
         if self.held().is_some() || !may_try || self.is_held_elsewhere() {
             return;
         }
-        // Every instance reads the record once per period to learn its holder;
-        // further reads are left to the instances that may take it.
+        // Every instance reads the record once per period with outdated engines
+        // to determine its holder, and takes its own record at once. Further reads
+        // are left to the instances whose turn it is.
         let was_read = self.record_read_for_ms == Some(since_ms);
         if was_read && !self.is_own_turn(since_ms) {
             return;
--- a/crates/gateway/src/weights/progress.rs
+++ b/crates/gateway/src/weights/progress.rs
@@ -9,8 +9,8 @@
     std::{collections::HashMap, rc::Rc},
 };
 
-/// Time after which an order without a known outcome is sent again, in
-/// milliseconds.
+/// Time, in milliseconds, after which an order is sent again if the engine
+/// accepted it or answered with a conflict, and its completion is not known.
 const ORDER_RETRY_MS: u64 = 4_000;
 
 /// Time from an order to the first request for a report, in milliseconds. An
@@ -268,7 +268,7 @@
         self.instance.wake_ups.heartbeat.notify_one();
     }
 
-    /// Returns the order notes for the peers, and drops orders that were completed
+    /// Returns the order reports for the peers, and drops orders that were completed
     /// a while ago.
     pub(super) fn order_reports(&mut self) -> Vec<OrderReport> {
         let now_ms = now_ms();
