--- a/crates/mangowalkd/examples/capacity/fleet.rs
+++ b/crates/mangowalkd/examples/capacity/fleet.rs
@@ -11,16 +11,16 @@
 };
 
 /// Time for a new fleet to come to rest, before anything is counted.
-const SETTLE: Duration = Duration::from_secs(12);
+const SETTLE_TIME: Duration = Duration::from_secs(12);
 
 /// Time over which is counted.
-const WINDOW: Duration = Duration::from_secs(20);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(20);
 
 /// Engines that stand behind all the records of engines.
 const ENGINES: usize = 4;
 
 /// A fleet of one size.
-struct Size {
+struct FleetSize {
     routers: usize,
     engines: usize,
     teams: usize,
@@ -28,7 +28,7 @@
 
 /// What one router spends.
 #[derive(Default)]
-struct Spent {
+struct Usage {
     cpu_percent: f64,
     resident_kib: f64,
     control: ControlTraffic,
@@ -43,21 +43,21 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for routers in [4, 12, 36] {
-        row(&Size {
+        measure_row(&FleetSize {
             routers,
             engines: 16,
             teams: 5,
         });
     }
     for engines in [160, 640] {
-        row(&Size {
+        measure_row(&FleetSize {
             routers: 4,
             engines,
             teams: 5,
         });
     }
     for teams in [58, 230] {
-        row(&Size {
+        measure_row(&FleetSize {
             routers: 4,
             engines: 16,
             teams,
@@ -65,7 +65,7 @@
     }
 }
 
-fn row(size: &Size) {
+fn measure_row(size: &FleetSize) {
     let platform = PlatformStandIn::start(free_address());
     let engines: Vec<EngineStandIn> = (0..ENGINES)
         .map(|_| EngineStandIn::start(free_address(), EngineSettings::default()))
@@ -77,10 +77,10 @@
     for (router, _) in &routers {
         router.wait_ready();
     }
-    thread::sleep(SETTLE);
-    let before: Vec<Spent> = routers.iter().map(|(r, a)| look(r, *a)).collect();
-    thread::sleep(WINDOW);
-    let after: Vec<Spent> = routers.iter().map(|(r, a)| look(r, *a)).collect();
+    thread::sleep(SETTLE_TIME);
+    let before: Vec<Usage> = routers.iter().map(|(r, a)| read_usage(r, *a)).collect();
+    thread::sleep(MEASUREMENT_TIME);
+    let after: Vec<Usage> = routers.iter().map(|(r, a)| read_usage(r, *a)).collect();
     print(size, &before, &after);
 }
 
@@ -98,7 +98,7 @@
     folder.unwrap_or_default().join("mangowalkd")
 }
 
-fn write_records(platform: &PlatformStandIn, engines: &[EngineStandIn], size: &Size) {
+fn write_records(platform: &PlatformStandIn, engines: &[EngineStandIn], size: &FleetSize) {
     platform.put("model", "drafting", json!({ "schema": 1, "version": "v1" }));
     for i in 0..size.teams {
         let name = format!("team-{i}");
@@ -117,22 +117,22 @@
     }
 }
 
-fn look(router: &RouterProcess, operator: SocketAddr) -> Spent {
+fn read_usage(router: &RouterProcess, operator: SocketAddr) -> Usage {
     let pid = router.pid().unwrap_or_default();
     let answer = Answer::get(operator, "/status", &[]);
     let control = serde_json::from_str::<InstanceStatus>(&answer.body)
         .map(|status| status.control)
         .unwrap_or_default();
-    Spent {
+    Usage {
         cpu_percent: cpu_s(pid),
         resident_kib: resident_kib(pid) as f64,
         control,
     }
 }
 
-fn print(size: &Size, before: &[Spent], after: &[Spent]) {
-    let window_s = WINDOW.as_secs_f64();
-    let mean = |value: &dyn Fn(&Spent, &Spent) -> f64| -> f64 {
+fn print(size: &FleetSize, before: &[Usage], after: &[Usage]) {
+    let window_s = MEASUREMENT_TIME.as_secs_f64();
+    let mean = |value: &dyn Fn(&Usage, &Usage) -> f64| -> f64 {
         let sum: f64 = before.iter().zip(after).map(|(b, a)| value(b, a)).sum();
         sum / before.len() as f64
     };
--- a/crates/mangowalkd/examples/client_fleet.rs
+++ b/crates/mangowalkd/examples/client_fleet.rs
@@ -33,7 +33,7 @@
     println!("KEY={}", Fleet::KEY);
     println!("POOR_KEY={POOR_KEY}");
     for line in io::stdin().lines().map_while(Result::ok) {
-        follow(&fleet, &line);
+        run_command(&fleet, &line);
         println!("done");
     }
 }
@@ -46,7 +46,7 @@
     fleet.platform.put("key", "poor-1", key);
 }
 
-fn follow(fleet: &Fleet, line: &str) {
+fn run_command(fleet: &Fleet, line: &str) {
     let refuse_status = (line == "break").then_some(500);
     for engine in &fleet.engines {
         engine.set_faults(EngineFaults {
--- a/crates/mangowalkd/examples/measure_streams.rs
+++ b/crates/mangowalkd/examples/measure_streams.rs
@@ -22,14 +22,14 @@
 const PAIRS: u64 = 1_000;
 
 /// Sizes at which the cost of open streams is looked at.
-const OPEN: [usize; 4] = [0, 100, 250, 500];
+const OPEN_STREAMS: [usize; 4] = [0, 100, 250, 500];
 
 /// Requests sent at each size, and callers that send them.
 const REQUESTS: usize = 2_000;
 const CALLERS: usize = 16;
 
 /// Longest time of a measured call in microseconds, for the histograms.
-const LONGEST_US: u64 = 60_000_000;
+const MAX_CALL_US: u64 = 60_000_000;
 
 fn main() {
     let Some(program) = env::args().nth(1) else {
@@ -55,10 +55,10 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_US, 3).expect("bounds in order")
+    Histogram::new_with_bounds(1, MAX_CALL_US, 3).expect("bounds in order")
 }
 
-fn show(name: &str, times: &Histogram<u64>) {
+fn print_times(name: &str, times: &Histogram<u64>) {
     println!(
         "{name:<28} median {:>7.2} ms  p99 {:>7.2} ms",
         times.value_at_quantile(0.5) as f64 / 1_000.0,
@@ -76,8 +76,8 @@
         }));
     }
     println!("time to first token, {PAIRS} pairs, an engine of 1 ms a token");
-    show("direct", &direct);
-    show("through the router", &routed);
+    print_times("direct", &direct);
+    print_times("through the router", &routed);
 }
 
 fn time_us(call: impl FnOnce()) -> u64 {
@@ -104,7 +104,7 @@
     };
     let body = serde_json::to_string(&request).expect("a text");
     let mut caller = RawCaller::connect(engine.address());
-    caller.send(&head("/generate", &body));
+    caller.send(&http_request("/generate", &body));
     assert!(caller.read_until("w0x"));
 }
 
@@ -118,12 +118,12 @@
     })
     .to_string();
     let mut caller = RawCaller::connect(fleet.routers[0].address());
-    caller.send(&head("/v1/chat/completions", &body));
+    caller.send(&http_request("/v1/chat/completions", &body));
     assert!(caller.read_until("w0x"), "{}", caller.text());
     caller
 }
 
-fn head(path: &str, body: &str) -> Vec<u8> {
+fn http_request(path: &str, body: &str) -> Vec<u8> {
     format!(
         "POST {path} HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {}\r\nConnection: close\r\n\
          Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
@@ -142,13 +142,13 @@
     println!("\nopen streams in one router, requests of one token by {CALLERS} callers");
     println!("open   requests/s   first token: median    p99   VmRSS MiB   threads");
     let mut streams = Vec::new();
-    for open in OPEN {
+    for open in OPEN_STREAMS {
         while streams.len() < open {
             let prompt = format!("stream {}", streams.len());
             streams.push(call_router(fleet, &prompt, 100));
         }
-        let (rate, times) = load(fleet);
-        let (rss_mib, threads) = process(fleet);
+        let (rate, times) = measure_load(fleet);
+        let (rss_mib, threads) = process_usage(fleet);
         println!(
             "{open:>4} {rate:>12.0} {:>19.2} ms {:>5.2} ms {rss_mib:>8.1} {threads:>9}",
             times.value_at_quantile(0.5) as f64 / 1_000.0,
@@ -158,13 +158,13 @@
 }
 
 /// Sends requests of one token from several callers at once.
-fn load(fleet: &Fleet) -> (f64, Histogram<u64>) {
+fn measure_load(fleet: &Fleet) -> (f64, Histogram<u64>) {
     let next = AtomicUsize::new(0);
     let started = Instant::now();
     let mut times = histogram();
     thread::scope(|scope| {
         let callers: Vec<_> = (0..CALLERS)
-            .map(|_| scope.spawn(|| send(fleet, &next)))
+            .map(|_| scope.spawn(|| send_requests(fleet, &next)))
             .collect();
         for caller in callers {
             times += caller.join().expect("a caller");
@@ -173,7 +173,7 @@
     (REQUESTS as f64 / started.elapsed().as_secs_f64(), times)
 }
 
-fn send(fleet: &Fleet, next: &AtomicUsize) -> Histogram<u64> {
+fn send_requests(fleet: &Fleet, next: &AtomicUsize) -> Histogram<u64> {
     let mut times = histogram();
     loop {
         let i = next.fetch_add(1, Ordering::Relaxed);
@@ -187,7 +187,7 @@
 }
 
 /// Reads what the router's process holds.
-fn process(fleet: &Fleet) -> (f64, u64) {
+fn process_usage(fleet: &Fleet) -> (f64, u64) {
     let pid = fleet.routers[0].pid().unwrap_or_default();
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let field = |name: &str| -> u64 {
--- a/crates/mangowalkd/src/cli/machine.rs
+++ b/crates/mangowalkd/src/cli/machine.rs
@@ -10,7 +10,7 @@
 const DEFAULT_SETTINGS: &str = "/etc/mangowalk/node.conf";
 
 /// Word that chooses this way of running.
-pub(super) const COMMAND: &str = "machine";
+pub(super) const MACHINE_COMMAND: &str = "machine";
 
 /// Arguments of `mangowalkd machine`.
 #[derive(Debug, Clone, Bpaf)]
--- a/crates/mangowalkd/src/cli/run.rs
+++ b/crates/mangowalkd/src/cli/run.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         Settings, args,
-        machine::{COMMAND, run_machine},
+        machine::{MACHINE_COMMAND, run_machine},
         print_usage,
         usage::EXIT_USAGE,
     },
@@ -12,7 +12,7 @@
 /// Runs the program with the arguments of the process.
 pub fn run() -> ExitCode {
     let given: Vec<_> = env::args_os().skip(1).collect();
-    if given.first().is_some_and(|word| word == COMMAND) {
+    if given.first().is_some_and(|word| word == MACHINE_COMMAND) {
         return run_machine(&given[1..]);
     }
     let args = match args().run_inner(bpaf::Args::current_args()) {
--- a/crates/mangowalkd/src/cli/settings.rs
+++ b/crates/mangowalkd/src/cli/settings.rs
@@ -144,30 +144,30 @@
     ///
     /// Returns the first argument that can't be used, and its remedy.
     pub fn check(args: &Args) -> Result<Settings, SettingsError> {
-        own_addresses(args)?;
-        reached("--platform-address", args.platform_address)?;
+        check_own_addresses(args)?;
+        check_reachable("--platform-address", args.platform_address)?;
         if let Some(address) = args.statsd_address {
-            reached("--statsd-address", address)?;
+            check_reachable("--statsd-address", address)?;
         }
-        name("--failure-domain", &args.failure_domain)?;
-        above_zero("--max-body-bytes", args.max_body_bytes as u64)?;
-        above_zero("--max-open-requests", args.max_open_requests as u64)?;
-        above_zero("--request-timeout-ms", args.request_timeout_ms)?;
-        above_zero("--first-token-timeout-ms", args.first_token_timeout_ms)?;
-        above_zero("--caller-timeout-ms", args.caller_timeout_ms)?;
-        above_zero("--token-timeout-ms", args.token_timeout_ms)?;
-        above_zero("--drain-timeout-ms", args.drain_timeout_ms)?;
-        let part = |flag, time_ms| within_request(flag, time_ms, args);
+        check_name("--failure-domain", &args.failure_domain)?;
+        check_above_zero("--max-body-bytes", args.max_body_bytes as u64)?;
+        check_above_zero("--max-open-requests", args.max_open_requests as u64)?;
+        check_above_zero("--request-timeout-ms", args.request_timeout_ms)?;
+        check_above_zero("--first-token-timeout-ms", args.first_token_timeout_ms)?;
+        check_above_zero("--caller-timeout-ms", args.caller_timeout_ms)?;
+        check_above_zero("--token-timeout-ms", args.token_timeout_ms)?;
+        check_above_zero("--drain-timeout-ms", args.drain_timeout_ms)?;
+        let part = |flag, time_ms| check_within_request(flag, time_ms, args);
         part("--first-token-timeout-ms", args.first_token_timeout_ms)?;
         part("--token-timeout-ms", args.token_timeout_ms)?;
-        above_zero("--compute-block-us", args.compute_block_us)?;
-        above_zero("--stale-config-ms", args.stale_config_ms)?;
+        check_above_zero("--compute-block-us", args.compute_block_us)?;
+        check_above_zero("--stale-config-ms", args.stale_config_ms)?;
         Ok(Settings {
             caller_address: args.caller_address,
             peer_address: args.peer_address,
             platform_address: args.platform_address,
             failure_domain: args.failure_domain.clone(),
-            seed_peers: seed_peers(&args.seed_peers)?,
+            seed_peers: parse_seed_peers(&args.seed_peers)?,
             max_body_bytes: args.max_body_bytes,
             max_open_requests: args.max_open_requests,
             request_timeout_ms: args.request_timeout_ms,
@@ -201,7 +201,7 @@
 }
 
 /// Checks the addresses that this instance listens on and tells others.
-fn own_addresses(args: &Args) -> Result<(), SettingsError> {
+fn check_own_addresses(args: &Args) -> Result<(), SettingsError> {
     let mut seen: Vec<(&'static str, SocketAddr)> = Vec::new();
     let all = [
         ("--caller-address", Some(args.caller_address)),
@@ -210,7 +210,7 @@
     ];
     for (flag, address) in all {
         let Some(address) = address else { continue };
-        reached(flag, address)?;
+        check_reachable(flag, address)?;
         if let Some((other, _)) = seen.iter().find(|(_, a)| *a == address) {
             return Err(SettingsError::SameAddress {
                 flag,
@@ -224,7 +224,7 @@
 }
 
 /// Checks an address that some process has to reach.
-fn reached(flag: &'static str, address: SocketAddr) -> Result<(), SettingsError> {
+fn check_reachable(flag: &'static str, address: SocketAddr) -> Result<(), SettingsError> {
     if address.ip().is_unspecified() {
         return Err(SettingsError::Unspecified { flag, address });
     }
@@ -234,7 +234,7 @@
     Ok(())
 }
 
-fn name(flag: &'static str, text: &str) -> Result<(), SettingsError> {
+fn check_name(flag: &'static str, text: &str) -> Result<(), SettingsError> {
     if text.is_empty() || text.chars().any(char::is_whitespace) {
         return Err(SettingsError::Name {
             flag,
@@ -244,21 +244,25 @@
     Ok(())
 }
 
-fn within_request(flag: &'static str, time_ms: u64, args: &Args) -> Result<(), SettingsError> {
+fn check_within_request(
+    flag: &'static str,
+    time_ms: u64,
+    args: &Args,
+) -> Result<(), SettingsError> {
     if time_ms > args.request_timeout_ms {
         return Err(SettingsError::LongerThanRequest { flag });
     }
     Ok(())
 }
 
-fn above_zero(flag: &'static str, number: u64) -> Result<(), SettingsError> {
+fn check_above_zero(flag: &'static str, number: u64) -> Result<(), SettingsError> {
     if number == 0 {
         return Err(SettingsError::Zero { flag });
     }
     Ok(())
 }
 
-fn seed_peers(text: &str) -> Result<Vec<SocketAddr>, SettingsError> {
+fn parse_seed_peers(text: &str) -> Result<Vec<SocketAddr>, SettingsError> {
     text.split(',')
         .map(str::trim)
         .filter(|part| !part.is_empty())
--- a/crates/mangowalkd/src/cli/usage.rs
+++ b/crates/mangowalkd/src/cli/usage.rs
@@ -18,7 +18,7 @@
 const VARIABLE_PREFIX: &str = "MANGOWALK_";
 
 /// How the parser says that it can't read a text.
-const PARSE: &str = "couldn't parse";
+const PARSE_FAILURE: &str = "couldn't parse";
 
 /// Prints help or a script, or why the arguments can't be used.
 pub fn print_usage<T>(
@@ -30,14 +30,14 @@
         failure.print_message(HELP_WIDTH);
         return ExitCode::SUCCESS;
     };
-    let told = usage_message(
+    let text = usage_message(
         &message.monochrome(false),
         &|given| match options.run_inner(given) {
             Err(ParseFailure::Stderr(message)) => Some(message.monochrome(false)),
             _ => None,
         },
     );
-    eprintln!("{program}: {told}");
+    eprintln!("{program}: {text}");
     ExitCode::from(EXIT_USAGE)
 }
 
@@ -47,7 +47,7 @@
 /// refuses them.
 fn usage_message(message: &str, parse: &dyn Fn(&[String]) -> Option<String>) -> String {
     let given: Vec<String> = env::args().skip(1).collect();
-    let Some((name, text)) = culprit(&given, message, parse) else {
+    let Some((name, text)) = find_invalid_argument(&given, message, parse) else {
         return message.trim().to_owned();
     };
     let why = message.rsplit(": ").next().unwrap_or_default().trim();
@@ -55,31 +55,31 @@
 }
 
 /// Returns the flag or variable that can't be parsed, and its text.
-fn culprit(
+fn find_invalid_argument(
     given: &[String],
     message: &str,
     parse: &dyn Fn(&[String]) -> Option<String>,
 ) -> Option<(String, String)> {
-    if !message.contains(PARSE) {
+    if !message.contains(PARSE_FAILURE) {
         return None;
     }
-    flag_of(given, message).or_else(|| variable_of(given, parse))
+    find_flag(given, message).or_else(|| find_variable(given, parse))
 }
 
-fn flag_of(given: &[String], message: &str) -> Option<(String, String)> {
+fn find_flag(given: &[String], message: &str) -> Option<(String, String)> {
     let pairs = given.iter().enumerate().map(|(i, arg)| {
         let next = given.get(i + 1).map_or("", String::as_str);
         arg.split_once('=').unwrap_or((arg, next))
     });
     pairs
         .filter(|(flag, _)| flag.starts_with("--"))
-        .find(|(_, text)| message.contains(&format!("{PARSE} `{text}`")))
+        .find(|(_, text)| message.contains(&format!("{PARSE_FAILURE} `{text}`")))
         .map(|(flag, text)| (flag.to_owned(), text.to_owned()))
 }
 
 /// Finds the variable by giving each one's text as a flag: the parser names
 /// the text of a flag.
-fn variable_of(
+fn find_variable(
     given: &[String],
     parse: &dyn Fn(&[String]) -> Option<String>,
 ) -> Option<(String, String)> {
@@ -91,7 +91,7 @@
         let mut given = given.to_vec();
         given.push(format!("--{flag}={text}"));
         let message = parse(&given).unwrap_or_default();
-        message.contains(&format!("{PARSE} `{text}`"))
+        message.contains(&format!("{PARSE_FAILURE} `{text}`"))
     })
 }
 
--- a/crates/mangowalkd/src/controller/cache_events.rs
+++ b/crates/mangowalkd/src/controller/cache_events.rs
@@ -9,7 +9,7 @@
 const PERIOD_MS: u64 = 200;
 
 /// Engines asked in one round.
-const ASKED_A_ROUND: usize = 8;
+const ENGINES_PER_ROUND: usize = 8;
 
 /// Reads engines' cache events, while the fleet is small enough that an
 /// instance can hold every block. Above that size nothing is read: 1.2
@@ -34,16 +34,18 @@
 
     const NAME: &'static str = "cache";
 
-    fn step(&mut self, edges: &E, board: &SharedState, _now_ms: u64) -> u64 {
-        let view = board.config.view();
+    fn step(&mut self, edges: &E, shared: &SharedState, _now_ms: u64) -> u64 {
+        let view = shared.config.view();
         let engines: Vec<_> = view.engines.values().collect();
-        for _ in 0..engines.len().min(ASKED_A_ROUND) {
+        for _ in 0..engines.len().min(ENGINES_PER_ROUND) {
             self.next = (self.next + 1) % engines.len();
             let engine = engines[self.next];
-            let from = board.dispatch.read(|p| p.next_event_sequence(&engine.name));
+            let from = shared
+                .dispatch
+                .read(|p| p.next_event_sequence(&engine.name));
             let Some(from) = from else { continue };
             if let Ok(events) = edges.engines().cache_events(engine.address, from) {
-                board.dispatch.cache_events(&engine.name, &events);
+                shared.dispatch.cache_events(&engine.name, &events);
             }
         }
         PERIOD_MS
--- a/crates/mangowalkd/src/controller/config_watch.rs
+++ b/crates/mangowalkd/src/controller/config_watch.rs
@@ -35,9 +35,9 @@
 }
 
 impl<E: Edges> ConfigWatch<E> {
-    fn list(&mut self, edges: &E, board: &SharedState) -> Result<(), PlatformError> {
-        let list = edges.platform().list(&as_strs(&held_kinds()))?;
-        let changed = board.config.update(|store| store.merge_list(&list));
+    fn list(&mut self, edges: &E, shared: &SharedState) -> Result<(), PlatformError> {
+        let list = edges.platform().list(&as_strs(&record_kinds()))?;
+        let changed = shared.config.update(|store| store.merge_list(&list));
         info!(
             "config: Listed revision {}, {changed} records changed.",
             list.revision
@@ -46,19 +46,19 @@
         Ok(())
     }
 
-    fn watch(&mut self, edges: &E, board: &SharedState) -> Result<(), PlatformError> {
-        let after = board.config.read(|store| store.revision());
-        let kinds = held_kinds();
+    fn watch(&mut self, edges: &E, shared: &SharedState) -> Result<(), PlatformError> {
+        let after = shared.config.read(|store| store.revision());
+        let kinds = record_kinds();
         // Each answer confirms the records, so that several must fit into the
         // time for which they may be used.
-        let wait_ms = WATCH_WAIT_MS.min(board.config.freshness().limit_ms / 4);
+        let wait_ms = WATCH_WAIT_MS.min(shared.config.freshness().limit_ms / 4);
         let reply = edges.platform().watch(&as_strs(&kinds), after, wait_ms)?;
         if reply.compacted {
             info!("config: The platform forgot revision {after}; listing again.");
             self.listed = false;
             return Ok(());
         }
-        let refused = board.config.update(|store| store.merge_watch(&reply));
+        let refused = shared.config.update(|store| store.merge_watch(&reply));
         if refused > 0 {
             warn!("config: {refused} records were refused; see their status.");
         }
@@ -71,15 +71,15 @@
 
     const NAME: &'static str = "config";
 
-    fn step(&mut self, edges: &E, board: &SharedState, _now_ms: u64) -> u64 {
+    fn step(&mut self, edges: &E, shared: &SharedState, _now_ms: u64) -> u64 {
         let result = if self.listed {
-            self.watch(edges, board)
+            self.watch(edges, shared)
         } else {
-            self.list(edges, board)
+            self.list(edges, shared)
         };
         match result {
             Ok(()) => {
-                board.config.confirm(edges.clock().now_ms());
+                shared.config.confirm(edges.clock().now_ms());
                 0
             }
             Err(error) => {
@@ -90,7 +90,7 @@
     }
 }
 
-fn held_kinds() -> Vec<String> {
+fn record_kinds() -> Vec<String> {
     Kind::HELD_BY_INSTANCES
         .iter()
         .map(Kind::to_string)
--- a/crates/mangowalkd/src/controller/lease_keeper.rs
+++ b/crates/mangowalkd/src/controller/lease_manager.rs
@@ -17,7 +17,7 @@
 const CANDIDATES: usize = 3;
 
 /// Pause between two reads of a lease that another instance holds.
-const LOOK_MS: u64 = 1_000;
+const POLL_INTERVAL_MS: u64 = 1_000;
 
 #[derive(Debug, Clone, Copy)]
 enum State {
@@ -26,26 +26,30 @@
 }
 
 /// Takes and renews one lease of the platform.
-pub(super) struct LeaseKeeper {
+pub(super) struct LeaseManager {
     name: String,
     nonce: u64,
     state: State,
-    look_ms: u64,
+    next_poll_ms: u64,
 }
 
-impl LeaseKeeper {
+impl LeaseManager {
     /// Returns a keeper of the lease with a name.
-    pub(super) fn new(name: &str, now_ms: u64) -> LeaseKeeper {
-        LeaseKeeper {
+    pub(super) fn new(name: &str, now_ms: u64) -> LeaseManager {
+        LeaseManager {
             name: name.to_owned(),
             nonce: rand::random(),
             state: State::Watching(Lease::watching(LeaseSettings::default(), now_ms)),
-            look_ms: 0,
+            next_poll_ms: 0,
         }
     }
 
     /// Takes or renews the lease where that is due, and returns it if held.
-    pub(super) fn keep<E: Edges>(&mut self, edges: &E, board: &SharedState) -> Option<Lease<Held>> {
+    pub(super) fn maintain<E: Edges>(
+        &mut self,
+        edges: &E,
+        shared: &SharedState,
+    ) -> Option<Lease<Held>> {
         let now_ms = edges.clock().now_ms();
         match self.state {
             State::Held(held) if !held.is_valid(now_ms) => {
@@ -53,12 +57,12 @@
                 self.state = State::Watching(held.lost(now_ms));
             }
             State::Held(held) if held.needs_renewal(now_ms) => {
-                self.renew(edges, board, held, now_ms);
+                self.renew(edges, shared, held, now_ms);
             }
             State::Held(_) => {}
-            State::Watching(watching) if now_ms >= self.look_ms => {
-                self.look_ms = now_ms + LOOK_MS;
-                self.look(edges, board, watching);
+            State::Watching(watching) if now_ms >= self.next_poll_ms => {
+                self.next_poll_ms = now_ms + POLL_INTERVAL_MS;
+                self.try_acquire(edges, shared, watching);
             }
             State::Watching(_) => {}
         }
@@ -90,17 +94,22 @@
     fn renew<E: Edges>(
         &mut self,
         edges: &E,
-        board: &SharedState,
+        shared: &SharedState,
         held: Lease<Held>,
-        asked_ms: u64,
+        requested_ms: u64,
     ) {
         // Without a reply nothing is known, and the lease runs on to its end.
-        if let Some(version) = self.write(edges, board, Expect::Version(held.fencing())) {
-            self.state = State::Held(held.renewed(version, asked_ms));
+        if let Some(version) = self.write(edges, shared, Expect::Version(held.fencing())) {
+            self.state = State::Held(held.renewed(version, requested_ms));
         }
     }
 
-    fn look<E: Edges>(&mut self, edges: &E, board: &SharedState, mut watching: Lease<Watching>) {
+    fn try_acquire<E: Edges>(
+        &mut self,
+        edges: &E,
+        shared: &SharedState,
+        mut watching: Lease<Watching>,
+    ) {
         let Ok(object) = edges.platform().get(&self.key()) else {
             return;
         };
@@ -114,7 +123,7 @@
             0 => Expect::Absent,
             version => Expect::Version(version),
         };
-        if let Some(version) = self.write(edges, board, expect) {
+        if let Some(version) = self.write(edges, shared, expect) {
             info!("lease: Holding {} with number {version}.", self.name);
             self.state = State::Held(watching.acquired(version, now_ms));
         }
@@ -122,11 +131,11 @@
 
     /// Writes the lease and returns its version. A lost reply is read back: a
     /// write of this keeper is known by its nonce.
-    fn write<E: Edges>(&mut self, edges: &E, board: &SharedState, expect: Expect) -> Option<u64> {
+    fn write<E: Edges>(&mut self, edges: &E, shared: &SharedState, expect: Expect) -> Option<u64> {
         self.nonce = rand::random();
         let body = json!({
             "schema": 1,
-            "holder": board.identity.caller_address,
+            "holder": shared.identity.caller_address,
             "nonce": self.nonce,
         });
         match edges.platform().put(&self.key(), expect, &body) {
@@ -144,10 +153,10 @@
 
 /// Returns whether this instance is among those that try to get a lease. All
 /// instances that see the same others come to the same answer without a word.
-pub(super) fn is_candidate(board: &SharedState, lease: &str) -> bool {
+pub(super) fn is_candidate(shared: &SharedState, lease: &str) -> bool {
     let weight = |address: SocketAddr| digest_of(&format!("{lease}/{address}"));
-    let own = weight(board.identity.caller_address);
+    let own = weight(shared.identity.caller_address);
     let lower = |v: &InstanceView| weight(v.caller_address) < own;
-    let before = board.peers.live().into_iter().filter(lower).count();
-    !board.lifecycle.is_starting() && !board.lifecycle.is_departing() && before < CANDIDATES
+    let before = shared.peers.live().into_iter().filter(lower).count();
+    !shared.lifecycle.is_starting() && !shared.lifecycle.is_departing() && before < CANDIDATES
 }
--- a/crates/mangowalkd/src/controller/mod.rs
+++ b/crates/mangowalkd/src/controller/mod.rs
@@ -2,12 +2,12 @@
 //! writes its part of the board.
 
 mod cache_events;
-mod claim_keeper;
+mod claim_writer;
 mod config_watch;
 mod crashes;
 mod engine_poll;
 mod gossip;
-mod lease_keeper;
+mod lease_manager;
 mod model_rollout;
 mod probe;
 mod record_status;
@@ -18,13 +18,13 @@
 
 pub use {
     cache_events::CacheEventReader,
-    claim_keeper::{ClaimKeeper, flush_claims},
+    claim_writer::{ClaimWriter, flush_claims},
     config_watch::ConfigWatch,
-    crashes::tell_crashes,
+    crashes::report_crashes,
     engine_poll::EnginePoll,
     gossip::{Gossip, answer},
     record_status::StatusWriter,
-    rollout::RolloutKeeper,
+    rollout::RolloutController,
     run::{Controller, spawn},
     slots::{SlotHolder, release_slots},
 };
--- a/crates/mangowalkd/src/controller/model_rollout.rs
+++ b/crates/mangowalkd/src/controller/model_rollout.rs
@@ -1,5 +1,5 @@
 use {
-    super::{lease_keeper::LeaseKeeper, probe::probe},
+    super::{lease_manager::LeaseManager, probe::probe},
     crate::shared_state::SharedState,
     log::{info, warn},
     mangowalk_core::{
@@ -17,18 +17,18 @@
 };
 
 /// What the holder of a lease works on.
-struct Work {
+struct RolloutState {
     rollout: Rollout,
     saved: Plan,
     plan_version: u64,
-    marks: BTreeSet<String>,
+    drained: BTreeSet<String>,
 }
 
 /// One model's rollout: the lease, and the work while it is held.
 pub(super) struct ModelRollout<E> {
     model: String,
-    lease: LeaseKeeper,
-    work: Option<Work>,
+    lease: LeaseManager,
+    work: Option<RolloutState>,
     edges: PhantomData<fn() -> E>,
 }
 
@@ -41,7 +41,7 @@
     pub(super) fn new(model: &str, now_ms: u64) -> ModelRollout<E> {
         ModelRollout {
             model: model.to_owned(),
-            lease: LeaseKeeper::new(&lease_name(model), now_ms),
+            lease: LeaseManager::new(&lease_name(model), now_ms),
             work: None,
             edges: PhantomData,
         }
@@ -65,32 +65,37 @@
     /// Takes the next steps, if the lease is held. A failed call ends the
     /// step; the work is then read again, because what took effect is not
     /// known.
-    pub(super) fn step(&mut self, edges: &E, board: &SharedState, view: &View) {
-        if self.lease.keep(edges, board).is_none() {
+    pub(super) fn step(&mut self, edges: &E, shared: &SharedState, view: &View) {
+        if self.lease.maintain(edges, shared).is_none() {
             self.work = None;
             return;
         }
-        if let Err(error) = self.act(edges, board, view) {
+        if let Err(error) = self.run_step(edges, shared, view) {
             warn!("rollout: {} waits. {error}", self.model);
             self.work = None;
         }
     }
 
-    fn act(&mut self, edges: &E, board: &SharedState, view: &View) -> Result<(), PlatformError> {
+    fn run_step(
+        &mut self,
+        edges: &E,
+        shared: &SharedState,
+        view: &View,
+    ) -> Result<(), PlatformError> {
         let Some(record) = view.models.get(&self.model) else {
             return Ok(());
         };
         let mut work = match self.work.take() {
             Some(work) => work,
-            None => self.take_up(edges)?,
+            None => self.load_state(edges)?,
         };
-        let states = self.read_states(edges, board, view, &work.marks);
+        let states = self.read_states(edges, shared, view, &work.drained);
         let engines = self.engines(view);
-        let facts = facts(&self.model, &engines, &states, &work.marks);
+        let snapshots = engine_snapshots(&self.model, &engines, &states, &work.drained);
         let loads = record.concurrent_loads as usize;
-        work.rollout.set_target(&record.version, loads, &facts);
+        work.rollout.set_target(&record.version, loads, &snapshots);
         let now_ms = edges.clock().now_ms();
-        let actions = work.rollout.decide(&facts, now_ms);
+        let actions = work.rollout.decide(&snapshots, now_ms);
         self.save(edges, &mut work)?;
         for action in &actions {
             self.perform(edges, view, &mut work, &states, action)?;
@@ -101,23 +106,23 @@
     }
 
     /// Reads what the holder before left: its plan and its marks.
-    fn take_up(&self, edges: &E) -> Result<Work, PlatformError> {
+    fn load_state(&self, edges: &E) -> Result<RolloutState, PlatformError> {
         let object = edges.platform().get(&self.plan_key())?;
         let plan_version = object.as_ref().map_or(0, |o| o.version);
         let saved: Plan = object
             .and_then(|o| serde_json::from_value(o.body).ok())
             .unwrap_or_default();
-        let marks = edges.platform().list(&[own_kind::DRAIN])?;
-        let own = marks
+        let drain_marks = edges.platform().list(&[own_kind::DRAIN])?;
+        let own = drain_marks
             .objects
             .into_iter()
             .filter(|o| o.body["model"] == self.model.as_str());
         let now_ms = edges.clock().now_ms();
-        Ok(Work {
+        Ok(RolloutState {
             rollout: Rollout::resume(RolloutSettings::default(), saved.clone(), now_ms),
             saved,
             plan_version,
-            marks: own.map(|o| o.key.name).collect(),
+            drained: own.map(|o| o.key.name).collect(),
         })
     }
 
@@ -125,7 +130,7 @@
         ObjectKey::new(own_kind::ROLLOUT, &self.model)
     }
 
-    fn save(&self, edges: &E, work: &mut Work) -> Result<(), PlatformError> {
+    fn save(&self, edges: &E, work: &mut RolloutState) -> Result<(), PlatformError> {
         let plan = work.rollout.plan();
         if *plan == work.saved {
             return Ok(());
@@ -157,17 +162,17 @@
     fn read_states(
         &self,
         edges: &E,
-        board: &SharedState,
+        shared: &SharedState,
         view: &View,
-        marks: &BTreeSet<String>,
+        drained: &BTreeSet<String>,
     ) -> BTreeMap<String, Option<EngineState>> {
-        let mut states: BTreeMap<String, Option<EngineState>> = board
+        let mut states: BTreeMap<String, Option<EngineState>> = shared
             .engines
             .snapshot()
             .into_iter()
-            .map(|(name, sight)| (name, sight.state))
+            .map(|(name, known)| (name, known.state))
             .collect();
-        for name in marks {
+        for name in drained {
             if let Some(engine) = view.engines.get(name) {
                 states.insert(name.clone(), edges.engines().state(engine.address).ok());
             }
@@ -179,13 +184,13 @@
         &self,
         edges: &E,
         view: &View,
-        work: &mut Work,
+        work: &mut RolloutState,
         states: &BTreeMap<String, Option<EngineState>>,
         action: &Action<'_>,
     ) -> Result<(), PlatformError> {
         match action {
-            Action::Drain { engine } => self.mark(edges, work, engine),
-            Action::Undrain { engine } => self.unmark(edges, work, engine),
+            Action::Drain { engine } => self.drain(edges, work, engine),
+            Action::Undrain { engine } => self.undrain(edges, work, engine),
             Action::Order { engine, version } => {
                 self.order(edges, &view.engines[*engine], work, version);
                 Ok(())
@@ -203,27 +208,32 @@
         }
     }
 
-    fn mark(&self, edges: &E, work: &mut Work, engine: &str) -> Result<(), PlatformError> {
+    fn drain(&self, edges: &E, work: &mut RolloutState, engine: &str) -> Result<(), PlatformError> {
         info!("rollout: Draining {engine}.");
         let key = ObjectKey::new(own_kind::DRAIN, engine);
         let body = json!({ "schema": 1, "model": self.model });
         edges.platform().put(&key, Expect::Any, &body)?;
-        work.marks.insert(engine.to_owned());
+        work.drained.insert(engine.to_owned());
         Ok(())
     }
 
-    fn unmark(&self, edges: &E, work: &mut Work, engine: &str) -> Result<(), PlatformError> {
+    fn undrain(
+        &self,
+        edges: &E,
+        work: &mut RolloutState,
+        engine: &str,
+    ) -> Result<(), PlatformError> {
         info!("rollout: Putting {engine} back.");
         let key = ObjectKey::new(own_kind::DRAIN, engine);
         edges.platform().delete(&key, Expect::Any)?;
-        work.marks.remove(engine);
+        work.drained.remove(engine);
         Ok(())
     }
 
     /// Gives an order. The lease is checked against the clock right before:
     /// the calls since the last look may have taken longer than it lasts, or
     /// the process may have been paused.
-    fn order(&self, edges: &E, engine: &EngineRecord, work: &mut Work, version: &str) {
+    fn order(&self, edges: &E, engine: &EngineRecord, work: &mut RolloutState, version: &str) {
         let Some(lease) = self.lease.held(edges.clock().now_ms()) else {
             return;
         };
@@ -248,13 +258,13 @@
     }
 }
 
-fn facts<'a>(
+fn engine_snapshots<'a>(
     model: &str,
     engines: &[&'a EngineRecord],
     states: &'a BTreeMap<String, Option<EngineState>>,
-    marks: &BTreeSet<String>,
+    drained: &BTreeSet<String>,
 ) -> Vec<EngineSnapshot<'a>> {
-    let of = |engine: &&'a EngineRecord| {
+    let snapshot = |engine: &&'a EngineRecord| {
         let state = states.get(&engine.name).and_then(Option::as_ref);
         let version = |s: &'a EngineState| if s.model == model { &s.version } else { "" };
         EngineSnapshot {
@@ -264,9 +274,9 @@
             loading: state.is_some_and(|s| s.loading),
             open_requests: state.map_or(0, |s| s.load.running + s.load.waiting),
             checks_fencing: engine.checks_fencing,
-            drained: marks.contains(&engine.name),
+            drained: drained.contains(&engine.name),
             departing: engine.departing,
         }
     };
-    engines.iter().map(of).collect()
+    engines.iter().map(snapshot).collect()
 }
--- a/crates/mangowalkd/src/controller/probe.rs
+++ b/crates/mangowalkd/src/controller/probe.rs
@@ -6,10 +6,10 @@
 
 /// Longest silence of an engine within a probe. It is shorter than a lease,
 /// so that a mute engine doesn't cost the lease.
-const SILENCE_MS: u64 = 1_500;
+const EVENT_TIMEOUT_MS: u64 = 1_500;
 
 /// Events that are read before a probe counts as failed.
-const MOST_EVENTS: usize = 8;
+const MAX_EVENTS: usize = 8;
 
 /// What a probe asks. It belongs to no team, so that it shares no cache.
 const PROMPT: &str = "Answer with one word.";
@@ -40,8 +40,8 @@
     let mut events = edges.engines().generate(engine.address, &request);
     let mut tokens = 0;
     // A token, the final event, and what else an engine may interleave.
-    for _ in 0..MOST_EVENTS {
-        let Ok(Some(event)) = events.wait(SILENCE_MS) else {
+    for _ in 0..MAX_EVENTS {
+        let Ok(Some(event)) = events.wait(EVENT_TIMEOUT_MS) else {
             return false;
         };
         match event.payload {
--- a/crates/mangowalkd/src/controller/record_status.rs
+++ b/crates/mangowalkd/src/controller/record_status.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         Controller,
-        lease_keeper::{LeaseKeeper, is_candidate},
+        lease_manager::{LeaseManager, is_candidate},
     },
     crate::shared_state::SharedState,
     log::warn,
@@ -21,7 +21,7 @@
 
 /// Writes in one step. A new fleet writes the status of all its records; the
 /// platform takes several hundred writes a second from everyone together.
-const MOST_WRITES: usize = 20;
+const MAX_WRITES_PER_STEP: usize = 20;
 
 /// Name of the lease under which status is written.
 const LEASE: &str = "status";
@@ -29,7 +29,7 @@
 /// Writes to the platform what became of each record, by one instance at a
 /// time, and only where it changed.
 pub struct StatusWriter<E> {
-    lease: LeaseKeeper,
+    lease: LeaseManager,
     written: Option<BTreeMap<String, RecordStatus>>,
     edges: PhantomData<fn() -> E>,
 }
@@ -37,7 +37,7 @@
 impl<E> Default for StatusWriter<E> {
     fn default() -> StatusWriter<E> {
         StatusWriter {
-            lease: LeaseKeeper::new(LEASE, 0),
+            lease: LeaseManager::new(LEASE, 0),
             written: None,
             edges: PhantomData,
         }
@@ -58,14 +58,14 @@
         Some(())
     }
 
-    fn write_changes(&mut self, edges: &E, board: &SharedState) -> Option<()> {
+    fn write_changes(&mut self, edges: &E, shared: &SharedState) -> Option<()> {
         self.read_written(edges)?;
-        let wanted = board.config.read(RecordStatus::of_all);
+        let wanted = shared.config.read(RecordStatus::of_all);
         let written = self.written.get_or_insert_default();
         let changed: Vec<(String, RecordStatus)> = wanted
             .iter()
             .filter(|(name, status)| status.replaces(written.get(*name)))
-            .take(MOST_WRITES)
+            .take(MAX_WRITES_PER_STEP)
             .map(|(name, status)| (name.clone(), status.clone()))
             .collect();
         for (name, status) in changed {
@@ -76,7 +76,7 @@
         let gone: Vec<String> = written
             .keys()
             .filter(|name| !wanted.contains_key(*name))
-            .take(MOST_WRITES)
+            .take(MAX_WRITES_PER_STEP)
             .cloned()
             .collect();
         for name in gone {
@@ -92,24 +92,24 @@
 
     const NAME: &'static str = "status";
 
-    fn step(&mut self, edges: &E, board: &SharedState, _now_ms: u64) -> u64 {
-        if !is_candidate(board, LEASE) {
+    fn step(&mut self, edges: &E, shared: &SharedState, _now_ms: u64) -> u64 {
+        if !is_candidate(shared, LEASE) {
             self.lease.release(edges);
             self.written = None;
             return IDLE_MS;
         }
-        if self.lease.keep(edges, board).is_none() {
+        if self.lease.maintain(edges, shared).is_none() {
             self.written = None;
             return IDLE_MS;
         }
-        if self.write_changes(edges, board).is_none() {
+        if self.write_changes(edges, shared).is_none() {
             warn!("status: The platform took no status; trying again.");
             self.written = None;
         }
         PERIOD_MS
     }
 
-    fn leave(&mut self, edges: &E, _board: &SharedState) {
+    fn shut_down(&mut self, edges: &E, _board: &SharedState) {
         self.lease.release(edges);
     }
 }
--- a/crates/mangowalkd/src/controller/registry.rs
+++ b/crates/mangowalkd/src/controller/registry.rs
@@ -12,25 +12,25 @@
 
 /// Pause between two reads of the platform's list of instances. Peers bring
 /// news within seconds; the list only finds who is known to no peer.
-const LIST_MS: u64 = 60_000;
+const LIST_INTERVAL_MS: u64 = 60_000;
 
 /// Pause before the list is read again while no other instance is known.
-const LIST_ALONE_MS: u64 = 2_000;
+const ISOLATED_LIST_INTERVAL_MS: u64 = 2_000;
 
 /// Pause after a failed call.
 const RETRY_MS: u64 = 1_000;
 
 /// Time for which nobody heard of an instance before its object goes.
-const REMOVE_MS: u64 = 120_000;
+const REMOVE_AFTER_MS: u64 = 120_000;
 
 /// This instance's object in the platform's list, and the list.
 pub(super) struct Registry<E> {
     registered: bool,
     next_put_ms: u64,
     next_list_ms: u64,
-    looked: bool,
+    has_list: bool,
     peers: Vec<SocketAddr>,
-    unheard: HashMap<String, u64>,
+    not_live_since_ms: HashMap<String, u64>,
     edges: PhantomData<fn() -> E>,
 }
 
@@ -40,9 +40,9 @@
             registered: false,
             next_put_ms: 0,
             next_list_ms: 0,
-            looked: false,
+            has_list: false,
             peers: Vec::new(),
-            unheard: HashMap::new(),
+            not_live_since_ms: HashMap::new(),
             edges: PhantomData,
         }
     }
@@ -55,12 +55,12 @@
     /// finds the other. Were the list read first, neither would, and both
     /// would serve for seconds as if alone: slots are claimed for one, tokens
     /// are asked of no one, and crashes told to no one.
-    pub(super) fn step(&mut self, edges: &E, board: &SharedState, now_ms: u64) {
+    pub(super) fn step(&mut self, edges: &E, shared: &SharedState, now_ms: u64) {
         if !self.registered && now_ms >= self.next_put_ms {
-            self.register(edges, board, now_ms);
+            self.register(edges, shared, now_ms);
         }
         if now_ms >= self.next_list_ms {
-            self.read_list(edges, board, now_ms);
+            self.read_list(edges, shared, now_ms);
         }
     }
 
@@ -70,76 +70,76 @@
     }
 
     /// Returns whether the list was read.
-    pub(super) fn has_looked(&self) -> bool {
-        self.looked
+    pub(super) fn has_list(&self) -> bool {
+        self.has_list
     }
 
     /// Removes this instance from the list.
-    pub(super) fn leave(&mut self, edges: &E, board: &SharedState) {
+    pub(super) fn unregister(&mut self, edges: &E, shared: &SharedState) {
         self.registered = true;
-        if let Err(error) = edges.platform().delete(&own_key(board), Expect::Any) {
+        if let Err(error) = edges.platform().delete(&own_key(shared), Expect::Any) {
             warn!("peers: This instance stays in the list for now. {error}");
         }
     }
 
-    fn register(&mut self, edges: &E, board: &SharedState, now_ms: u64) {
+    fn register(&mut self, edges: &E, shared: &SharedState, now_ms: u64) {
         let body = json!({
             "schema": 1,
-            "peer_address": board.identity.peer_address,
-            "failure_domain": board.identity.failure_domain,
-            "operator_address": board.operator_address,
+            "peer_address": shared.identity.peer_address,
+            "failure_domain": shared.identity.failure_domain,
+            "operator_address": shared.operator_address,
         });
         // A lost reply is harmless: the same write is sent again.
         self.registered = edges
             .platform()
-            .put(&own_key(board), Expect::Any, &body)
+            .put(&own_key(shared), Expect::Any, &body)
             .is_ok();
-        self.next_put_ms = now_ms + spread_ms(RETRY_MS);
+        self.next_put_ms = now_ms + jittered_ms(RETRY_MS);
     }
 
-    fn read_list(&mut self, edges: &E, board: &SharedState, now_ms: u64) {
-        self.next_list_ms = now_ms + spread_ms(RETRY_MS);
+    fn read_list(&mut self, edges: &E, shared: &SharedState, now_ms: u64) {
+        self.next_list_ms = now_ms + jittered_ms(RETRY_MS);
         let Ok(list) = edges.platform().list(&[own_kind::INSTANCE]) else {
             return;
         };
-        self.looked = true;
-        self.peers = peers_of(board, &list);
-        let period_ms = if board.peers.reachable().is_empty() {
-            LIST_ALONE_MS
+        self.has_list = true;
+        self.peers = peer_addresses(shared, &list);
+        let period_ms = if shared.peers.reachable().is_empty() {
+            ISOLATED_LIST_INTERVAL_MS
         } else {
-            LIST_MS
+            LIST_INTERVAL_MS
         };
-        self.next_list_ms = now_ms + spread_ms(period_ms);
-        let own = own_key(board);
+        self.next_list_ms = now_ms + jittered_ms(period_ms);
+        let own = own_key(shared);
         self.registered &= list.objects.iter().any(|o| o.key == own);
-        self.remove_dead(edges, board, &list, now_ms);
+        self.remove_dead(edges, shared, &list, now_ms);
     }
 
     /// Removes the objects of instances that nobody heard of for long. One
     /// instance does it, the first among those that live, and only at the
     /// version it read: an instance that registers anew stays.
-    fn remove_dead(&mut self, edges: &E, board: &SharedState, list: &ListReply, now_ms: u64) {
-        let live = board.peers.live();
-        let own = board.identity.caller_address;
+    fn remove_dead(&mut self, edges: &E, shared: &SharedState, list: &ListReply, now_ms: u64) {
+        let live = shared.peers.live();
+        let own = shared.identity.caller_address;
         let is_first = live.iter().all(|v| own < v.caller_address);
-        let unheard: Vec<&Object> = list
+        let not_live: Vec<&Object> = list
             .objects
             .iter()
-            .filter(|o| o.key != own_key(board))
+            .filter(|o| o.key != own_key(shared))
             .filter(|o| {
                 !live
                     .iter()
                     .any(|v| v.caller_address.to_string() == o.key.name)
             })
             .collect();
-        self.unheard
-            .retain(|name, _| unheard.iter().any(|o| &o.key.name == name));
-        for object in unheard {
+        self.not_live_since_ms
+            .retain(|name, _| not_live.iter().any(|o| &o.key.name == name));
+        for object in not_live {
             let since_ms = *self
-                .unheard
+                .not_live_since_ms
                 .entry(object.key.name.clone())
                 .or_insert(now_ms);
-            if is_first && now_ms.saturating_sub(since_ms) >= REMOVE_MS {
+            if is_first && now_ms.saturating_sub(since_ms) >= REMOVE_AFTER_MS {
                 info!("peers: Removing {} from the list.", object.key.name);
                 let _ = edges
                     .platform()
@@ -149,23 +149,23 @@
     }
 }
 
-fn own_key(board: &SharedState) -> ObjectKey {
+fn own_key(shared: &SharedState) -> ObjectKey {
     ObjectKey::new(
         own_kind::INSTANCE,
-        &board.identity.caller_address.to_string(),
+        &shared.identity.caller_address.to_string(),
     )
 }
 
-fn peers_of(board: &SharedState, list: &ListReply) -> Vec<SocketAddr> {
+fn peer_addresses(shared: &SharedState, list: &ListReply) -> Vec<SocketAddr> {
     list.objects
         .iter()
         .filter_map(|o| o.body["peer_address"].as_str()?.parse().ok())
-        .filter(|address| *address != board.identity.peer_address)
+        .filter(|address| *address != shared.identity.peer_address)
         .collect()
 }
 
 /// Returns a time between half of the given one and one and a half of it, so
 /// that instances that restart together don't call the platform together.
-fn spread_ms(time_ms: u64) -> u64 {
+fn jittered_ms(time_ms: u64) -> u64 {
     rand::rng().random_range(time_ms / 2..time_ms * 3 / 2)
 }
--- a/crates/mangowalkd/src/controller/rollout.rs
+++ b/crates/mangowalkd/src/controller/rollout.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         Controller,
-        lease_keeper::is_candidate,
+        lease_manager::is_candidate,
         model_rollout::{ModelRollout, lease_name},
     },
     crate::shared_state::SharedState,
@@ -17,25 +17,25 @@
 
 /// Carries changes of weights versions out, each model under a lease of its
 /// own.
-pub struct RolloutKeeper<E: Edges> {
+pub struct RolloutController<E: Edges> {
     models: BTreeMap<String, ModelRollout<E>>,
 }
 
-impl<E: Edges> Default for RolloutKeeper<E> {
-    fn default() -> RolloutKeeper<E> {
-        RolloutKeeper {
+impl<E: Edges> Default for RolloutController<E> {
+    fn default() -> RolloutController<E> {
+        RolloutController {
             models: BTreeMap::new(),
         }
     }
 }
 
-impl<E: Edges> Controller for RolloutKeeper<E> {
+impl<E: Edges> Controller for RolloutController<E> {
     type Edges = E;
 
     const NAME: &'static str = "rollout";
 
-    fn step(&mut self, edges: &E, board: &SharedState, _now_ms: u64) -> u64 {
-        let view = board.config.view();
+    fn step(&mut self, edges: &E, shared: &SharedState, _now_ms: u64) -> u64 {
+        let view = shared.config.view();
         self.models
             .retain(|model, _| view.models.contains_key(model));
         for (model, record) in &view.models {
@@ -43,9 +43,9 @@
             // that was not written would leave the next rollout to go back to
             // the version before the last.
             let unsettled = |r: &ModelRollout<E>| !r.is_settled(&record.version);
-            let wanted = (has_work(board, &view, model)
+            let wanted = (has_work(shared, &view, model)
                 || self.models.get(model).is_some_and(unsettled))
-                && is_candidate(board, &lease_name(model));
+                && is_candidate(shared, &lease_name(model));
             if wanted && !self.models.contains_key(model) {
                 let rollout = ModelRollout::new(model, edges.clock().now_ms());
                 self.models.insert(model.clone(), rollout);
@@ -54,7 +54,7 @@
                 continue;
             };
             if wanted {
-                rollout.step(edges, board, &view);
+                rollout.step(edges, shared, &view);
             } else {
                 rollout.release(edges);
                 self.models.remove(model);
@@ -63,20 +63,20 @@
         PERIOD_MS
     }
 
-    fn leave(&mut self, edges: &E, _board: &SharedState) {
+    fn shut_down(&mut self, edges: &E, _board: &SharedState) {
         self.models.values_mut().for_each(|r| r.release(edges));
     }
 }
 
 /// Returns whether an engine of the model serves another version than the
 /// record asks for, or is marked. An idle model costs the platform nothing.
-fn has_work(board: &SharedState, view: &View, model: &str) -> bool {
-    let sights = board.engines.snapshot();
+fn has_work(shared: &SharedState, view: &View, model: &str) -> bool {
+    let known = shared.engines.snapshot();
     let Some(record) = view.models.get(model) else {
         return false;
     };
     view.engines.values().filter(|e| e.model == model).any(|e| {
-        let state = sights.get(&e.name).and_then(|s| s.state.as_ref());
+        let state = known.get(&e.name).and_then(|s| s.state.as_ref());
         let other = state.is_some_and(|s| s.version != record.version || s.model != model);
         view.draining.contains(&e.name) || (other && !e.departing)
     })
--- a/crates/mangowalkd/src/controller/run.rs
+++ b/crates/mangowalkd/src/controller/run.rs
@@ -10,7 +10,7 @@
 };
 
 /// Longest sleep before a controller looks whether it shall end.
-const NAP: Duration = Duration::from_millis(100);
+const STOP_POLL: Duration = Duration::from_millis(100);
 
 /// A part of the instance that acts again and again.
 pub trait Controller: Send + 'static {
@@ -21,11 +21,11 @@
     const NAME: &'static str;
 
     /// Acts once, and returns after how many milliseconds to act again.
-    fn step(&mut self, edges: &Self::Edges, board: &SharedState, now_ms: u64) -> u64;
+    fn step(&mut self, edges: &Self::Edges, shared: &SharedState, now_ms: u64) -> u64;
 
     /// Acts a last time when the instance has served its last request: gives
     /// back what it holds.
-    fn leave(&mut self, _edges: &Self::Edges, _board: &SharedState) {}
+    fn shut_down(&mut self, _edges: &Self::Edges, _board: &SharedState) {}
 }
 
 /// Runs a controller on a thread of its own until the instance stops.
@@ -36,24 +36,24 @@
 pub fn spawn<C: Controller>(
     mut controller: C,
     edges: Arc<C::Edges>,
-    board: Arc<SharedState>,
+    shared: Arc<SharedState>,
 ) -> io::Result<JoinHandle<()>> {
     thread::Builder::new()
         .name(C::NAME.to_owned())
         .spawn(move || {
-            while !board.lifecycle.is_stopped() {
+            while !shared.lifecycle.is_stopped() {
                 let now_ms = edges.clock().now_ms();
-                let pause_ms = controller.step(&edges, &board, now_ms);
-                sleep(&board, Duration::from_millis(pause_ms));
+                let pause_ms = controller.step(&edges, &shared, now_ms);
+                sleep(&shared, Duration::from_millis(pause_ms));
             }
-            controller.leave(&edges, &board);
+            controller.shut_down(&edges, &shared);
         })
 }
 
-fn sleep(board: &SharedState, mut left: Duration) {
-    while !left.is_zero() && !board.lifecycle.is_stopped() {
-        let nap = left.min(NAP);
-        thread::sleep(nap);
-        left -= nap;
+fn sleep(shared: &SharedState, mut left: Duration) {
+    while !left.is_zero() && !shared.lifecycle.is_stopped() {
+        let pause = left.min(STOP_POLL);
+        thread::sleep(pause);
+        left -= pause;
     }
 }
--- a/crates/mangowalkd/src/controller/slots.rs
+++ b/crates/mangowalkd/src/controller/slots.rs
@@ -18,21 +18,21 @@
 
 /// Writes in one batch. In between, other instances that start at the same
 /// time come to their share.
-const BATCH: usize = 32;
+const BATCH_WRITES: usize = 32;
 
 /// Shortest and longest time between two lists. An instance that lacks slots
 /// starts with the shortest and doubles it each time.
-const LEAST_LIST_MS: u64 = 1_000;
-const MOST_LIST_MS: u64 = 30_000;
+const MIN_LIST_INTERVAL_MS: u64 = 1_000;
+const MAX_LIST_INTERVAL_MS: u64 = 30_000;
 
 /// Instances for which the longest time holds. A list takes about 77 KB, every
 /// 30 s more than half of what an instance may spend on all its control. In a
 /// larger fleet one instance holds less, so that its slots may stay longer
 /// with no one.
-const LIST_INSTANCES: u32 = 32;
+const INSTANCES_PER_LIST_INTERVAL: u32 = 32;
 
 /// Most by which a larger fleet lengthens that time.
-const MOST_LIST_FACTOR: u32 = 10;
+const MAX_LIST_INTERVAL_FACTOR: u32 = 10;
 
 /// Pause after a failed call.
 const RETRY_MS: u64 = 2_000;
@@ -40,7 +40,7 @@
 /// Holds this instance's share of the slots.
 pub struct SlotHolder<E> {
     next_list_ms: u64,
-    list_pause_ms: u64,
+    list_interval_ms: u64,
     live: u32,
     edges: PhantomData<fn() -> E>,
 }
@@ -49,7 +49,7 @@
     fn default() -> SlotHolder<E> {
         SlotHolder {
             next_list_ms: 0,
-            list_pause_ms: LEAST_LIST_MS,
+            list_interval_ms: MIN_LIST_INTERVAL_MS,
             live: 1,
             edges: PhantomData,
         }
@@ -57,26 +57,26 @@
 }
 
 impl<E: Edges> SlotHolder<E> {
-    fn list(&mut self, edges: &E, board: &SharedState, now_ms: u64) -> Result<(), PlatformError> {
+    fn list(&mut self, edges: &E, shared: &SharedState, now_ms: u64) -> Result<(), PlatformError> {
         if now_ms < self.next_list_ms {
             return Ok(());
         }
         let reply = edges.platform().list(&[own_kind::SLOT])?;
         let list = SlotList {
             revision: reply.revision,
-            slots: reply.objects.iter().filter_map(listed).collect(),
+            slots: reply.objects.iter().filter_map(parse_slot).collect(),
         };
         let seen_ms = edges.clock().now_ms();
-        board.limits.apply_list(&list, seen_ms);
-        self.next_list_ms = seen_ms + jittered(self.list_pause_ms);
-        self.list_pause_ms = (self.list_pause_ms * 2).min(most_list_ms(self.live));
+        shared.limits.apply_list(&list, seen_ms);
+        self.next_list_ms = seen_ms + jittered(self.list_interval_ms);
+        self.list_interval_ms = (self.list_interval_ms * 2).min(max_list_interval_ms(self.live));
         Ok(())
     }
 
     /// Lists soon again after the number of instances changed: others give
     /// slots back or lack some.
-    fn count_live(&mut self, board: &SharedState, now_ms: u64) {
-        let live = live_instances(board);
+    fn update_live_count(&mut self, shared: &SharedState, now_ms: u64) {
+        let live = live_instances(shared);
         if live != self.live {
             self.live = live;
             self.list_soon(now_ms);
@@ -84,8 +84,10 @@
     }
 
     fn list_soon(&mut self, now_ms: u64) {
-        self.list_pause_ms = LEAST_LIST_MS;
-        self.next_list_ms = self.next_list_ms.min(now_ms + jittered(LEAST_LIST_MS));
+        self.list_interval_ms = MIN_LIST_INTERVAL_MS;
+        self.next_list_ms = self
+            .next_list_ms
+            .min(now_ms + jittered(MIN_LIST_INTERVAL_MS));
     }
 }
 
@@ -94,30 +96,30 @@
 
     const NAME: &'static str = "slots";
 
-    fn step(&mut self, edges: &E, board: &SharedState, now_ms: u64) -> u64 {
-        if board.limits.is_closed() {
+    fn step(&mut self, edges: &E, shared: &SharedState, now_ms: u64) -> u64 {
+        if shared.limits.is_closed() {
             return PERIOD_MS;
         }
-        let view = board.config.view();
+        let view = shared.config.view();
         if view.revision > 0 {
-            board.limits.retain(|team| view.rates.contains_key(team));
+            shared.limits.retain(|team| view.rates.contains_key(team));
         }
-        self.count_live(board, now_ms);
-        if let Err(error) = self.list(edges, board, now_ms) {
+        self.update_live_count(shared, now_ms);
+        if let Err(error) = self.list(edges, shared, now_ms) {
             warn!("limits: The slots were not listed. {error}");
             return jittered(RETRY_MS);
         }
         let now_ms = edges.clock().now_ms();
-        let writes = board.limits.plan(self.live, BATCH, now_ms);
+        let writes = shared.limits.plan(self.live, BATCH_WRITES, now_ms);
         if writes.is_empty() {
             return PERIOD_MS;
         }
         let sent = writes
             .iter()
-            .try_for_each(|write| send(edges, board, *write));
+            .try_for_each(|write| execute(edges, shared, *write));
         info!(
             "limits: Holding {} of {SLOTS} slots among {} instances.",
-            board.limits.slots(now_ms),
+            shared.limits.slots(now_ms),
             self.live
         );
         if sent.is_break() {
@@ -130,28 +132,28 @@
 
 /// Releases every slot at a shutdown, so that others take them at once. Stops
 /// at the first failure: the leases end by themselves.
-pub fn release_slots<E: Edges>(edges: &E, board: &SharedState) {
-    for write in board.limits.close() {
-        if send(edges, board, write).is_break() {
+pub fn release_slots<E: Edges>(edges: &E, shared: &SharedState) {
+    for write in shared.limits.close() {
+        if execute(edges, shared, write).is_break() {
             warn!("limits: Some slots were not released; they lapse with their leases.");
             return;
         }
     }
 }
 
-fn send<E: Edges>(edges: &E, board: &SharedState, write: SlotWrite) -> ControlFlow<()> {
+fn execute<E: Edges>(edges: &E, shared: &SharedState, write: SlotWrite) -> ControlFlow<()> {
     match write {
-        SlotWrite::Create { slot } => put(edges, board, slot, Expect::Absent),
-        SlotWrite::Replace { slot, version } => put(edges, board, slot, Expect::Version(version)),
-        SlotWrite::Release { slot, version } => release(edges, board, slot, version),
+        SlotWrite::Create { slot } => put(edges, shared, slot, Expect::Absent),
+        SlotWrite::Replace { slot, version } => put(edges, shared, slot, Expect::Version(version)),
+        SlotWrite::Release { slot, version } => release(edges, shared, slot, version),
     }
 }
 
 /// Writes a slot. The lease counts from before the write is sent.
-fn put<E: Edges>(edges: &E, board: &SharedState, slot: u32, expect: Expect) -> ControlFlow<()> {
-    let key = key_of(slot);
-    let begun_ms = edges.clock().now_ms();
-    let body = board.limits.body(slot, rand::random());
+fn put<E: Edges>(edges: &E, shared: &SharedState, slot: u32, expect: Expect) -> ControlFlow<()> {
+    let key = slot_key(slot);
+    let started_ms = edges.clock().now_ms();
+    let body = shared.limits.body(slot, rand::random());
     let value = serde_json::to_value(&body).unwrap_or_default();
     let result = match edges.platform().put(&key, expect, &value) {
         Err(PlatformError::Lost) => read_back(edges, &key, &body),
@@ -161,46 +163,46 @@
         warn!("limits: Slot {slot} was not written. {error}");
     }
     let now_ms = edges.clock().now_ms();
-    board
+    shared
         .limits
-        .apply_write_result(slot, begun_ms, &result, now_ms)
+        .apply_write_result(slot, started_ms, &result, now_ms)
 }
 
 /// Finds out whether a write whose reply was lost took effect. Only the very
 /// write counts: an older one of this process has a lease that ends earlier.
 fn read_back<E: Edges>(edges: &E, key: &ObjectKey, body: &SlotBody) -> Result<u64, PlatformError> {
     let object = edges.platform().get(key).map_err(|_| PlatformError::Lost)?;
-    let held = object.filter(|o| body_of(o).is_some_and(|b| b.nonce == body.nonce));
+    let held = object.filter(|o| slot_body(o).is_some_and(|b| b.nonce == body.nonce));
     held.map(|o| o.version).ok_or(PlatformError::Lost)
 }
 
-fn release<E: Edges>(edges: &E, board: &SharedState, slot: u32, version: u64) -> ControlFlow<()> {
-    board.limits.stop_refill(slot, edges.clock().now_ms());
+fn release<E: Edges>(edges: &E, shared: &SharedState, slot: u32, version: u64) -> ControlFlow<()> {
+    shared.limits.stop_refill(slot, edges.clock().now_ms());
     let expect = Expect::Version(version);
-    let result = edges.platform().delete(&key_of(slot), expect);
+    let result = edges.platform().delete(&slot_key(slot), expect);
     let now_ms = edges.clock().now_ms();
-    board.limits.apply_release_result(slot, &result, now_ms)
+    shared.limits.apply_release_result(slot, &result, now_ms)
 }
 
-fn key_of(slot: u32) -> ObjectKey {
+fn slot_key(slot: u32) -> ObjectKey {
     ObjectKey::new(own_kind::SLOT, &slot.to_string())
 }
 
-fn body_of(object: &Object) -> Option<SlotBody> {
+fn slot_body(object: &Object) -> Option<SlotBody> {
     serde_json::from_value(object.body.clone()).ok()
 }
 
-fn listed(object: &Object) -> Option<ListedSlot> {
+fn parse_slot(object: &Object) -> Option<ListedSlot> {
     let slot = object.key.name.parse().ok().filter(|slot| *slot < SLOTS)?;
     Some(ListedSlot {
         slot,
         version: object.version,
-        body: body_of(object),
+        body: slot_body(object),
     })
 }
 
-fn live_instances(board: &SharedState) -> u32 {
-    board.peers.live().len() as u32 + 1
+fn live_instances(shared: &SharedState) -> u32 {
+    shared.peers.live().len() as u32 + 1
 }
 
 /// Returns a pause between three quarters and five quarters of the given one.
@@ -209,7 +211,9 @@
 }
 
 /// Returns the longest time between two lists in a fleet of a size.
-fn most_list_ms(live: u32) -> u64 {
-    let factor = live.div_ceil(LIST_INSTANCES).clamp(1, MOST_LIST_FACTOR);
-    MOST_LIST_MS * u64::from(factor)
+fn max_list_interval_ms(live: u32) -> u64 {
+    let factor = live
+        .div_ceil(INSTANCES_PER_LIST_INTERVAL)
+        .clamp(1, MAX_LIST_INTERVAL_FACTOR);
+    MAX_LIST_INTERVAL_MS * u64::from(factor)
 }
--- a/crates/mangowalkd/src/daemon.rs
+++ b/crates/mangowalkd/src/daemon.rs
@@ -3,7 +3,7 @@
         caller::CallerServer,
         cli::Settings,
         controller::{
-            CacheEventReader, ClaimKeeper, ConfigWatch, EnginePoll, Gossip, RolloutKeeper,
+            CacheEventReader, ClaimWriter, ConfigWatch, EnginePoll, Gossip, RolloutController,
             SlotHolder, StatusWriter, answer, flush_claims, release_slots, spawn,
         },
         edge::{LiveEdges, PeerServer},
@@ -32,10 +32,10 @@
 const DRAIN_POLL: Duration = Duration::from_millis(50);
 
 /// Time in which the listener takes notice of the stop.
-const LISTENER_END: Duration = Duration::from_millis(250);
+const LISTENER_STOP_WAIT: Duration = Duration::from_millis(250);
 
 /// Time that controllers have to give back what they hold.
-const LEAVE_TIMEOUT_MS: u64 = 3_000;
+const CONTROLLER_STOP_TIMEOUT_MS: u64 = 3_000;
 
 /// Bits of the incarnation below the time of the start.
 const INCARNATION_RANDOM_BITS: u32 = 16;
@@ -64,7 +64,7 @@
 pub struct Daemon {
     edges: Arc<LiveEdges>,
     controllers: Vec<JoinHandle<()>>,
-    board: Arc<SharedState>,
+    shared: Arc<SharedState>,
     settings: Settings,
     signals: Signals,
     _peer_server: PeerServer,
@@ -90,26 +90,26 @@
             failure_domain: settings.failure_domain.clone(),
             incarnation: incarnation(edges.clock().wall_ms()),
         };
-        let mut board = SharedState::new(identity, dispatch);
-        board.operator_address = settings.operator_address;
-        board.traffic = edges.traffic().clone();
-        let board = Arc::new(board);
-        board.config.set_stale_after(settings.stale_config_ms);
-        let (peer_edges, peer_board) = (edges.clone(), board.clone());
+        let mut shared = SharedState::new(identity, dispatch);
+        shared.operator_address = settings.operator_address;
+        shared.traffic = edges.traffic().clone();
+        let shared = Arc::new(shared);
+        shared.config.set_stale_after(settings.stale_config_ms);
+        let (peer_edges, peer_shared) = (edges.clone(), shared.clone());
         let peer_server = PeerServer::start(settings.peer_address, move |request| {
-            answer(&*peer_edges, &peer_board, &request)
+            answer(&*peer_edges, &peer_shared, &request)
         })
         .change_context(StartError::PeerAddress)?;
-        let router = Router::new(edges.clone(), board.clone(), settings.clone());
+        let router = Router::new(edges.clone(), shared.clone(), settings.clone());
         CallerServer::start(Arc::new(router)).change_context(StartError::CallerAddress)?;
         let controllers =
-            start_controllers(&settings, &edges, &board).change_context(StartError::Threads)?;
-        start_operator_edge(&settings, &edges, &board)?;
+            start_controllers(&settings, &edges, &shared).change_context(StartError::Threads)?;
+        start_operator_edge(&settings, &edges, &shared)?;
         info!("daemon: Listening on {}.", settings.caller_address);
         Ok(Daemon {
             edges,
             controllers,
-            board,
+            shared,
             settings,
             signals,
             _peer_server: peer_server,
@@ -123,20 +123,20 @@
         info!("daemon: Draining.");
         let clock = self.edges.clock();
         let departed_ms = clock.now_ms();
-        let give_up_ms = departed_ms + self.settings.drain_timeout_ms;
-        self.board.lifecycle.depart(departed_ms);
+        let deadline_ms = departed_ms + self.settings.drain_timeout_ms;
+        self.shared.lifecycle.depart(departed_ms);
         let grace_ms = self.settings.depart_grace_ms;
-        while !self.board.lifecycle.try_stop(grace_ms, clock.now_ms())
-            && clock.now_ms() < give_up_ms
+        while !self.shared.lifecycle.try_stop(grace_ms, clock.now_ms())
+            && clock.now_ms() < deadline_ms
         {
             thread::sleep(DRAIN_POLL);
         }
-        self.board.lifecycle.stop();
-        self.serve_the_last(give_up_ms);
-        release_slots(&*self.edges, &self.board);
-        flush_claims(&*self.edges, &self.board);
+        self.shared.lifecycle.stop();
+        self.drain_late_requests(deadline_ms);
+        release_slots(&*self.edges, &self.shared);
+        flush_claims(&*self.edges, &self.shared);
         self.join_controllers();
-        let open = self.board.lifecycle.open_requests();
+        let open = self.shared.lifecycle.open_requests();
         if open > 0 {
             warn!("daemon: The drain timeout cut off {open} requests.");
             return ExitCode::FAILURE;
@@ -147,10 +147,10 @@
 
     /// Serves what was accepted between the last look at the open requests
     /// and the end of listening.
-    fn serve_the_last(&self, give_up_ms: u64) {
-        thread::sleep(LISTENER_END);
+    fn drain_late_requests(&self, deadline_ms: u64) {
+        thread::sleep(LISTENER_STOP_WAIT);
         let clock = self.edges.clock();
-        while self.board.lifecycle.open_requests() > 0 && clock.now_ms() < give_up_ms {
+        while self.shared.lifecycle.open_requests() > 0 && clock.now_ms() < deadline_ms {
             thread::sleep(DRAIN_POLL);
         }
     }
@@ -159,9 +159,9 @@
     /// stuck in a call does not keep the process.
     fn join_controllers(&self) {
         let clock = self.edges.clock();
-        let give_up_ms = clock.now_ms() + LEAVE_TIMEOUT_MS;
+        let deadline_ms = clock.now_ms() + CONTROLLER_STOP_TIMEOUT_MS;
         let done = || self.controllers.iter().all(JoinHandle::is_finished);
-        while !done() && clock.now_ms() < give_up_ms {
+        while !done() && clock.now_ms() < deadline_ms {
             thread::sleep(DRAIN_POLL);
         }
     }
@@ -170,16 +170,17 @@
 fn start_operator_edge(
     settings: &Settings,
     edges: &Arc<LiveEdges>,
-    board: &Arc<SharedState>,
+    shared: &Arc<SharedState>,
 ) -> Result<(), Report<StartError>> {
     if let Some(address) = settings.operator_address {
-        OperatorServer::start(address, edges, board).change_context(StartError::OperatorAddress)?;
+        OperatorServer::start(address, edges, shared)
+            .change_context(StartError::OperatorAddress)?;
         info!("daemon: Listening to operators on {address}.");
     }
     if let Some(address) = settings.statsd_address {
         let client = metrics_client(address, settings.caller_address)
             .change_context(StartError::StatsdAddress)?;
-        spawn(MetricsReport::new(client), edges.clone(), board.clone())
+        spawn(MetricsReport::new(client), edges.clone(), shared.clone())
             .change_context(StartError::Threads)?;
     }
     Ok(())
@@ -188,18 +189,18 @@
 fn start_controllers(
     settings: &Settings,
     edges: &Arc<LiveEdges>,
-    board: &Arc<SharedState>,
+    shared: &Arc<SharedState>,
 ) -> std::io::Result<Vec<JoinHandle<()>>> {
     let gossip = Gossip::new(&settings.seed_peers);
-    spawn(ConfigWatch::default(), edges.clone(), board.clone())?;
+    spawn(ConfigWatch::default(), edges.clone(), shared.clone())?;
     Ok(vec![
-        spawn(gossip, edges.clone(), board.clone())?,
-        spawn(EnginePoll::default(), edges.clone(), board.clone())?,
-        spawn(ClaimKeeper::default(), edges.clone(), board.clone())?,
-        spawn(CacheEventReader::default(), edges.clone(), board.clone())?,
-        spawn(SlotHolder::default(), edges.clone(), board.clone())?,
-        spawn(StatusWriter::default(), edges.clone(), board.clone())?,
-        spawn(RolloutKeeper::default(), edges.clone(), board.clone())?,
+        spawn(gossip, edges.clone(), shared.clone())?,
+        spawn(EnginePoll::default(), edges.clone(), shared.clone())?,
+        spawn(ClaimWriter::default(), edges.clone(), shared.clone())?,
+        spawn(CacheEventReader::default(), edges.clone(), shared.clone())?,
+        spawn(SlotHolder::default(), edges.clone(), shared.clone())?,
+        spawn(StatusWriter::default(), edges.clone(), shared.clone())?,
+        spawn(RolloutController::default(), edges.clone(), shared.clone())?,
     ])
 }
 
--- a/crates/mangowalkd/src/edge/engines.rs
+++ b/crates/mangowalkd/src/edge/engines.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         Traffic,
-        http::{answered, exchange, once, send_error},
+        http::{check_answered, exchange, prepare, send_error},
     },
     flume::{Receiver, RecvTimeoutError, Sender},
     mangowalk_core::{
@@ -26,7 +26,7 @@
 
 /// Events that an attempt may be ahead of its caller. A caller who reads
 /// slowly makes the engine wait, instead of filling the router's memory.
-const EVENTS_AHEAD: usize = 64;
+const MAX_BUFFERED_EVENTS: usize = 64;
 
 /// Stack of a thread that reads one attempt.
 const READER_STACK_BYTES: usize = 128 << 10;
@@ -45,7 +45,7 @@
 
     fn call<T: DeserializeOwned>(&self, request: minreq::Request) -> Result<T, SendError> {
         let (status, _, body) = exchange(request, CALL_TIMEOUT_MS)?;
-        self.traffic.engine(body.len());
+        self.traffic.count_engine_call(body.len());
         if status != 200 {
             return Err(SendError::Refused { status });
         }
@@ -75,7 +75,7 @@
     type Events = HttpEvents;
 
     fn generate(&self, address: SocketAddr, request: &GenerateRequest) -> HttpEvents {
-        let (sender, events) = flume::bounded(EVENTS_AHEAD);
+        let (sender, events) = flume::bounded(MAX_BUFFERED_EVENTS);
         let request = post(address, "generate", request);
         let failed = sender.clone();
         let spawned = thread::Builder::new()
@@ -126,14 +126,14 @@
 
 /// Reads events until the stream ends or nobody wants them.
 fn read_events(request: minreq::Request, sender: &Sender<Result<GenerateEvent, SendError>>) {
-    let response = match once(request, ATTEMPT_TIMEOUT_MS).send_lazy() {
+    let response = match prepare(request, ATTEMPT_TIMEOUT_MS).send_lazy() {
         Ok(response) => response,
         Err(error) => {
             let _ = sender.send(Err(send_error(&error)));
             return;
         }
     };
-    if let Err(error) = answered(&response) {
+    if let Err(error) = check_answered(&response) {
         let _ = sender.send(Err(error));
         return;
     }
@@ -144,7 +144,7 @@
     }
     for line in BufReader::new(response).lines() {
         let event = match line {
-            Ok(line) => event_of(&line),
+            Ok(line) => parse_event(&line),
             Err(_) => Some(Err(SendError::Lost)),
         };
         let Some(event) = event else { continue };
@@ -155,7 +155,7 @@
     }
 }
 
-fn event_of(line: &str) -> Option<Result<GenerateEvent, SendError>> {
+fn parse_event(line: &str) -> Option<Result<GenerateEvent, SendError>> {
     let data = line.strip_prefix("data:")?;
     Some(serde_json::from_str(data).map_err(|_| SendError::Unreadable))
 }
--- a/crates/mangowalkd/src/edge/http.rs
+++ b/crates/mangowalkd/src/edge/http.rs
@@ -8,11 +8,11 @@
 const MS_PER_S: u64 = 1_000;
 
 /// Longest answer that is read whole.
-const LONGEST_BODY_BYTES: u64 = 16 << 20;
+const MAX_BODY_BYTES: u64 = 16 << 20;
 
 /// Prepares a request that is sent once: no redirect is followed, and the
 /// connection is closed behind it.
-pub(super) fn once(request: minreq::Request, timeout_ms: u64) -> minreq::Request {
+pub(super) fn prepare(request: minreq::Request, timeout_ms: u64) -> minreq::Request {
     request
         .with_follow_redirects(false)
         .with_header("Connection", "close")
@@ -39,16 +39,16 @@
     request: minreq::Request,
     timeout_ms: u64,
 ) -> Result<(u16, String, Vec<u8>), SendError> {
-    let response = once(request, timeout_ms)
+    let response = prepare(request, timeout_ms)
         .send_lazy()
         .map_err(|e| send_error(&e))?;
-    answered(&response)?;
+    check_answered(&response)?;
     let status = response.status_code;
     let content_type = header(&response, "content-type").unwrap_or_default();
     let expected = header(&response, "content-length").and_then(|v| v.parse::<usize>().ok());
     let mut body = Vec::new();
     response
-        .take(LONGEST_BODY_BYTES)
+        .take(MAX_BODY_BYTES)
         .read_to_end(&mut body)
         .map_err(|_| SendError::Lost)?;
     if expected.is_some_and(|length| length != body.len()) {
@@ -63,7 +63,7 @@
 
 /// Tells an answer from a connection that closed without one. Taken for a
 /// status, a lost reply would look like a refusal before anything ran.
-pub(super) fn answered(response: &minreq::ResponseLazy) -> Result<(), SendError> {
+pub(super) fn check_answered(response: &minreq::ResponseLazy) -> Result<(), SendError> {
     if response.reason_phrase == NO_STATUS_LINE {
         return Err(SendError::Lost);
     }
--- a/crates/mangowalkd/src/edge/peers.rs
+++ b/crates/mangowalkd/src/edge/peers.rs
@@ -18,13 +18,13 @@
 };
 
 /// Largest message that is read from a peer.
-const LARGEST_MESSAGE_BYTES: usize = 4 << 20;
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// Sockets kept for each peer, so that a slow answer holds up one asker.
-const IDLE_SOCKETS: usize = 4;
+const MAX_IDLE_SOCKETS_PER_PEER: usize = 4;
 
 /// Threads that answer peers.
-const ANSWERING_THREADS: usize = 4;
+const SERVER_THREADS: usize = 4;
 
 /// Other instances over `nng`: request and reply, encoded by `postcard`.
 #[derive(Default)]
@@ -52,19 +52,19 @@
             return Ok(socket);
         }
         let socket = Socket::new(Protocol::Req0)?;
-        socket.set_opt::<RecvMaxSize>(LARGEST_MESSAGE_BYTES)?;
+        socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)?;
         socket.dial_async(&format!("tcp://{address}"))?;
         Ok(socket)
     }
 
     /// Keeps a socket whose exchange ended well. One that timed out is
     /// dropped, so that a late answer can't be taken for the next one's.
-    fn keep(&self, address: SocketAddr, socket: Socket) {
+    fn return_to_pool(&self, address: SocketAddr, socket: Socket) {
         let Ok(mut idle) = self.idle.lock() else {
             return;
         };
         let sockets = idle.entry(address).or_default();
-        if sockets.len() < IDLE_SOCKETS {
+        if sockets.len() < MAX_IDLE_SOCKETS_PER_PEER {
             sockets.push(socket);
         }
     }
@@ -80,8 +80,8 @@
         let bytes = postcard::to_stdvec(request).map_err(|_| PeerError::Unreadable)?;
         let socket = self.socket(address).map_err(|_| PeerError::NoAnswer)?;
         let answer = exchange(&socket, &bytes, timeout_ms).map_err(|_| PeerError::NoAnswer)?;
-        self.traffic.peer(bytes.len() + answer.len());
-        self.keep(address, socket);
+        self.traffic.count_peer_exchange(bytes.len() + answer.len());
+        self.return_to_pool(address, socket);
         postcard::from_bytes(&answer).map_err(|_| PeerError::Unreadable)
     }
 }
@@ -110,10 +110,10 @@
         answer: impl Fn(PeerRequest) -> PeerReply + Send + Sync + 'static,
     ) -> Result<PeerServer, nng::Error> {
         let socket = Socket::new(Protocol::Rep0)?;
-        socket.set_opt::<RecvMaxSize>(LARGEST_MESSAGE_BYTES)?;
+        socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)?;
         socket.listen(&format!("tcp://{address}"))?;
         let answer = Arc::new(answer);
-        for _ in 0..ANSWERING_THREADS {
+        for _ in 0..SERVER_THREADS {
             let context = nng::Context::new(&socket)?;
             let answer = answer.clone();
             thread::spawn(move || serve(&context, &*answer));
--- a/crates/mangowalkd/src/edge/platform.rs
+++ b/crates/mangowalkd/src/edge/platform.rs
@@ -28,7 +28,7 @@
 }
 
 #[derive(Deserialize)]
-struct Written {
+struct WriteReply {
     version: u64,
 }
 
@@ -64,13 +64,13 @@
             SendError::NotConnected => PlatformError::Unreached,
             _ => PlatformError::Lost,
         })?;
-        self.traffic.platform(body.len());
+        self.traffic.count_platform_call(body.len());
         match status {
-            200 => decode::<Written>(&body)
+            200 => decode::<WriteReply>(&body)
                 .map(|w| w.version)
                 .map_err(|_| PlatformError::Lost),
             409 => Err(PlatformError::Conflict {
-                version: decode::<Written>(&body)?.version,
+                version: decode::<WriteReply>(&body)?.version,
             }),
             // A gateway that gave up says nothing of what became of the write.
             500.. => Err(PlatformError::Lost),
@@ -81,7 +81,7 @@
     fn read<T: DeserializeOwned>(&self, url: String, timeout_ms: u64) -> Result<T, PlatformError> {
         let (status, _, body) =
             exchange(minreq::get(url), timeout_ms).map_err(|_| PlatformError::Unreached)?;
-        self.traffic.platform(body.len());
+        self.traffic.count_platform_call(body.len());
         if status != 200 {
             return Err(PlatformError::Refused { status });
         }
--- a/crates/mangowalkd/src/edge/traffic.rs
+++ b/crates/mangowalkd/src/edge/traffic.rs
@@ -35,19 +35,19 @@
     }
 
     /// Counts one call of the platform.
-    pub(super) fn platform(&self, body_bytes: usize) {
+    pub(super) fn count_platform_call(&self, body_bytes: usize) {
         add(&self.platform_calls, 1);
         add(&self.platform_bytes, body_bytes as u64 + HTTP_HEAD_BYTES);
     }
 
     /// Counts one exchange with a peer.
-    pub(super) fn peer(&self, bytes: usize) {
+    pub(super) fn count_peer_exchange(&self, bytes: usize) {
         add(&self.peer_messages, 1);
         add(&self.peer_bytes, bytes as u64);
     }
 
     /// Counts one read of an engine.
-    pub(super) fn engine(&self, body_bytes: usize) {
+    pub(super) fn count_engine_call(&self, body_bytes: usize) {
         add(&self.engine_calls, 1);
         add(&self.engine_bytes, body_bytes as u64 + HTTP_HEAD_BYTES);
     }
--- a/crates/mangowalkd/src/metrics/controller.rs
+++ b/crates/mangowalkd/src/metrics/controller.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    fn requests(&self, team: &str, counts: &Counts) {
+    fn send_requests(&self, team: &str, counts: &Counts) {
         let ends = [
             ("complete", counts.complete),
             ("cut", counts.cut),
@@ -49,15 +49,15 @@
         }
     }
 
-    fn gauges(&self, board: &SharedState, now_ms: u64) {
+    fn send_gauges(&self, shared: &SharedState, now_ms: u64) {
         let gauge = |name: &str, value: u64| {
             self.client.gauge_with_tags(name, value).send();
         };
-        gauge("open_requests", board.lifecycle.open_requests() as u64);
-        gauge("queued", board.dispatch.queued() as u64);
-        gauge("revision", board.config.view().revision);
-        gauge("slots", u64::from(board.limits.slots(now_ms)));
-        gauge("peers", board.peers.reachable().len() as u64);
+        gauge("open_requests", shared.lifecycle.open_requests() as u64);
+        gauge("queued", shared.dispatch.queued() as u64);
+        gauge("revision", shared.config.view().revision);
+        gauge("slots", u64::from(shared.limits.slots(now_ms)));
+        gauge("peers", shared.peers.reachable().len() as u64);
     }
 }
 
@@ -66,10 +66,10 @@
 
     const NAME: &'static str = "metrics";
 
-    fn step(&mut self, _edges: &E, board: &SharedState, now_ms: u64) -> u64 {
-        let unsent = board.burn.take_unsent();
+    fn step(&mut self, _edges: &E, shared: &SharedState, now_ms: u64) -> u64 {
+        let unsent = shared.burn.take_unsent();
         for (team, counts) in &unsent.counts {
-            self.requests(team, counts);
+            self.send_requests(team, counts);
         }
         for (team, first_ms) in &unsent.first_tokens {
             self.client
@@ -77,7 +77,7 @@
                 .with_tag("team", team)
                 .send();
         }
-        self.gauges(board, now_ms);
+        self.send_gauges(shared, now_ms);
         PERIOD_MS
     }
 }
--- a/crates/mangowalkd/src/operator/candidates.rs
+++ b/crates/mangowalkd/src/operator/candidates.rs
@@ -12,8 +12,8 @@
 };
 
 /// Weighs the engines of a model for one request, without sending it.
-pub(super) struct Weighing<'a> {
-    board: &'a SharedState,
+pub(super) struct PlacementPreview<'a> {
+    shared: &'a SharedState,
     engines: Vec<&'a EngineRecord>,
     model: &'a str,
     version: &'a str,
@@ -24,21 +24,21 @@
     now_ms: u64,
 }
 
-impl<'a> Weighing<'a> {
+impl<'a> PlacementPreview<'a> {
     pub(super) fn new(
-        board: &'a SharedState,
+        shared: &'a SharedState,
         view: &'a View,
         request: &'a ExplainRequest,
         version: &'a str,
         now_ms: u64,
-    ) -> Weighing<'a> {
+    ) -> PlacementPreview<'a> {
         let salt = cache_salt(&request.team, &request.model, version);
         let engines = view.engines.values().filter(|e| e.model == request.model);
         let engines: Vec<&EngineRecord> = engines.collect();
         let departing = engines.iter().filter(|e| e.departing);
         let departing = departing.map(|e| e.name.clone()).collect();
-        Weighing {
-            board,
+        PlacementPreview {
+            shared,
             engines,
             model: &request.model,
             version,
@@ -60,11 +60,11 @@
 
     /// Returns every engine of the model, with why it could be used or not.
     pub(super) fn candidates(&self) -> Vec<Candidate> {
-        let sights = self.board.engines.snapshot();
+        let known = self.shared.engines.snapshot();
         self.engines
             .iter()
             .map(|engine| {
-                let (usable, reason) = self.judge(engine, sights.get(&engine.name));
+                let (usable, reason) = self.evaluate(engine, known.get(&engine.name));
                 Candidate {
                     engine: engine.name.clone(),
                     usable,
@@ -74,12 +74,12 @@
             .collect()
     }
 
-    fn judge(&self, engine: &EngineRecord, sight: Option<&KnownEngine>) -> (bool, String) {
+    fn evaluate(&self, engine: &EngineRecord, known: Option<&KnownEngine>) -> (bool, String) {
         let no = |reason: &str| (false, reason.to_owned());
         if engine.departing {
             return no("It departs and gets no new work.");
         }
-        let Some(state) = sight.and_then(|s| s.state.as_ref()) else {
+        let Some(state) = known.and_then(|s| s.state.as_ref()) else {
             return no("It does not answer.");
         };
         if state.loading {
@@ -98,13 +98,13 @@
                 ),
             );
         }
-        if !self.board.upstreams.usable(&engine.name, self.now_ms) {
+        if !self.shared.upstreams.usable(&engine.name, self.now_ms) {
             return no("Attempts on it failed or it is at its limit of attempts.");
         }
-        let Some(choice) = self.alone(engine, true) else {
+        let Some(choice) = self.choose_only(engine, true) else {
             return no("Placement knows of no answer from it yet.");
         };
-        if self.alone(engine, false).is_none() {
+        if self.choose_only(engine, false).is_none() {
             return no("It has no room for more of this instance's requests.");
         }
         let expected_ms = choice.expected_ms.round();
@@ -117,7 +117,7 @@
     }
 
     /// Weighs one engine as if there were no other.
-    fn alone(&self, engine: &EngineRecord, force: bool) -> Option<Choice> {
+    fn choose_only(&self, engine: &EngineRecord, force: bool) -> Option<Choice> {
         let others = self.engines.iter().filter(|e| e.name != engine.name);
         let avoid = others.map(|e| e.name.clone()).collect();
         self.choose(&avoid, force)
@@ -130,11 +130,11 @@
             chain: &self.chain,
             kv_store_blocks: 0,
             avoid,
-            is_usable: &|name| force || self.board.upstreams.usable(name, self.now_ms),
+            is_usable: &|name| force || self.shared.upstreams.usable(name, self.now_ms),
             force,
             waited_ms: 0,
-            queued: self.board.dispatch.queued(),
+            queued: self.shared.dispatch.queued(),
         };
-        self.board.dispatch.preview(&ask, self.now_ms)
+        self.shared.dispatch.preview(&ask, self.now_ms)
     }
 }
--- a/crates/mangowalkd/src/operator/explain.rs
+++ b/crates/mangowalkd/src/operator/explain.rs
@@ -1,5 +1,5 @@
 use {
-    super::candidates::Weighing,
+    super::candidates::PlacementPreview,
     crate::{serve::version_of, shared_state::SharedState},
     mangowalk_core::{
         config::View,
@@ -13,16 +13,16 @@
 
 /// Returns what the instance would do with a request now. Nothing is spent,
 /// queued or sent.
-pub(super) fn explain(board: &SharedState, request: &ExplainRequest, now_ms: u64) -> ExplainReply {
-    let view = board.config.view();
+pub(super) fn explain(shared: &SharedState, request: &ExplainRequest, now_ms: u64) -> ExplainReply {
+    let view = shared.config.view();
     let mut reply = ExplainReply {
         engine: None,
         refusal: None,
         steps: Vec::new(),
         candidates: Vec::new(),
     };
-    let refused = admit(&mut reply.steps, board, &view, request, now_ms)
-        .and_then(|()| place(&mut reply, board, &view, request, now_ms));
+    let refused = admit(&mut reply.steps, shared, &view, request, now_ms)
+        .and_then(|()| choose_engine(&mut reply, shared, &view, request, now_ms));
     reply.refusal = refused.err().map(|refusal| refusal.to_string());
     reply
 }
@@ -30,7 +30,7 @@
 /// Follows the checks that a request passes before its turn.
 fn admit(
     steps: &mut Vec<String>,
-    board: &SharedState,
+    shared: &SharedState,
     view: &View,
     request: &ExplainRequest,
     now_ms: u64,
@@ -65,19 +65,19 @@
             burst_tokens: rate.burst_tokens,
         });
     }
-    reserve(steps, board, rate, request, tokens, now_ms)
+    reserve(steps, shared, rate, request, tokens, now_ms)
 }
 
 /// Tells whether the request would get its tokens. They are put back at once.
 fn reserve(
     steps: &mut Vec<String>,
-    board: &SharedState,
+    shared: &SharedState,
     rate: &Rate,
     request: &ExplainRequest,
     tokens: u64,
     now_ms: u64,
 ) -> Result<(), Refusal> {
-    let (limits, team) = (&board.limits, &request.team);
+    let (limits, team) = (&shared.limits, &request.team);
     let shares = limits.slots(now_ms);
     if let Some(reservation) = limits.take(team, rate, tokens, now_ms) {
         limits.settle(&reservation, 0);
@@ -90,12 +90,12 @@
         "This instance holds {shares} slots and lacks the tokens; it would ask other instances."
     ));
     match limits.shortages(|s| s.missing_tokens(team, rate, tokens, now_ms)) {
-        Some(short) => {
+        Some(missing_tokens) => {
             steps.push(format!(
-                "A look at the other instances a moment ago found {short} tokens too few."
+                "A look at the other instances a moment ago found {missing_tokens} tokens too few."
             ));
             Err(Refusal::RateLimited {
-                retry_ms: refill_ms(rate, short),
+                retry_ms: refill_ms(rate, missing_tokens),
             })
         }
         None => Ok(()),
@@ -103,9 +103,9 @@
 }
 
 /// Weighs the engines as placement does.
-fn place(
+fn choose_engine(
     reply: &mut ExplainReply,
-    board: &SharedState,
+    shared: &SharedState,
     view: &View,
     request: &ExplainRequest,
     now_ms: u64,
@@ -114,16 +114,16 @@
         reason,
         retry_ms: 1_000,
     };
-    let version = version_of(board, &request.team, &request.model, &request.prompt)
+    let version = version_of(shared, &request.team, &request.model, &request.prompt)
         .ok_or_else(|| unavailable("No engine serves the model now"))?;
-    let weighing = Weighing::new(board, view, request, &version, now_ms);
-    reply.candidates = weighing.candidates();
+    let preview = PlacementPreview::new(shared, view, request, &version, now_ms);
+    reply.candidates = preview.candidates();
     reply.steps.push(format!(
         "The prompt has {} whole blocks, and {} requests wait for an engine.",
-        weighing.blocks(),
-        board.dispatch.queued()
+        preview.blocks(),
+        shared.dispatch.queued()
     ));
-    let choice = weighing
+    let choice = preview
         .choice()
         .ok_or_else(|| unavailable("Every engine is full; the request would wait or be refused"))?;
     reply.steps.push(format!(
--- a/crates/mangowalkd/src/operator/handler.rs
+++ b/crates/mangowalkd/src/operator/handler.rs
@@ -12,22 +12,22 @@
 };
 
 /// Longest body read: a prompt to explain.
-const LONGEST_BODY_BYTES: u64 = 4 << 20;
+const MAX_BODY_BYTES: u64 = 4 << 20;
 
 /// Answers one request of an operator.
-pub(super) fn handle(mut request: Request, board: &SharedState, now_ms: u64) {
+pub(super) fn handle(mut request: Request, shared: &SharedState, now_ms: u64) {
     let path = request.url().split('?').next().unwrap_or_default();
     match (request.method(), path) {
         (Method::Get, "/health") => reply(request, 200, &json!({})),
         (Method::Get, "/ready") => {
-            let phase = status(board, now_ms).phase;
+            let phase = status(shared, now_ms).phase;
             let code = if phase == Phase::Ready { 200 } else { 503 };
             reply(request, code, &json!({ "phase": phase }));
         }
-        (Method::Get, "/status") => reply(request, 200, &status(board, now_ms)),
-        (Method::Get, "/burn") => reply(request, 200, &burn(board, now_ms)),
-        (Method::Post, "/explain") => match question(&mut request) {
-            Ok(question) => reply(request, 200, &explain(board, &question, now_ms)),
+        (Method::Get, "/status") => reply(request, 200, &status(shared, now_ms)),
+        (Method::Get, "/burn") => reply(request, 200, &burn(shared, now_ms)),
+        (Method::Post, "/explain") => match read_question(&mut request) {
+            Ok(question) => reply(request, 200, &explain(shared, &question, now_ms)),
             Err(detail) => reply(request, 400, &json!({ "error": detail })),
         },
         _ => reply(
@@ -38,8 +38,8 @@
     }
 }
 
-fn question(request: &mut Request) -> Result<ExplainRequest, String> {
-    let body = request.as_reader().take(LONGEST_BODY_BYTES);
+fn read_question(request: &mut Request) -> Result<ExplainRequest, String> {
+    let body = request.as_reader().take(MAX_BODY_BYTES);
     serde_json::from_reader(body)
         .map_err(|e| format!("The body can't be read: {e}; correct that field."))
 }
--- a/crates/mangowalkd/src/operator/server.rs
+++ b/crates/mangowalkd/src/operator/server.rs
@@ -17,7 +17,7 @@
 const THREADS: usize = 2;
 
 /// Pause between two looks at whether to stop.
-const POLL: Duration = Duration::from_millis(100);
+const STOP_POLL: Duration = Duration::from_millis(100);
 
 /// Listens to operators.
 pub struct OperatorServer {
@@ -33,17 +33,17 @@
     pub fn start<E: Edges>(
         address: SocketAddr,
         edges: &Arc<E>,
-        board: &Arc<SharedState>,
+        shared: &Arc<SharedState>,
     ) -> io::Result<OperatorServer> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
         let server = tiny_http::Server::from_listener(listener, None).map_err(io::Error::other)?;
         let server = Arc::new(server);
         for _ in 0..THREADS {
-            let (server, edges, board) = (server.clone(), edges.clone(), board.clone());
+            let (server, edges, shared) = (server.clone(), edges.clone(), shared.clone());
             thread::Builder::new()
                 .name("operators".to_owned())
-                .spawn(move || serve(&server, &*edges, &board))?;
+                .spawn(move || serve(&server, &*edges, &shared))?;
         }
         Ok(OperatorServer { address })
     }
@@ -54,10 +54,10 @@
     }
 }
 
-fn serve<E: Edges>(server: &tiny_http::Server, edges: &E, board: &SharedState) {
-    while !board.lifecycle.is_stopped() {
-        match server.recv_timeout(POLL) {
-            Ok(Some(request)) => handle(request, board, edges.clock().now_ms()),
+fn serve<E: Edges>(server: &tiny_http::Server, edges: &E, shared: &SharedState) {
+    while !shared.lifecycle.is_stopped() {
+        match server.recv_timeout(STOP_POLL) {
+            Ok(Some(request)) => handle(request, shared, edges.clock().now_ms()),
             Ok(None) => {}
             Err(error) => warn!("operators: A connection failed. {error}"),
         }
--- a/crates/mangowalkd/src/operator/status.rs
+++ b/crates/mangowalkd/src/operator/status.rs
@@ -12,34 +12,34 @@
 const SILENT_MS: u64 = 5_000;
 
 /// Returns the state of the instance.
-pub(super) fn status(board: &SharedState, now_ms: u64) -> InstanceStatus {
-    let view = board.config.view();
-    let id = &board.identity;
+pub(super) fn status(shared: &SharedState, now_ms: u64) -> InstanceStatus {
+    let view = shared.config.view();
+    let id = &shared.identity;
     InstanceStatus {
         caller_address: id.caller_address,
         peer_address: id.peer_address,
         failure_domain: id.failure_domain.clone(),
         incarnation: id.incarnation,
         program_version: env!("CARGO_PKG_VERSION").to_owned(),
-        phase: phase(board, &view),
+        phase: phase(shared, &view),
         revision: view.revision,
-        refused: board.config.read(RefusedRecord::of),
-        open_requests: board.lifecycle.open_requests(),
-        queued: board.dispatch.queued(),
-        slots: board.limits.slots(now_ms),
-        upstreams: upstreams(board, &view, now_ms),
-        peers: board
+        refused: shared.config.read(RefusedRecord::of),
+        open_requests: shared.lifecycle.open_requests(),
+        queued: shared.dispatch.queued(),
+        slots: shared.limits.slots(now_ms),
+        upstreams: upstreams(shared, &view, now_ms),
+        peers: shared
             .peers
             .reachable()
             .iter()
-            .map(|p| peer(p, now_ms))
+            .map(|p| peer_status(p, now_ms))
             .collect(),
-        control: board.traffic.counts(),
+        control: shared.traffic.counts(),
     }
 }
 
-fn phase(board: &SharedState, view: &View) -> Phase {
-    if board.lifecycle.is_departing() {
+fn phase(shared: &SharedState, view: &View) -> Phase {
+    if shared.lifecycle.is_departing() {
         return Phase::Departing;
     }
     if view.revision == 0 {
@@ -48,18 +48,24 @@
     Phase::Ready
 }
 
-fn upstreams(board: &SharedState, view: &View, now_ms: u64) -> Vec<UpstreamStatus> {
-    let sights = board.engines.snapshot();
+fn upstreams(shared: &SharedState, view: &View, now_ms: u64) -> Vec<UpstreamStatus> {
+    let known = shared.engines.snapshot();
     let engines = view
         .engines
         .values()
-        .map(|e| engine(e, sights.get(&e.name), now_ms));
-    engines.chain(view.services.values().map(service)).collect()
+        .map(|e| engine_status(e, known.get(&e.name), now_ms));
+    engines
+        .chain(view.services.values().map(service_status))
+        .collect()
 }
 
-fn engine(record: &EngineRecord, sight: Option<&KnownEngine>, now_ms: u64) -> UpstreamStatus {
-    let state = sight.and_then(|s| s.state.as_ref());
-    let word = match (sight, state) {
+fn engine_status(
+    record: &EngineRecord,
+    known: Option<&KnownEngine>,
+    now_ms: u64,
+) -> UpstreamStatus {
+    let state = known.and_then(|s| s.state.as_ref());
+    let state_name = match (known, state) {
         (None, _) => "unseen",
         (Some(_), None) => "silent",
         (Some(s), _) if now_ms.saturating_sub(s.seen_ms) > SILENT_MS => "silent",
@@ -71,16 +77,16 @@
         address: record.address,
         serves: record.model.clone(),
         departing: record.departing,
-        state: word.to_owned(),
+        state: state_name.to_owned(),
         version: state.map(|s| s.version.clone()),
-        in_flight: sight.map_or(0, |s| s.in_flight),
+        in_flight: known.map_or(0, |s| s.in_flight),
         running: state.map_or(0, |s| s.load.running),
         waiting: state.map_or(0, |s| s.load.waiting),
     }
 }
 
 /// Services report nothing, so only their record is known.
-fn service(record: &ServiceRecord) -> UpstreamStatus {
+fn service_status(record: &ServiceRecord) -> UpstreamStatus {
     UpstreamStatus {
         name: record.name.clone(),
         address: record.address,
@@ -94,26 +100,26 @@
     }
 }
 
-fn peer(sight: &KnownPeer, now_ms: u64) -> PeerStatus {
+fn peer_status(known: &KnownPeer, now_ms: u64) -> PeerStatus {
     PeerStatus {
-        caller_address: sight.view.caller_address,
-        failure_domain: sight.view.failure_domain.clone(),
-        ready: sight.view.ready,
-        departing: sight.view.departing,
-        silent_ms: now_ms.saturating_sub(sight.last_alive_ms),
+        caller_address: known.view.caller_address,
+        failure_domain: known.view.failure_domain.clone(),
+        ready: known.view.ready,
+        departing: known.view.departing,
+        silent_ms: now_ms.saturating_sub(known.last_alive_ms),
     }
 }
 
 /// Returns what the instance counted. It has a path of its own: at 230 teams it
 /// is hundreds of kilobytes, and the status is asked for far more often.
-pub(super) fn burn(board: &SharedState, now_ms: u64) -> InstanceBurn {
-    let view = board.config.view();
-    let mut teams = board.burn.publish(now_ms);
+pub(super) fn burn(shared: &SharedState, now_ms: u64) -> InstanceBurn {
+    let view = shared.config.view();
+    let mut teams = shared.burn.publish(now_ms);
     for team in &mut teams {
         team.tokens_per_s = view.rates.get(&team.team).map_or(0, |r| r.tokens_per_s);
     }
     InstanceBurn {
-        caller_address: board.identity.caller_address,
+        caller_address: shared.identity.caller_address,
         teams,
     }
 }
--- a/crates/mangowalkd/src/serve/poison.rs
+++ b/crates/mangowalkd/src/serve/poison.rs
@@ -1,6 +1,6 @@
 use {
     super::{ChatRequest, Router, ServiceRequest, attempt::Target},
-    crate::controller::tell_crashes,
+    crate::controller::report_crashes,
     log::warn,
     mangowalk_core::{
         attempt::{End, EndedAttempt},
@@ -87,7 +87,7 @@
         let now_ms = self.edges.clock().now_ms();
         if self.board.poison.crashed(upstream, crash, now_ms) {
             warn!("poison: {upstream} crashed; the most suspect of its requests are charged.");
-            tell_crashes(&*self.edges, &self.board);
+            report_crashes(&*self.edges, &self.board);
         }
     }
 
--- a/crates/mangowalkd/tests/config.rs
+++ b/crates/mangowalkd/tests/config.rs
@@ -43,7 +43,7 @@
 /// never says anything. The other routers hear of the withdrawal from the
 /// platform, and this one from them.
 #[test]
-fn a_router_whose_watch_is_silent_learns_from_peers() {
+fn a_router_with_a_silent_watch_takes_records_from_peers() {
     let fleet = fleet(2, &[]);
     let silent = fleet.platform.silent_address();
     let router = RouterProcess::start(PROGRAM, silent, &[&seeds(&fleet)]);
@@ -88,7 +88,7 @@
 /// No one holds a record, so callers are told that nothing ran and when to
 /// come back; a guess would accept withdrawn keys.
 #[test]
-fn without_platform_and_peers_nothing_runs() {
+fn requests_are_refused_without_platform_and_peers() {
     let router = RouterProcess::start(PROGRAM, free_address(), &[]);
     eventually("the router listens", || models(&router).status != 0);
     let answer = models(&router);
@@ -102,7 +102,7 @@
 /// time, because it can't know which are withdrawn; then it says that nothing
 /// ran. When the platform is back it serves again.
 #[test]
-fn a_router_that_is_cut_off_stops_after_a_bounded_time() {
+fn an_isolated_router_refuses_requests_after_the_stale_limit() {
     let fleet = fleet(1, &["--stale-config-ms=2000"]);
     let router = &fleet.routers[0];
     fleet.platform.set_faults(PlatformFaults {
@@ -121,7 +121,7 @@
 /// but routers hear each other. Nobody can withdraw a key meanwhile, so
 /// callers are served on.
 #[test]
-fn peers_that_hear_each_other_outlast_an_outage_of_the_platform() {
+fn connected_peers_serve_through_a_platform_outage() {
     let fleet = fleet(3, &["--stale-config-ms=3000"]);
     eventually("the routers know each other", || {
         let answer = Answer::get(fleet.routers[0].address(), "/v1/addresses", &[]);
@@ -186,7 +186,7 @@
 /// A record that can't be read is refused alone: the team keeps the rate that
 /// it had, and the record written after it is in force.
 #[test]
-fn a_bad_record_is_refused_alone() {
+fn a_bad_record_does_not_affect_other_records() {
     let fleet = fleet(1, &[]);
     let router = &fleet.routers[0];
     fleet
--- a/crates/mangowalkd/tests/config_status.rs
+++ b/crates/mangowalkd/tests/config_status.rs
@@ -64,7 +64,7 @@
 /// the lease is the only object that one instance keeps writing. When the
 /// writer dies, the next one finds what was written and leaves it.
 #[test]
-fn status_is_written_once() {
+fn unchanged_status_is_not_written_again() {
     let mut fleet = fleet(3);
     eventually("every record has its status", || {
         fleet.platform.list("status").len() == 7
--- a/crates/mangowalkd/tests/docs.rs
+++ b/crates/mangowalkd/tests/docs.rs
@@ -42,7 +42,7 @@
 }
 
 /// Returns what stands in backticks in the table's rows.
-fn named_in(page: &str) -> Vec<String> {
+fn backquoted_names(page: &str) -> Vec<String> {
     page.lines()
         .filter(|line| line.starts_with('|'))
         .flat_map(|line| line.split('`').skip(1).step_by(2).map(str::to_owned))
@@ -53,7 +53,7 @@
 fn the_fault_table_names_tests_that_exist() {
     let page = fs::read_to_string(root().join("docs/faults.md")).expect("the page");
     let tests = test_names();
-    let unknown: Vec<String> = named_in(&page)
+    let unknown: Vec<String> = backquoted_names(&page)
         .into_iter()
         .filter(|name| !tests.contains(name))
         .collect();
--- a/crates/mangowalkd/tests/fault_pairs.rs
+++ b/crates/mangowalkd/tests/fault_pairs.rs
@@ -19,10 +19,10 @@
 
 /// Time from the start of the streams to the first fault, and from there to
 /// the second.
-const STEP: Duration = Duration::from_millis(60);
+const FAULT_DELAY: Duration = Duration::from_millis(60);
 
 /// Time for which a router stays frozen.
-const FROZEN: Duration = Duration::from_millis(400);
+const FREEZE_TIME: Duration = Duration::from_millis(400);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
@@ -52,13 +52,13 @@
 ];
 
 /// One fleet that meets a first fault together with every second one.
-struct Bench {
+struct FaultFleet {
     fleet: Fleet,
     round: usize,
 }
 
-impl Bench {
-    fn new() -> Bench {
+impl FaultFleet {
+    fn new() -> FaultFleet {
         let settings = FleetSettings {
             program: env!("CARGO_BIN_EXE_mangowalkd").to_owned(),
             routers: 2,
@@ -66,12 +66,12 @@
             router_args: vec!["--token-timeout-ms=600".to_owned()],
             ..FleetSettings::default()
         };
-        let bench = Bench {
+        let faults = FaultFleet {
             fleet: Fleet::start(&settings),
             round: 0,
         };
-        bench.wait_serving();
-        bench
+        faults.wait_serving();
+        faults
     }
 
     /// Waits until both routers serve with all engines: slots and sights of
@@ -95,7 +95,7 @@
         }
     }
 
-    fn bring(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::PlatformDown => self.fleet.platform.set_faults(PlatformFaults {
                 down: true,
@@ -128,7 +128,7 @@
             }),
             Fault::RouterFrozen => {
                 self.fleet.routers[0].freeze();
-                thread::sleep(FROZEN);
+                thread::sleep(FREEZE_TIME);
                 self.fleet.routers[0].thaw();
             }
             Fault::OtherRouterKilled => self.fleet.routers[1].kill(),
@@ -158,7 +158,7 @@
 
     /// Runs streams and an order while both faults come, and checks what the
     /// callers received.
-    fn meet(&mut self, first: Fault, second: Fault) {
+    fn run_pair(&mut self, first: Fault, second: Fault) {
         let name = format!("{first:?} and {second:?}");
         let address = self.fleet.routers[0].address();
         let prompts: Vec<String> = (0..STREAMS).map(|i| format!("{name} {i}")).collect();
@@ -169,14 +169,14 @@
                 thread::spawn(move || stream(address, &prompt))
             })
             .collect();
-        thread::sleep(STEP);
-        self.bring(first);
+        thread::sleep(FAULT_DELAY);
+        self.inject(first);
         let order = {
             let name = name.clone();
             thread::spawn(move || order(address, &name))
         };
-        thread::sleep(STEP);
-        self.bring(second);
+        thread::sleep(FAULT_DELAY);
+        self.inject(second);
         for (prompt, stream) in prompts.iter().zip(streams) {
             self.check_stream(prompt, &stream.join().expect("a caller"));
         }
@@ -242,59 +242,59 @@
 }
 
 /// Runs one first fault alone, twice, and with every other behind it.
-fn meets_every_other(first: Fault) {
-    let mut bench = Bench::new();
+fn run_with_every_fault(first: Fault) {
+    let mut faults = FaultFleet::new();
     for second in FAULTS {
-        bench.meet(first, second);
+        faults.run_pair(first, second);
     }
 }
 
 #[test]
 fn platform_down_with_every_other() {
-    meets_every_other(Fault::PlatformDown);
+    run_with_every_fault(Fault::PlatformDown);
 }
 
 #[test]
 fn platform_slow_with_every_other() {
-    meets_every_other(Fault::PlatformSlow);
+    run_with_every_fault(Fault::PlatformSlow);
 }
 
 #[test]
 fn replies_lost_with_every_other() {
-    meets_every_other(Fault::RepliesLost);
+    run_with_every_fault(Fault::RepliesLost);
 }
 
 #[test]
 fn engine_crash_with_every_other() {
-    meets_every_other(Fault::EngineCrash);
+    run_with_every_fault(Fault::EngineCrash);
 }
 
 #[test]
 fn engine_silent_with_every_other() {
-    meets_every_other(Fault::EngineSilent);
+    run_with_every_fault(Fault::EngineSilent);
 }
 
 #[test]
 fn events_lost_with_every_other() {
-    meets_every_other(Fault::EventsLost);
+    run_with_every_fault(Fault::EventsLost);
 }
 
 #[test]
 fn answers_crossed_with_every_other() {
-    meets_every_other(Fault::AnswersCrossed);
+    run_with_every_fault(Fault::AnswersCrossed);
 }
 
 #[test]
 fn service_reply_lost_with_every_other() {
-    meets_every_other(Fault::ServiceReplyLost);
+    run_with_every_fault(Fault::ServiceReplyLost);
 }
 
 #[test]
 fn router_frozen_with_every_other() {
-    meets_every_other(Fault::RouterFrozen);
+    run_with_every_fault(Fault::RouterFrozen);
 }
 
 #[test]
 fn other_router_killed_with_every_other() {
-    meets_every_other(Fault::OtherRouterKilled);
+    run_with_every_fault(Fault::OtherRouterKilled);
 }
--- a/crates/mangowalkd/tests/membership.rs
+++ b/crates/mangowalkd/tests/membership.rs
@@ -28,7 +28,7 @@
     serde_json::from_value(answer.json()["addresses"].clone()).unwrap_or_default()
 }
 
-fn eventually_names(router: &RouterProcess, count: usize) {
+fn eventually_lists(router: &RouterProcess, count: usize) {
     eventually("the instance names the right number", || {
         addresses(router).len() == count
     });
@@ -37,45 +37,45 @@
 /// An instance is killed while the platform's list still shows it. Callers
 /// are no longer told of it, because its peers got no answer.
 #[test]
-fn a_killed_instance_is_no_longer_named() {
+fn a_killed_instance_is_no_longer_listed() {
     let mut fleet = fleet(3);
-    eventually_names(&fleet.routers[0], 3);
+    eventually_lists(&fleet.routers[0], 3);
     fleet.routers[2].kill();
-    eventually_names(&fleet.routers[0], 2);
-    eventually_names(&fleet.routers[1], 2);
+    eventually_lists(&fleet.routers[0], 2);
+    eventually_lists(&fleet.routers[1], 2);
     assert_eq!(fleet.platform.list("instance").len(), 3, "the list lags");
 }
 
 /// An instance is paused and goes on. It is not named meanwhile, and named
 /// again once it contradicts the suspicion.
 #[test]
-fn a_frozen_instance_is_named_again_when_it_goes_on() {
+fn a_frozen_instance_is_listed_again_after_it_resumes() {
     let fleet = fleet(3);
-    eventually_names(&fleet.routers[0], 3);
+    eventually_lists(&fleet.routers[0], 3);
     fleet.routers[2].freeze();
-    eventually_names(&fleet.routers[0], 2);
+    eventually_lists(&fleet.routers[0], 2);
     fleet.routers[2].thaw();
-    eventually_names(&fleet.routers[0], 3);
-    eventually_names(&fleet.routers[1], 3);
+    eventually_lists(&fleet.routers[0], 3);
+    eventually_lists(&fleet.routers[1], 3);
 }
 
 /// An instance restarts on its address. What is known of the one before it
 /// must not keep callers away.
 #[test]
-fn a_restarted_instance_is_named_again() {
+fn a_restarted_instance_is_listed_again() {
     let mut fleet = fleet(2);
-    eventually_names(&fleet.routers[0], 2);
+    eventually_lists(&fleet.routers[0], 2);
     fleet.routers[1].kill();
-    eventually_names(&fleet.routers[0], 1);
+    eventually_lists(&fleet.routers[0], 1);
     fleet.routers[1].start_again();
-    eventually_names(&fleet.routers[0], 2);
+    eventually_lists(&fleet.routers[0], 2);
 }
 
 /// Callers who ask the same instance are not all sent to one.
 #[test]
 fn callers_are_spread_over_instances() {
     let fleet = fleet(3);
-    eventually_names(&fleet.routers[0], 3);
+    eventually_lists(&fleet.routers[0], 3);
     let first: BTreeSet<SocketAddr> = (0..40)
         .filter_map(|_| addresses(&fleet.routers[0]).first().copied())
         .collect();
@@ -110,7 +110,7 @@
 /// An instance hears that it is suspected. Its answer must outrank the
 /// suspicion, or those who only hear of it from others keep callers away.
 #[test]
-fn a_suspected_instance_contradicts() {
+fn a_suspected_instance_raises_its_heartbeat() {
     let address = free_address();
     let identity = Identity {
         caller_address: address,
@@ -118,7 +118,7 @@
         failure_domain: "a".to_owned(),
         incarnation: 7,
     };
-    let board = SharedState::new(identity, DispatchSettings::default());
+    let shared = SharedState::new(identity, DispatchSettings::default());
     let view = |port: u16, heartbeat, suspected| InstanceView {
         caller_address: SocketAddr::from(([127, 0, 0, 1], port)),
         peer_address: SocketAddr::from(([127, 0, 0, 1], port)),
@@ -135,7 +135,7 @@
         updates: vec![view(address.port(), 5, true)],
         crashes: Vec::new(),
     };
-    let reply = answer(&LiveEdges::new(free_address()), &board, &request);
+    let reply = answer(&LiveEdges::new(free_address()), &shared, &request);
     let PeerReply::Exchange { from, .. } = reply else {
         panic!("no exchange: {reply:?}");
     };
--- a/crates/mangowalkd/tests/rollout.rs
+++ b/crates/mangowalkd/tests/rollout.rs
@@ -75,7 +75,7 @@
 /// by the old version or by the new one: an engine is drained before it
 /// loads, and put back once it answered.
 #[test]
-fn callers_notice_nothing_of_a_rollout() {
+fn a_rollout_interrupts_no_request() {
     let fleet = fleet(2, true);
     change_version_under_traffic(&fleet, 4);
 }
@@ -84,7 +84,7 @@
 /// wait. Some wait for the old version when its last engine is drained, and
 /// get the new one.
 #[test]
-fn queued_callers_notice_nothing_of_a_rollout() {
+fn a_rollout_interrupts_no_queued_request() {
     let fleet = Fleet::start(&FleetSettings {
         program: env!("CARGO_BIN_EXE_mangowalkd").to_owned(),
         engines: 2,
@@ -102,13 +102,13 @@
     eventually("the routers serve", || {
         (0..routers).all(|r| fleet.chat(r, "warm", 2, false).status == 200)
     });
-    let over = AtomicBool::new(false);
+    let finished = AtomicBool::new(false);
     thread::scope(|scope| {
         for caller in 0..callers {
-            let over = &over;
+            let finished = &finished;
             scope.spawn(move || {
                 let mut turn = 0;
-                while !over.load(Ordering::SeqCst) {
+                while !finished.load(Ordering::SeqCst) {
                     let prompt = format!("caller {caller} turn {turn}");
                     let answer = fleet.chat(caller % routers, &prompt, 20, true);
                     let expected = Fleet::expected(&prompt, 20);
@@ -120,7 +120,7 @@
         }
         write_version(fleet, "v2");
         eventually_all_serve(fleet, "v2");
-        over.store(true, Ordering::SeqCst);
+        finished.store(true, Ordering::SeqCst);
     });
     let plan = fleet.platform.get("rollout", MODEL).expect("a plan").body;
     assert!(plan["failure"].is_null(), "{plan}");
@@ -129,7 +129,7 @@
 /// The weights of a version can't be loaded. One engine meets it; the rollout
 /// stops, says why, and every engine serves the old version.
 #[test]
-fn a_version_that_does_not_load_stops_by_itself() {
+fn a_version_that_does_not_load_stops_the_rollout() {
     let fleet = fleet(2, true);
     for engine in &fleet.engines {
         engine.set_faults(EngineFaults {
@@ -154,7 +154,7 @@
 /// version before it, not to the one before the last. Written back by the
 /// operators, that version clears the failure.
 #[test]
-fn a_version_that_does_not_answer_goes_back() {
+fn a_version_that_does_not_answer_is_rolled_back() {
     let fleet = fleet(2, true);
     write_version(&fleet, "v2");
     eventually("the first rollout is noted as done", || {
@@ -185,7 +185,7 @@
 /// The instance that rolls out is killed while an engine is out. Another one
 /// takes over when the lease has lapsed, finds the mark and goes on.
 #[test]
-fn a_rollout_outlives_its_holder() {
+fn a_rollout_continues_after_its_lease_holder_dies() {
     let mut fleet = fleet(3, true);
     write_version(&fleet, "v2");
     let holder = eventually_holder(&fleet);
@@ -199,7 +199,7 @@
 /// lease has lapsed by its own clock, so it orders nothing; these engines
 /// would follow it, because they ignore fencing numbers.
 #[test]
-fn a_holder_that_wakes_up_gives_no_stale_order() {
+fn a_resumed_lease_holder_sends_no_stale_order() {
     let fleet = fleet(3, false);
     write_version(&fleet, "v2");
     let holder = eventually_holder(&fleet);
@@ -233,7 +233,7 @@
 /// A holder died after its engine had loaded and before the mark was gone.
 /// Left there, the mark would keep the engine idle for good.
 #[test]
-fn a_mark_that_was_left_behind_goes() {
+fn a_leftover_drain_mark_is_removed() {
     let fleet = fleet(2, true);
     let mark = json!({ "schema": 1, "model": MODEL });
     fleet.platform.put("drain", "engine-0", mark);
--- a/crates/mangowalkd/tests/settings.rs
+++ b/crates/mangowalkd/tests/settings.rs
@@ -8,7 +8,7 @@
 };
 
 /// Settings that can be used. Nothing is listened on: `--check` ends first.
-const GOOD: [(&str, &str); 4] = [
+const VALID_SETTINGS: [(&str, &str); 4] = [
     ("caller-address", "127.0.0.1:7000"),
     ("peer-address", "127.0.0.1:7001"),
     ("platform-address", "127.0.0.1:7002"),
@@ -16,7 +16,7 @@
 ];
 
 /// A flag, a value that can't be used, and what the message must hold.
-const BAD: &[(&str, &str, &str)] = &[
+const INVALID_SETTINGS: &[(&str, &str, &str)] = &[
     ("caller-address", "here", "such as 10.0.0.2:7000"),
     (
         "caller-address",
@@ -75,13 +75,13 @@
     format!("MANGOWALK_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-fn told(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 fn with_flags(changed: (&str, &str)) -> Output {
     let mut command = program();
-    for (flag, value) in GOOD.into_iter().filter(|(f, _)| *f != changed.0) {
+    for (flag, value) in VALID_SETTINGS.into_iter().filter(|(f, _)| *f != changed.0) {
         command.arg(format!("--{flag}={value}"));
     }
     let changed = format!("--{}={}", changed.0, changed.1);
@@ -94,7 +94,7 @@
 
 fn with_variables(changed: (&str, &str)) -> Output {
     let mut command = program();
-    for (flag, value) in GOOD.into_iter().filter(|(f, _)| *f != changed.0) {
+    for (flag, value) in VALID_SETTINGS.into_iter().filter(|(f, _)| *f != changed.0) {
         command.env(variable(flag), value);
     }
     command.env(variable(changed.0), changed.1);
@@ -102,43 +102,50 @@
 }
 
 #[test]
-fn good_settings_pass_by_flags_and_by_variables() {
+fn good_settings_are_accepted_from_flags_and_variables() {
     for given in [with_flags, with_variables] {
         let output = given(("operator-address", "127.0.0.1:7003"));
-        assert_eq!(output.status.code(), Some(0), "{}", told(&output));
+        assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
     }
 }
 
 #[test]
 fn each_bad_value_is_refused_with_its_remedy() {
-    for &(flag, value, remedy) in BAD {
+    for &(flag, value, remedy) in INVALID_SETTINGS {
         for (given, name) in [
             (with_flags as fn(_) -> _, format!("--{flag}")),
             (with_variables, variable(flag)),
         ] {
             let output: Output = given((flag, value));
-            let told = told(&output);
-            assert_eq!(output.status.code(), Some(2), "{name}={value}: {told}");
-            assert!(told.contains(remedy), "{name}={value}: {told}");
-            let named = told.contains(&name) || told.contains(&format!("--{flag}"));
-            assert!(named, "{name}={value}: {told}");
+            let stderr_text = stderr_text(&output);
+            assert_eq!(
+                output.status.code(),
+                Some(2),
+                "{name}={value}: {stderr_text}"
+            );
+            assert!(
+                stderr_text.contains(remedy),
+                "{name}={value}: {stderr_text}"
+            );
+            let named = stderr_text.contains(&name) || stderr_text.contains(&format!("--{flag}"));
+            assert!(named, "{name}={value}: {stderr_text}");
         }
     }
 }
 
 #[test]
 fn a_missing_setting_is_named() {
-    for (missing, _) in GOOD {
+    for (missing, _) in VALID_SETTINGS {
         let mut command = program();
-        for (flag, value) in GOOD.into_iter().filter(|(f, _)| *f != missing) {
+        for (flag, value) in VALID_SETTINGS.into_iter().filter(|(f, _)| *f != missing) {
             command.arg(format!("--{flag}={value}"));
         }
         let output = command.output().expect("the program");
         assert_eq!(output.status.code(), Some(2));
         assert!(
-            told(&output).contains(&format!("--{missing}")),
+            stderr_text(&output).contains(&format!("--{missing}")),
             "{}",
-            told(&output)
+            stderr_text(&output)
         );
     }
 }
@@ -161,21 +168,21 @@
         .filter_map(|line| line.split_once('=').map(|(flag, _)| flag))
         .filter(|flag| flag.chars().all(|c| c.is_ascii_lowercase() || c == '-'))
         .collect();
-    assert!(flags.len() >= GOOD.len(), "{help}");
+    assert!(flags.len() >= VALID_SETTINGS.len(), "{help}");
     for flag in flags {
         assert!(
             help.contains(&format!("[env:{}:", variable(flag))),
             "{flag}"
         );
         assert!(
-            BAD.iter().any(|(f, _, _)| *f == flag),
+            INVALID_SETTINGS.iter().any(|(f, _, _)| *f == flag),
             "{flag} has no bad value"
         );
     }
 }
 
 #[test]
-fn the_page_says_what_the_program_says() {
+fn the_settings_page_contains_the_help_text() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/settings.md");
     let page = fs::read_to_string(page).expect("docs/settings.md");
     assert!(
--- a/crates/mangowalkd/tests/status.rs
+++ b/crates/mangowalkd/tests/status.rs
@@ -7,8 +7,8 @@
     std::{collections::BTreeSet, net::SocketAddr, net::UdpSocket, thread, time::Duration},
 };
 
-const MOST_LOOKS: u32 = 200;
-const PAUSE: Duration = Duration::from_millis(50);
+const MAX_POLLS: u32 = 200;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A fleet of one router that listens to operators.
 fn fleet(more: &[&str]) -> (Fleet, SocketAddr) {
@@ -27,11 +27,11 @@
 }
 
 fn chat_until_served(fleet: &Fleet) {
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if fleet.chat(0, "Is walnut in stock?", 4, true).status == 200 {
             return;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     panic!("the router served nothing");
 }
@@ -58,7 +58,7 @@
 /// Team names, load and the reasons of refusals are for operators. A caller,
 /// with a key or without, gets none of them at the callers' address.
 #[test]
-fn callers_see_nothing_of_it() {
+fn the_caller_address_exposes_no_operator_data() {
     let (fleet, _) = fleet(&[]);
     let bearer = format!("Bearer {}", Fleet::KEY);
     for path in ["/status", "/burn", "/explain"] {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_can_not_be_answered_is_said() {
+fn an_invalid_operator_request_gets_an_error() {
     let (fleet, operators) = fleet(&[]);
     let cases = [
         (Answer::get(operators, "/nothing", &[]), 404),
@@ -94,19 +94,19 @@
 /// The instance drains: its supervisor must see that it is not ready, while
 /// the operators' page still says why.
 #[test]
-fn a_departing_instance_says_so() {
+fn a_departing_instance_is_not_ready() {
     let (mut fleet, operators) = fleet(&[]);
     fleet.engines[0].set_faults(freeze());
     fleet.engines[1].set_faults(freeze());
     chat_in_the_background(&fleet);
     fleet.routers[0].terminate();
     let mut seen = 0;
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         seen = Answer::get(operators, "/ready", &[]).status;
         if seen == 503 {
             break;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     assert_eq!(seen, 503);
     let status = Answer::get(operators, "/status", &[]).json();
@@ -141,7 +141,9 @@
 #[test]
 fn metrics_are_sent() {
     let daemon = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    daemon.set_read_timeout(Some(PAUSE)).expect("a timeout");
+    daemon
+        .set_read_timeout(Some(POLL_INTERVAL))
+        .expect("a timeout");
     let address = daemon.local_addr().expect("an address");
     let (fleet, _) = fleet(&[&format!("--statsd-address={address}")]);
     chat_until_served(&fleet);
@@ -159,7 +161,7 @@
     ]
     .into();
     let mut packet = [0; 2_048];
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if let Ok(length) = daemon.recv(&mut packet) {
             let text = String::from_utf8_lossy(&packet[..length]).into_owned();
             missing.retain(|part| !text.contains(part));
