--- a/crates/mangowalkd/src/controller/cache_events.rs
+++ b/crates/mangowalkd/src/controller/cache_events.rs
@@ -5,16 +5,17 @@
     std::marker::PhantomData,
 };
 
-/// Pause between two rounds.
+/// Pause between two rounds of reads.
 const PERIOD_MS: u64 = 200;
 
-/// Engines asked in one round.
+/// Engines read in one round.
 const ENGINES_PER_ROUND: usize = 8;
 
-/// Reads engines' cache events, while the fleet is small enough that an
-/// instance can hold every block. Above that size nothing is read: 1.2
-/// million events a second over 350 instances are 3,400 for each, even with
-/// every event read once.
+/// Reads cache events from engines while the fleet is small enough for one
+/// instance to store every block.
+///
+/// In a larger fleet no events are read: 1.2 million events per second over
+/// 350 instances are 3,400 per instance, even if each event is read only once.
 pub struct CacheEventReader<E> {
     next: usize,
     edges: PhantomData<fn() -> E>,
--- a/crates/mangowalkd/src/controller/claim_writer.rs
+++ b/crates/mangowalkd/src/controller/claim_writer.rs
@@ -10,18 +10,18 @@
     std::{marker::PhantomData, time::Duration},
 };
 
-/// Longest wait for a write to be done; then the step ends, and the instance
-/// may stop.
+/// Maximum wait for a queued write. The step then ends, so that the controller
+/// notices when the instance stops.
 const MAX_WRITE_WAIT: Duration = Duration::from_millis(200);
 
 /// Pause after a failed call.
 const RETRY_MS: u64 = 1_000;
 
-/// Writes tried at a shutdown.
+/// Maximum number of writes attempted during shutdown.
 const MAX_SHUTDOWN_WRITES: usize = 1_024;
 
-/// Writes outcomes of claims, withdraws claims under which nothing was sent,
-/// and deletes claims that no copy of their request can meet any more.
+/// Writes the outcomes of claims, withdraws claims for which no request was
+/// sent, and deletes expired claims, which no retry of their request can meet.
 pub struct ClaimWriter<E> {
     next_epoch_ms: u64,
     edges: PhantomData<fn() -> E>,
@@ -55,7 +55,8 @@
         let written = edges
             .platform()
             .put(&epoch_key(), Expect::Version(version), &value);
-        // The one that wrote the epoch sweeps: one list in each epoch, fleet-wide.
+        // Only the instance that wrote the epoch deletes expired claims, so that
+        // the fleet lists the claims once per epoch.
         if let Ok(version) = written {
             shared
                 .claims
@@ -83,7 +84,7 @@
     }
 }
 
-/// Writes what still waits, at a shutdown. Stops at the first failure.
+/// Writes the queued claim writes during shutdown. Stops at the first failure.
 pub fn flush_claims<E: Edges>(edges: &E, shared: &SharedState) {
     for _ in 0..MAX_SHUTDOWN_WRITES {
         let Some(write) = shared.claims.next(Duration::ZERO) else {
@@ -91,7 +92,7 @@
         };
         if execute(edges, write).is_some() {
             warn!(
-                "claims: {} outcomes were not written; their callers are told that they are unknown.",
+                "claims: {} outcomes were not written; callers that retry get the outcome unknown.",
                 shared.claims.pending() + 1
             );
             return;
@@ -99,7 +100,7 @@
     }
 }
 
-/// Returns what is still to be done of a write.
+/// Performs a write, and returns what remains to be done of it.
 fn execute<E: Edges>(edges: &E, write: ClaimWrite) -> Option<ClaimWrite> {
     let platform = edges.platform();
     let result = match &write {
@@ -125,15 +126,16 @@
             };
         }
     };
-    // After a conflict the claim is not what this write was for: an earlier
-    // try took effect and its reply was lost.
+    // A conflict means that the claim has changed: an earlier attempt of this
+    // write took effect and its reply was lost.
     match result {
         Ok(_) | Err(PlatformError::Conflict { .. }) => None,
         Err(_) => Some(write),
     }
 }
 
-/// Looks for a claim by its nonce, and returns the condition to delete it.
+/// Returns the condition under which to delete the claim with this nonce, or
+/// `None` if it is not in the platform.
 fn find_claim<E: Edges>(
     edges: &E,
     key: &ObjectKey,
--- a/crates/mangowalkd/src/controller/config_watch.rs
+++ b/crates/mangowalkd/src/controller/config_watch.rs
@@ -10,16 +10,16 @@
     std::marker::PhantomData,
 };
 
-/// Time that one watch waits. One call in this time is all that an idle
-/// instance costs the platform.
+/// Maximum wait of one watch call. An idle instance makes one call to the
+/// platform in this time.
 const WATCH_WAIT_MS: u64 = 10_000;
 
-/// Shortest pause after a failed call. The pause is drawn from this to four
-/// times as much: instances that lost the platform together would otherwise
-/// all come back to it at once.
+/// Minimum pause after a failed call. The pause is random between this and four
+/// times as long, so that instances that lost the platform at the same time
+/// don't all retry at the same time.
 const RETRY_MS: u64 = 250;
 
-/// Keeps the records in force up to date with the platform.
+/// Updates the records in force from the platform, by a list and then watches.
 pub struct ConfigWatch<E> {
     listed: bool,
     edges: PhantomData<fn() -> E>,
@@ -49,12 +49,12 @@
     fn watch(&mut self, edges: &E, shared: &SharedState) -> Result<(), PlatformError> {
         let after = shared.config.read(|store| store.revision());
         let kinds = record_kinds();
-        // Each answer confirms the records, so that several must fit into the
-        // time for which they may be used.
+        // Each answer confirms the records. Several answers must fit into the
+        // time for which unconfirmed records may be used.
         let wait_ms = WATCH_WAIT_MS.min(shared.config.freshness().limit_ms / 4);
         let reply = edges.platform().watch(&as_strs(&kinds), after, wait_ms)?;
         if reply.compacted {
-            info!("config: The platform forgot revision {after}; listing again.");
+            info!("config: The platform has compacted revision {after}; listing again.");
             self.listed = false;
             return Ok(());
         }
--- a/crates/mangowalkd/src/controller/crashes.rs
+++ b/crates/mangowalkd/src/controller/crashes.rs
@@ -9,21 +9,23 @@
     std::{net::SocketAddr, thread},
 };
 
-/// Time that a peer has to answer.
+/// Timeout of one request to a peer.
 const ANSWER_TIMEOUT_MS: u64 = 250;
 
-/// Times that a peer is told. One that misses the news runs the request once
-/// more.
+/// Maximum attempts to report to one peer. A peer without the report runs the
+/// request once more.
 const MAX_TRIES: usize = 2;
 
-/// Peers told at once. The rest hears of it in the usual exchanges.
+/// Maximum number of peers that get the report directly. The others receive it
+/// in the periodic exchanges.
 const MAX_DIRECT_REPORTS: usize = 8;
 
-/// Tells peers of crashes at once.
+/// Reports crashes to peers immediately, and merges the crashes that they
+/// report.
 ///
-/// The caller of a request that crashes upstreams sends it again within a
-/// second, to another instance. Left to the usual exchanges, that instance
-/// would count the crashes from one again.
+/// The caller of a request that crashes upstreams retries within a second, at
+/// another instance. With the periodic exchanges alone, that instance would
+/// count the crashes from one again.
 pub fn report_crashes<E: Edges>(edges: &E, shared: &SharedState) {
     let request = PeerRequest::Crashes {
         crashes: shared.poison.reports(edges.clock().now_ms()),
@@ -32,10 +34,10 @@
         let all = members.all().map(|m| &m.view);
         all.map(|v| (v.suspected, v.peer_address)).collect()
     });
-    // One that is only suspected may well serve the next copy.
+    // Suspected peers come last, but are included: they may serve the retry.
     peers.sort_unstable();
     peers.truncate(MAX_DIRECT_REPORTS);
-    // All at once: one that is dead must not keep the news from the others.
+    // Reports are sent concurrently, so that a dead peer doesn't delay the others.
     thread::scope(|scope| {
         for (_, address) in peers {
             let request = &request;
@@ -57,10 +59,10 @@
             return;
         }
     }
-    warn!("poison: {address} was not told of a crash and hears of it later.");
+    warn!("poison: {address} did not receive a crash report; it gets it in a later exchange.");
 }
 
-/// Takes what a peer tells, and answers with what is known here.
+/// Merges a peer's crash reports, and returns all reports of this instance.
 pub(super) fn receive_crashes(
     shared: &SharedState,
     crashes: &[CrashReport],
--- a/crates/mangowalkd/src/controller/engine_poll.rs
+++ b/crates/mangowalkd/src/controller/engine_poll.rs
@@ -8,27 +8,27 @@
     std::marker::PhantomData,
 };
 
-/// Pause between two rounds.
+/// Pause between two rounds of polls.
 const PERIOD_MS: u64 = 250;
 
-/// Engines asked in one round of a fleet that is small enough to be known in
-/// full: each is asked once a second.
+/// Engines polled per round in a small fleet. At the maximum size each engine is
+/// polled once per second.
 const POLLS_PER_ROUND_SMALL_FLEET: usize = 8;
 
-/// Engines up to which a fleet counts as small. An instance may spend 4 KB a
-/// second on all its control, and one report takes about 400 bytes.
+/// Maximum number of engines in a small fleet. An instance may use 4 KB per
+/// second for all its control traffic, and one report takes about 400 bytes.
 const MAX_SMALL_FLEET_ENGINES: usize = 32;
 
-/// Engines asked in one round of a larger fleet. Reports are minutes old there;
-/// what an instance needs sooner it learns from its own attempts, and an
-/// engine that is another one by now refuses them as not run.
+/// Engines polled per round in a larger fleet. Reports are minutes old there.
+/// More recent state comes from the instance's own attempts, and an engine that
+/// has restarted refuses them as not run.
 const POLLS_PER_ROUND_LARGE_FLEET: usize = 1;
 
-/// Engines asked in one round while some were never asked. An instance that
-/// starts would otherwise refuse callers until it had come to every engine.
+/// Engines polled per round while some have not been polled yet. Otherwise a
+/// starting instance would refuse callers until it had polled every engine.
 const POLLS_PER_ROUND_AT_START: usize = 64;
 
-/// Reads what engines serve, a few in each round.
+/// Polls the state of engines, a few in each round.
 pub struct EnginePoll<E> {
     next: usize,
     edges: PhantomData<fn() -> E>,
--- a/crates/mangowalkd/src/controller/gossip.rs
+++ b/crates/mangowalkd/src/controller/gossip.rs
@@ -12,28 +12,28 @@
     std::net::SocketAddr,
 };
 
-/// Pause between two exchanges.
+/// Mean pause between two exchanges.
 const PERIOD_MS: u64 = 500;
 
-/// Pause between two exchanges until the instance is ready.
+/// Mean pause between two exchanges until the instance is ready.
 const STARTING_PERIOD_MS: u64 = 50;
 
-/// Time that a peer has to answer.
+/// Timeout of one request to a peer.
 const ANSWER_TIMEOUT_MS: u64 = 400;
 
-/// Times that a peer is asked before it is suspected. One lost connection is
-/// no death.
+/// Attempts before a peer is suspected. A single lost connection doesn't show
+/// that the peer is dead.
 const MAX_TRIES: u32 = 2;
 
-/// One exchange in this many goes to an instance that is suspected or only
-/// known by its address, so that a cut that heals is seen.
+/// One exchange in this many goes to a candidate address: that of a suspected
+/// peer, a seed, or an entry of the platform's list. This detects the end of a
+/// network partition.
 const CANDIDATE_EVERY: u64 = 8;
 
-/// Peers that a leaving instance tells.
+/// Maximum number of peers that get a departure notice.
 const MAX_DEPARTURE_NOTICES: usize = 3;
 
-/// Exchanges records, news of instances and crash counts with other
-/// instances.
+/// Exchanges records, membership updates and crash counts with other instances.
 pub struct Gossip<E: Edges> {
     seeds: Vec<SocketAddr>,
     registry: Registry<E>,
@@ -43,7 +43,8 @@
 }
 
 impl<E: Edges> Gossip<E> {
-    /// Returns a controller that knows these peers at start.
+    /// Returns a controller that also tries these peer addresses, besides those in
+    /// the platform's list of instances.
     pub fn new(seeds: &[SocketAddr]) -> Gossip<E> {
         Gossip {
             seeds: seeds.to_vec(),
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Returns the peer to ask next: at random, so that no list of who asks
-    /// whom has to be agreed on.
+    /// Returns the peer for the next exchange. The choice is random, so that
+    /// instances need no agreed schedule.
     fn choose_peer(&self, shared: &SharedState) -> Option<SocketAddr> {
         let live = shared.peers.reachable();
         let known: Vec<SocketAddr> = live.iter().map(|m| m.view.peer_address).collect();
@@ -70,6 +71,8 @@
         known.choose(&mut random).copied()
     }
 
+    /// Returns addresses at which a peer may listen: those of suspected peers, the
+    /// seeds and the platform's list, without this instance and `known`.
     fn candidate_addresses(&self, shared: &SharedState, known: &[SocketAddr]) -> Vec<SocketAddr> {
         let suspected: Vec<SocketAddr> = shared.peers.read(|m| {
             let suspected = m.all().filter(|m| m.view.suspected);
@@ -108,8 +111,8 @@
         suspect(shared, address, edges.clock().now_ms());
     }
 
-    /// Raises the own counter where this instance has something new to say
-    /// of itself, so that the change outranks what is known of it.
+    /// Raises this instance's heartbeat when its readiness or departure changed,
+    /// so that the change overrides older state at peers.
     fn announce_change(&mut self, shared: &SharedState) {
         let current = (shared.lifecycle.is_ready(), shared.lifecycle.is_departing());
         if current != self.announced {
@@ -153,7 +156,8 @@
         } else {
             PERIOD_MS
         };
-        // Without jitter, instances that started together ask together.
+        // Without jitter, instances that started at the same time would make their
+        // exchanges at the same time.
         rand::rng().random_range(period_ms / 2..period_ms * 3 / 2)
     }
 
@@ -166,7 +170,8 @@
     }
 }
 
-/// Takes a peer's side of an exchange.
+/// Merges the membership updates and records of a peer's reply, and confirms
+/// the records in force if enough peers are live.
 fn apply_exchange<E: Edges>(
     edges: &E,
     shared: &SharedState,
@@ -189,10 +194,12 @@
     }
     let changed = shared.config.update(|store| store.merge_delta(delta));
     if changed > 0 {
-        info!("peers: Took {changed} records from a peer.");
+        info!("peers: Merged {changed} records from a peer.");
     }
 }
 
+/// Merges the view that a peer sent of itself, and the updates that it relayed.
+/// If an update suspects this instance, its own heartbeat is raised above it.
 fn merge_views(shared: &SharedState, from: &InstanceView, updates: &[InstanceView], now_ms: u64) {
     let id = &shared.identity;
     if from.caller_address != id.caller_address {
@@ -230,7 +237,8 @@
     }
 }
 
-/// Answers one request of a peer.
+/// Handles one request of a peer and returns the reply. Merges what the peer
+/// sent into the shared state.
 pub fn answer<E: Edges>(edges: &E, shared: &SharedState, request: &PeerRequest) -> PeerReply {
     let now_ms = edges.clock().now_ms();
     match request {
--- a/crates/mangowalkd/src/controller/lease_manager.rs
+++ b/crates/mangowalkd/src/controller/lease_manager.rs
@@ -12,11 +12,11 @@
     std::net::SocketAddr,
 };
 
-/// Instances that try to get a lease. More would only read it for nothing;
-/// with fewer, two deaths at once would leave it untaken.
+/// Instances that try to get a lease. More would cause useless reads; with
+/// fewer, nobody would take it after two instances died at the same time.
 const CANDIDATES: usize = 3;
 
-/// Pause between two reads of a lease that another instance holds.
+/// Interval between two reads of a lease that another instance holds.
 const POLL_INTERVAL_MS: u64 = 1_000;
 
 #[derive(Debug, Clone, Copy)]
@@ -25,7 +25,7 @@
     Held(Lease<Held>),
 }
 
-/// Takes and renews one lease of the platform.
+/// Acquires, renews and releases one lease in the platform.
 pub(super) struct LeaseManager {
     name: String,
     nonce: u64,
@@ -34,7 +34,7 @@
 }
 
 impl LeaseManager {
-    /// Returns a keeper of the lease with a name.
+    /// Returns a manager of the lease with this name.
     pub(super) fn new(name: &str, now_ms: u64) -> LeaseManager {
         LeaseManager {
             name: name.to_owned(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes or renews the lease where that is due, and returns it if held.
+    /// Acquires or renews the lease if that is due, and returns it if it is held.
     pub(super) fn maintain<E: Edges>(
         &mut self,
         edges: &E,
@@ -53,7 +53,7 @@
         let now_ms = edges.clock().now_ms();
         match self.state {
             State::Held(held) if !held.is_valid(now_ms) => {
-                info!("lease: {} lapsed.", self.name);
+                info!("lease: {} expired.", self.name);
                 self.state = State::Watching(held.lost(now_ms));
             }
             State::Held(held) if held.needs_renewal(now_ms) => {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Gives the lease back, so that another instance takes it at once.
+    /// Releases the lease, so that another instance can take it immediately.
     pub(super) fn release<E: Edges>(&mut self, edges: &E) {
         let now_ms = edges.clock().now_ms();
         if let State::Held(held) = self.state {
@@ -98,7 +98,8 @@
         held: Lease<Held>,
         requested_ms: u64,
     ) {
-        // Without a reply nothing is known, and the lease runs on to its end.
+        // Without a reply the outcome is unknown, and the lease lasts until its
+        // current expiry.
         if let Some(version) = self.write(edges, shared, Expect::Version(held.fencing())) {
             self.state = State::Held(held.renewed(version, requested_ms));
         }
@@ -124,13 +125,16 @@
             version => Expect::Version(version),
         };
         if let Some(version) = self.write(edges, shared, expect) {
-            info!("lease: Holding {} with number {version}.", self.name);
+            info!(
+                "lease: Holding {} with fencing number {version}.",
+                self.name
+            );
             self.state = State::Held(watching.acquired(version, now_ms));
         }
     }
 
-    /// Writes the lease and returns its version. A lost reply is read back: a
-    /// write of this keeper is known by its nonce.
+    /// Writes the lease and returns its version. After a lost reply the lease is
+    /// read, and the nonce shows whether this write took effect.
     fn write<E: Edges>(&mut self, edges: &E, shared: &SharedState, expect: Expect) -> Option<u64> {
         self.nonce = rand::random();
         let body = json!({
@@ -151,8 +155,9 @@
     }
 }
 
-/// Returns whether this instance is among those that try to get a lease. All
-/// instances that see the same others come to the same answer without a word.
+/// Returns whether this instance is among those that try to get a lease. The
+/// choice uses rendezvous hashing, so that instances with the same set of live
+/// peers agree without communication.
 pub(super) fn is_candidate(shared: &SharedState, lease: &str) -> bool {
     let weight = |address: SocketAddr| digest_of(&format!("{lease}/{address}"));
     let own = weight(shared.identity.caller_address);
--- a/crates/mangowalkd/src/controller/mod.rs
+++ b/crates/mangowalkd/src/controller/mod.rs
@@ -1,5 +1,5 @@
-//! Controllers: each reads the board, speaks to one outside system, and
-//! writes its part of the board.
+//! Controllers: each reads the shared state, calls one external system, and
+//! writes its part of the shared state.
 
 mod cache_events;
 mod claim_writer;
--- a/crates/mangowalkd/src/controller/model_rollout.rs
+++ b/crates/mangowalkd/src/controller/model_rollout.rs
@@ -16,7 +16,8 @@
     },
 };
 
-/// What the holder of a lease works on.
+/// State of a rollout at the lease holder: the plan as last saved to the
+/// platform with its version, and the engines with drain marks.
 struct RolloutState {
     rollout: Rollout,
     saved: Plan,
@@ -24,7 +25,7 @@
     drained: BTreeSet<String>,
 }
 
-/// One model's rollout: the lease, and the work while it is held.
+/// One model's rollout: its lease, and its state while the lease is held.
 pub(super) struct ModelRollout<E> {
     model: String,
     lease: LeaseManager,
@@ -32,7 +33,8 @@
     edges: PhantomData<fn() -> E>,
 }
 
-/// Returns the name of the lease under which a model's engines get orders.
+/// Returns the name of the lease under which orders are sent to a model's
+/// engines.
 pub(super) fn lease_name(model: &str) -> String {
     format!("rollout.{model}")
 }
@@ -47,8 +49,8 @@
         }
     }
 
-    /// Returns whether the platform holds the outcome for a version, or this
-    /// instance has none to write.
+    /// Returns whether the outcome for a version is saved in the platform, or this
+    /// instance has no outcome to save.
     pub(super) fn is_settled(&self, version: &str) -> bool {
         self.work.as_ref().is_none_or(|work| {
             let plan = &work.saved;
@@ -56,22 +58,24 @@
         })
     }
 
-    /// Gives the lease back. What was done stands on the platform.
+    /// Releases the lease. The saved plan and drain marks stay in the platform.
     pub(super) fn release(&mut self, edges: &E) {
         self.work = None;
         self.lease.release(edges);
     }
 
-    /// Takes the next steps, if the lease is held. A failed call ends the
-    /// step; the work is then read again, because what took effect is not
-    /// known.
+    /// Runs the next step if the lease is held. A failed call ends the step. The
+    /// state is then loaded again, because it is unknown which writes took effect.
     pub(super) fn step(&mut self, edges: &E, shared: &SharedState, view: &View) {
         if self.lease.maintain(edges, shared).is_none() {
             self.work = None;
             return;
         }
         if let Err(error) = self.run_step(edges, shared, view) {
-            warn!("rollout: {} waits. {error}", self.model);
+            warn!(
+                "rollout: A step for {} failed and is tried again. {error}",
+                self.model
+            );
             self.work = None;
         }
     }
@@ -105,7 +109,7 @@
         Ok(())
     }
 
-    /// Reads what the holder before left: its plan and its marks.
+    /// Loads the plan and the drain marks that the previous lease holder saved.
     fn load_state(&self, edges: &E) -> Result<RolloutState, PlatformError> {
         let object = edges.platform().get(&self.plan_key())?;
         let plan_version = object.as_ref().map_or(0, |o| o.version);
@@ -156,9 +160,9 @@
         view.engines.values().filter(of_model).collect()
     }
 
-    /// Returns what engines serve: those that are out as they say now, the
-    /// others as last seen. Asking all of them in each step would hold up the
-    /// renewal of the lease behind each dead one.
+    /// Returns the state of engines: drained ones are polled now, the others have
+    /// their last known state. Polling all engines in each step would delay the
+    /// renewal of the lease by the timeout of each dead one.
     fn read_states(
         &self,
         edges: &E,
@@ -223,16 +227,16 @@
         work: &mut RolloutState,
         engine: &str,
     ) -> Result<(), PlatformError> {
-        info!("rollout: Putting {engine} back.");
+        info!("rollout: Undraining {engine}.");
         let key = ObjectKey::new(own_kind::DRAIN, engine);
         edges.platform().delete(&key, Expect::Any)?;
         work.drained.remove(engine);
         Ok(())
     }
 
-    /// Gives an order. The lease is checked against the clock right before:
-    /// the calls since the last look may have taken longer than it lasts, or
-    /// the process may have been paused.
+    /// Orders an engine to load a version. The lease is checked again right before
+    /// the order, because it may have expired during the calls since the last
+    /// check or while the process was paused.
     fn order(&self, edges: &E, engine: &EngineRecord, work: &mut RolloutState, version: &str) {
         let Some(lease) = self.lease.held(edges.clock().now_ms()) else {
             return;
@@ -245,9 +249,9 @@
         };
         let reply = edges.engines().order(engine.address, &order);
         if let Ok(OrderReply::OldFencing { highest }) = reply {
-            // A later holder is at work; it says nothing about the version.
+            // A later lease holder is active. The reply is no result for the version.
             warn!(
-                "rollout: {} follows a holder with number {highest}.",
+                "rollout: {} refused the order; it follows a holder with fencing number {highest}.",
                 engine.name
             );
             return;
--- a/crates/mangowalkd/src/controller/probe.rs
+++ b/crates/mangowalkd/src/controller/probe.rs
@@ -4,21 +4,21 @@
     engine::{GeneratePayload, GenerateRequest},
 };
 
-/// Longest silence of an engine within a probe. It is shorter than a lease,
-/// so that a mute engine doesn't cost the lease.
+/// Maximum wait for each event of a probe. It is shorter than a lease, so that
+/// the lease isn't lost to an engine that sends nothing.
 const EVENT_TIMEOUT_MS: u64 = 1_500;
 
-/// Events that are read before a probe counts as failed.
+/// Maximum number of events that are read before a probe counts as failed.
 const MAX_EVENTS: usize = 8;
 
-/// What a probe asks. It belongs to no team, so that it shares no cache.
+/// Prompt of a probe. It belongs to no team, so that it shares no cache.
 const PROMPT: &str = "Answer with one word.";
 
-/// Lowest priority: callers go first.
+/// Lowest priority, so that requests of callers go first.
 const PRIORITY: u8 = 9;
 
-/// Lets an engine generate a token, and returns whether the answer is whole
-/// and of the right version and start.
+/// Makes an engine generate one token. Returns whether the answer is complete
+/// and has this version and incarnation.
 pub(super) fn probe<E: Edges>(
     edges: &E,
     engine: &EngineRecord,
@@ -39,7 +39,7 @@
     };
     let mut events = edges.engines().generate(engine.address, &request);
     let mut tokens = 0;
-    // A token, the final event, and what else an engine may interleave.
+    // One token, the final event, and any events that an engine interleaves.
     for _ in 0..MAX_EVENTS {
         let Ok(Some(event)) = events.wait(EVENT_TIMEOUT_MS) else {
             return false;
--- a/crates/mangowalkd/src/controller/record_status.rs
+++ b/crates/mangowalkd/src/controller/record_status.rs
@@ -13,21 +13,22 @@
     std::{collections::BTreeMap, marker::PhantomData},
 };
 
-/// Pause between two comparisons.
+/// Pause between two comparisons of the current and the written status.
 const PERIOD_MS: u64 = 1_000;
 
-/// Pause of an instance that does not write status.
+/// Pause between two checks of an instance that doesn't hold the lease.
 const IDLE_MS: u64 = 2_000;
 
-/// Writes in one step. A new fleet writes the status of all its records; the
-/// platform takes several hundred writes a second from everyone together.
+/// Maximum number of writes in one step. A new fleet writes the status of all
+/// its records, and the platform accepts several hundred writes per second from
+/// all its users together.
 const MAX_WRITES_PER_STEP: usize = 20;
 
-/// Name of the lease under which status is written.
+/// Name of the lease that the writer of the status holds.
 const LEASE: &str = "status";
 
-/// Writes to the platform what became of each record, by one instance at a
-/// time, and only where it changed.
+/// Writes the status of each record (accepted or refused) to the platform. One
+/// instance at a time writes, and only status that changed.
 pub struct StatusWriter<E> {
     lease: LeaseManager,
     written: Option<BTreeMap<String, RecordStatus>>,
@@ -45,7 +46,8 @@
 }
 
 impl<E: Edges> StatusWriter<E> {
-    /// Reads what was written before, by whoever held the lease.
+    /// Loads the status that earlier lease holders wrote, unless it is loaded.
+    /// Returns `None` if the platform can't be read.
     fn read_written(&mut self, edges: &E) -> Option<()> {
         if self.written.is_none() {
             let list = edges.platform().list(&[own_kind::STATUS]).ok()?;
@@ -58,6 +60,8 @@
         Some(())
     }
 
+    /// Writes status that changed and deletes that of withdrawn records. Returns
+    /// `None` after a failed call.
     fn write_changes(&mut self, edges: &E, shared: &SharedState) -> Option<()> {
         self.read_written(edges)?;
         let wanted = shared.config.read(RecordStatus::of_all);
@@ -103,7 +107,7 @@
             return IDLE_MS;
         }
         if self.write_changes(edges, shared).is_none() {
-            warn!("status: The platform took no status; trying again.");
+            warn!("status: The status could not be written to the platform; trying again.");
             self.written = None;
         }
         PERIOD_MS
--- a/crates/mangowalkd/src/controller/registry.rs
+++ b/crates/mangowalkd/src/controller/registry.rs
@@ -10,26 +10,29 @@
     std::{collections::HashMap, marker::PhantomData, net::SocketAddr},
 };
 
-/// Pause between two reads of the platform's list of instances. Peers bring
-/// news within seconds; the list only finds who is known to no peer.
+/// Interval between two reads of the platform's list of instances. Membership
+/// updates arrive from peers within seconds; the list only adds instances that
+/// no peer knows.
 const LIST_INTERVAL_MS: u64 = 60_000;
 
-/// Pause before the list is read again while no other instance is known.
+/// Interval between two reads of the list while no peer is reachable.
 const ISOLATED_LIST_INTERVAL_MS: u64 = 2_000;
 
 /// Pause after a failed call.
 const RETRY_MS: u64 = 1_000;
 
-/// Time for which nobody heard of an instance before its object goes.
+/// Time for which an instance must not be live before its object is deleted.
 const REMOVE_AFTER_MS: u64 = 120_000;
 
-/// This instance's object in the platform's list, and the list.
+/// Registers this instance in the platform's list of instances, and reads the
+/// list.
 pub(super) struct Registry<E> {
     registered: bool,
     next_put_ms: u64,
     next_list_ms: u64,
     has_list: bool,
     peers: Vec<SocketAddr>,
+    /// Listed instances that aren't live, with the time when this was first seen.
     not_live_since_ms: HashMap<String, u64>,
     edges: PhantomData<fn() -> E>,
 }
@@ -51,10 +54,11 @@
 impl<E: Edges> Registry<E> {
     /// Registers the instance and reads the list, each when it is due.
     ///
-    /// Of two instances that start together, the one that registers later then
-    /// finds the other. Were the list read first, neither would, and both
-    /// would serve for seconds as if alone: slots are claimed for one, tokens
-    /// are asked of no one, and crashes told to no one.
+    /// Registration comes first, so that of two instances that start at the same
+    /// time, the one that registers later finds the other. If the list were read
+    /// first, neither would find the other and both would serve for seconds as if
+    /// isolated: each would claim the slots of a fleet of one, request tokens from
+    /// no peer, and report crashes to no peer.
     pub(super) fn step(&mut self, edges: &E, shared: &SharedState, now_ms: u64) {
         if !self.registered && now_ms >= self.next_put_ms {
             self.register(edges, shared, now_ms);
@@ -64,12 +68,12 @@
         }
     }
 
-    /// Returns the addresses for peers that the list names.
+    /// Returns the peer addresses of the listed instances, without this one.
     pub(super) fn peers(&self) -> &[SocketAddr] {
         &self.peers
     }
 
-    /// Returns whether the list was read.
+    /// Returns whether the list has been read.
     pub(super) fn has_list(&self) -> bool {
         self.has_list
     }
@@ -78,7 +82,7 @@
     pub(super) fn unregister(&mut self, edges: &E, shared: &SharedState) {
         self.registered = true;
         if let Err(error) = edges.platform().delete(&own_key(shared), Expect::Any) {
-            warn!("peers: This instance stays in the list for now. {error}");
+            warn!("peers: This instance could not be removed from the platform's list. {error}");
         }
     }
 
@@ -89,7 +93,7 @@
             "failure_domain": shared.identity.failure_domain,
             "operator_address": shared.operator_address,
         });
-        // A lost reply is harmless: the same write is sent again.
+        // After a lost reply the write is repeated. It is idempotent.
         self.registered = edges
             .platform()
             .put(&own_key(shared), Expect::Any, &body)
@@ -115,9 +119,10 @@
         self.remove_dead(edges, shared, &list, now_ms);
     }
 
-    /// Removes the objects of instances that nobody heard of for long. One
-    /// instance does it, the first among those that live, and only at the
-    /// version it read: an instance that registers anew stays.
+    /// Deletes the objects of instances that haven't been live for
+    /// [`REMOVE_AFTER_MS`]. Only the live instance with the lowest address does
+    /// so, and only at the version that it read, so that an instance that
+    /// registered again stays.
     fn remove_dead(&mut self, edges: &E, shared: &SharedState, list: &ListReply, now_ms: u64) {
         let live = shared.peers.live();
         let own = shared.identity.caller_address;
@@ -164,8 +169,9 @@
         .collect()
 }
 
-/// Returns a time between half of the given one and one and a half of it, so
-/// that instances that restart together don't call the platform together.
+/// Returns a random time between 0.5 and 1.5 times the given one, so that
+/// instances that restart at the same time don't call the platform at the same
+/// time.
 fn jittered_ms(time_ms: u64) -> u64 {
     rand::rng().random_range(time_ms / 2..time_ms * 3 / 2)
 }
--- a/crates/mangowalkd/src/controller/rollout.rs
+++ b/crates/mangowalkd/src/controller/rollout.rs
@@ -15,8 +15,7 @@
 /// Pause between two steps.
 const PERIOD_MS: u64 = 500;
 
-/// Carries changes of weights versions out, each model under a lease of its
-/// own.
+/// Runs the rollouts of weights versions, each model under its own lease.
 pub struct RolloutController<E: Edges> {
     models: BTreeMap<String, ModelRollout<E>>,
 }
@@ -39,9 +38,8 @@
         self.models
             .retain(|model, _| view.models.contains_key(model));
         for (model, record) in &view.models {
-            // What came of it is written down before the lease goes: an end
-            // that was not written would leave the next rollout to go back to
-            // the version before the last.
+            // The outcome is saved before the lease is released. Without it the
+            // next rollout would roll back to the version before the last one.
             let unsettled = |r: &ModelRollout<E>| !r.is_settled(&record.version);
             let wanted = (has_work(shared, &view, model)
                 || self.models.get(model).is_some_and(unsettled))
@@ -68,8 +66,9 @@
     }
 }
 
-/// Returns whether an engine of the model serves another version than the
-/// record asks for, or is marked. An idle model costs the platform nothing.
+/// Returns whether an engine of the model has a drain mark, or serves another
+/// version than the record specifies. A model without work causes no calls to
+/// the platform.
 fn has_work(shared: &SharedState, view: &View, model: &str) -> bool {
     let known = shared.engines.snapshot();
     let Some(record) = view.models.get(model) else {
--- a/crates/mangowalkd/src/controller/run.rs
+++ b/crates/mangowalkd/src/controller/run.rs
@@ -9,30 +9,31 @@
     },
 };
 
-/// Longest sleep before a controller looks whether it shall end.
+/// Interval at which a sleeping controller checks whether the instance stopped.
 const STOP_POLL: Duration = Duration::from_millis(100);
 
-/// A part of the instance that acts again and again.
+/// A task of the instance that runs periodically.
 pub trait Controller: Send + 'static {
-    /// The edges that it speaks through.
+    /// The edges that it calls external systems through.
     type Edges: Edges;
 
     /// Name of its thread and prefix of its log lines.
     const NAME: &'static str;
 
-    /// Acts once, and returns after how many milliseconds to act again.
+    /// Runs once, and returns the pause until the next run in milliseconds.
     fn step(&mut self, edges: &Self::Edges, shared: &SharedState, now_ms: u64) -> u64;
 
-    /// Acts a last time when the instance has served its last request: gives
-    /// back what it holds.
+    /// Runs once after the instance has served its last request, and releases
+    /// what the controller holds, such as leases.
     fn shut_down(&mut self, _edges: &Self::Edges, _board: &SharedState) {}
 }
 
-/// Runs a controller on a thread of its own until the instance stops.
+/// Runs a controller on its own thread until the instance stops, then shuts it
+/// down.
 ///
 /// # Errors
 ///
-/// Fails where the system gives no thread.
+/// Returns an error if the thread can't be created.
 pub fn spawn<C: Controller>(
     mut controller: C,
     edges: Arc<C::Edges>,
--- a/crates/mangowalkd/src/controller/slots.rs
+++ b/crates/mangowalkd/src/controller/slots.rs
@@ -10,34 +10,36 @@
     std::{marker::PhantomData, ops::ControlFlow},
 };
 
-/// Pause between two looks at the slots. A look costs the platform nothing.
+/// Interval between two checks of the slots. A check makes no call to the
+/// platform.
 const PERIOD_MS: u64 = 1_000;
 
 /// Pause between two batches of writes.
 const BATCH_PAUSE_MS: u64 = 20;
 
-/// Writes in one batch. In between, other instances that start at the same
-/// time come to their share.
+/// Maximum number of writes in one batch. The pause between batches lets other
+/// instances that start at the same time take their share.
 const BATCH_WRITES: usize = 32;
 
-/// Shortest and longest time between two lists. An instance that lacks slots
-/// starts with the shortest and doubles it each time.
+/// Bounds of the interval between two lists. At the start, after a change of the
+/// fleet and after a failed write the interval is the minimum, and it doubles
+/// with each list.
 const MIN_LIST_INTERVAL_MS: u64 = 1_000;
 const MAX_LIST_INTERVAL_MS: u64 = 30_000;
 
-/// Instances for which the longest time holds. A list takes about 77 KB, every
-/// 30 s more than half of what an instance may spend on all its control. In a
-/// larger fleet one instance holds less, so that its slots may stay longer
-/// with no one.
+/// Fleet size up to which the maximum interval isn't lengthened. A list takes
+/// about 77 KB, which every 30 s is more than half of what an instance may use
+/// for all its control traffic. In a larger fleet each instance holds fewer
+/// slots, so that the slots of one that died may stay unheld for longer.
 const INSTANCES_PER_LIST_INTERVAL: u32 = 32;
 
-/// Most by which a larger fleet lengthens that time.
+/// Maximum factor by which a larger fleet lengthens the interval.
 const MAX_LIST_INTERVAL_FACTOR: u32 = 10;
 
 /// Pause after a failed call.
 const RETRY_MS: u64 = 2_000;
 
-/// Holds this instance's share of the slots.
+/// Acquires, renews and releases this instance's share of the slots.
 pub struct SlotHolder<E> {
     next_list_ms: u64,
     list_interval_ms: u64,
@@ -73,8 +75,8 @@
         Ok(())
     }
 
-    /// Lists soon again after the number of instances changed: others give
-    /// slots back or lack some.
+    /// Shortens the list interval after the number of live instances changed,
+    /// because others then release slots or need more.
     fn update_live_count(&mut self, shared: &SharedState, now_ms: u64) {
         let live = live_instances(shared);
         if live != self.live {
@@ -130,12 +132,12 @@
     }
 }
 
-/// Releases every slot at a shutdown, so that others take them at once. Stops
-/// at the first failure: the leases end by themselves.
+/// Releases every slot during shutdown, so that other instances can take them
+/// immediately. Stops at the first failure, because the leases expire anyway.
 pub fn release_slots<E: Edges>(edges: &E, shared: &SharedState) {
     for write in shared.limits.close() {
         if execute(edges, shared, write).is_break() {
-            warn!("limits: Some slots were not released; they lapse with their leases.");
+            warn!("limits: Some slots were not released; they expire with their leases.");
             return;
         }
     }
@@ -149,7 +151,7 @@
     }
 }
 
-/// Writes a slot. The lease counts from before the write is sent.
+/// Writes a slot. Its lease starts at the time before the write is sent.
 fn put<E: Edges>(edges: &E, shared: &SharedState, slot: u32, expect: Expect) -> ControlFlow<()> {
     let key = slot_key(slot);
     let started_ms = edges.clock().now_ms();
@@ -168,8 +170,8 @@
         .apply_write_result(slot, started_ms, &result, now_ms)
 }
 
-/// Finds out whether a write whose reply was lost took effect. Only the very
-/// write counts: an older one of this process has a lease that ends earlier.
+/// Reads whether a write whose reply was lost took effect. The nonce must match
+/// this write: an older write of this process has a lease that expires earlier.
 fn read_back<E: Edges>(edges: &E, key: &ObjectKey, body: &SlotBody) -> Result<u64, PlatformError> {
     let object = edges.platform().get(key).map_err(|_| PlatformError::Lost)?;
     let held = object.filter(|o| slot_body(o).is_some_and(|b| b.nonce == body.nonce));
@@ -205,12 +207,13 @@
     shared.peers.live().len() as u32 + 1
 }
 
-/// Returns a pause between three quarters and five quarters of the given one.
+/// Returns a random pause between 0.75 and 1.25 times the given one.
 fn jittered(pause_ms: u64) -> u64 {
     pause_ms * 3 / 4 + rand::random_range(0..=pause_ms / 2)
 }
 
-/// Returns the longest time between two lists in a fleet of a size.
+/// Returns the maximum interval between two lists for this number of live
+/// instances.
 fn max_list_interval_ms(live: u32) -> u64 {
     let factor = live
         .div_ceil(INSTANCES_PER_LIST_INTERVAL)
