--- a/crates/mangowalkd/src/edge/clock.rs
+++ b/crates/mangowalkd/src/edge/clock.rs
@@ -3,7 +3,8 @@
     std::time::{Instant, SystemTime, UNIX_EPOCH},
 };
 
-/// The system's monotonic clock, counted from the start of the process.
+/// The system's monotonic clock, which counts from the creation of this value,
+/// and its wall clock.
 #[derive(Debug)]
 pub struct MonotonicClock {
     start: Instant,
--- a/crates/mangowalkd/src/edge/engines.rs
+++ b/crates/mangowalkd/src/edge/engines.rs
@@ -21,24 +21,24 @@
     },
 };
 
-/// Longest time that a call other than a generation may take.
+/// Timeout of a call other than a generation.
 const CALL_TIMEOUT_MS: u64 = 2_000;
 
-/// Events that an attempt may be ahead of its caller. A caller who reads
-/// slowly makes the engine wait, instead of filling the router's memory.
+/// Maximum number of events of an attempt that are buffered for its caller. A
+/// slow caller makes the engine wait instead of filling the router's memory.
 const MAX_BUFFERED_EVENTS: usize = 64;
 
-/// Stack of a thread that reads one attempt.
+/// Stack size of a thread that reads one attempt or cancels one.
 const READER_STACK_BYTES: usize = 128 << 10;
 
-/// Model engines over HTTP, their answers as server-sent events.
+/// HTTP client of model engines, which answer with server-sent events.
 #[derive(Debug, Default)]
 pub struct HttpEngines {
     traffic: Arc<Traffic>,
 }
 
 impl HttpEngines {
-    /// Returns engines whose reads are counted.
+    /// Returns a client that counts its calls of control in `traffic`.
     pub fn new(traffic: Arc<Traffic>) -> HttpEngines {
         HttpEngines { traffic }
     }
@@ -53,10 +53,10 @@
     }
 }
 
-/// Longest time that the reading thread of an attempt may live.
+/// Timeout of the HTTP call of an attempt, which bounds the life of its thread.
 const ATTEMPT_TIMEOUT_MS: u64 = 300_000;
 
-/// Events of one attempt, read on a thread of their own.
+/// Events of one attempt, which a separate thread reads.
 pub struct HttpEvents {
     events: Receiver<Result<GenerateEvent, SendError>>,
 }
@@ -124,7 +124,7 @@
         .with_body(body)
 }
 
-/// Reads events until the stream ends or nobody wants them.
+/// Reads events until the stream ends or the receiver is dropped.
 fn read_events(request: minreq::Request, sender: &Sender<Result<GenerateEvent, SendError>>) {
     let response = match prepare(request, ATTEMPT_TIMEOUT_MS).send_lazy() {
         Ok(response) => response,
--- a/crates/mangowalkd/src/edge/http.rs
+++ b/crates/mangowalkd/src/edge/http.rs
@@ -1,4 +1,4 @@
-//! What every HTTP client edge shares.
+//! Functions that all HTTP client edges share.
 
 use {
     mangowalk_core::edge::SendError,
@@ -7,11 +7,11 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// Longest answer that is read whole.
+/// Maximum number of bytes that are read of an answer's body.
 const MAX_BODY_BYTES: u64 = 16 << 20;
 
-/// Prepares a request that is sent once: no redirect is followed, and the
-/// connection is closed behind it.
+/// Prepares a request that is sent only once: redirects aren't followed, and the
+/// connection is closed after the answer.
 pub(super) fn prepare(request: minreq::Request, timeout_ms: u64) -> minreq::Request {
     request
         .with_follow_redirects(false)
@@ -19,10 +19,10 @@
         .with_timeout(timeout_ms.div_ceil(MS_PER_S).max(1))
 }
 
-/// Tells what a failed call means for the request.
+/// Returns whether a failed call may have sent the request, as an error.
 ///
-/// Only a refused connection shows that nothing was sent; every other failure
-/// may have come after the first byte left.
+/// Only a refused connection shows that nothing was sent. Every other failure
+/// may have occurred after the first byte was sent.
 pub(super) fn send_error(error: &minreq::Error) -> SendError {
     let minreq::Error::IoError(io) = error else {
         return SendError::Unreadable;
@@ -34,7 +34,13 @@
     }
 }
 
-/// Sends and reads the whole answer.
+/// Sends a request and reads the whole answer. Returns its status, content type
+/// and body.
+///
+/// # Errors
+///
+/// Returns [`SendError::Lost`] if the body is shorter or longer than declared,
+/// and the error of [`send_error`] if there is no answer.
 pub(super) fn exchange(
     request: minreq::Request,
     timeout_ms: u64,
@@ -57,12 +63,13 @@
     Ok((status, content_type, body))
 }
 
-/// What `minreq` makes of a connection that closed without an answer: status
-/// 503 with this reason.
+/// Reason phrase that `minreq` reports, with status 503, if the connection closed
+/// without an answer.
 const NO_STATUS_LINE: &str = "Server did not provide a status line";
 
-/// Tells an answer from a connection that closed without one. Taken for a
-/// status, a lost reply would look like a refusal before anything ran.
+/// Returns [`SendError::Lost`] if the connection closed without an answer.
+/// Without this check a lost reply would look like a refusal with status 503,
+/// before anything ran.
 pub(super) fn check_answered(response: &minreq::ResponseLazy) -> Result<(), SendError> {
     if response.reason_phrase == NO_STATUS_LINE {
         return Err(SendError::Lost);
--- a/crates/mangowalkd/src/edge/live.rs
+++ b/crates/mangowalkd/src/edge/live.rs
@@ -15,7 +15,7 @@
 }
 
 impl LiveEdges {
-    /// Returns edges towards a platform.
+    /// Returns edges that use the platform at this address.
     pub fn new(platform: SocketAddr) -> LiveEdges {
         let traffic = Arc::new(Traffic::default());
         LiveEdges {
@@ -30,7 +30,7 @@
 }
 
 impl LiveEdges {
-    /// Returns what the instance has spent on control.
+    /// Returns the counters of the instance's control traffic.
     pub fn traffic(&self) -> &Arc<Traffic> {
         &self.traffic
     }
--- a/crates/mangowalkd/src/edge/mod.rs
+++ b/crates/mangowalkd/src/edge/mod.rs
@@ -1,4 +1,5 @@
-//! The edges that a running instance uses.
+//! The edges of a running instance: clients of external systems and other
+//! instances, the server for peers, and the clock.
 
 mod clock;
 mod engines;
--- a/crates/mangowalkd/src/edge/peers.rs
+++ b/crates/mangowalkd/src/edge/peers.rs
@@ -17,16 +17,18 @@
     },
 };
 
-/// Largest message that is read from a peer.
+/// Maximum size of a message from a peer.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// Sockets kept for each peer, so that a slow answer holds up one asker.
+/// Maximum idle sockets per peer. Each request uses its own socket, so that a
+/// slow answer delays only one request.
 const MAX_IDLE_SOCKETS_PER_PEER: usize = 4;
 
-/// Threads that answer peers.
+/// Threads that answer requests of peers.
 const SERVER_THREADS: usize = 4;
 
-/// Other instances over `nng`: request and reply, encoded by `postcard`.
+/// Client of other instances: `nng` requests and replies, encoded with
+/// `postcard`.
 #[derive(Default)]
 pub struct NngPeers {
     idle: Mutex<HashMap<SocketAddr, Vec<Socket>>>,
@@ -34,7 +36,7 @@
 }
 
 impl NngPeers {
-    /// Returns peers whose messages are counted.
+    /// Returns a client that counts its messages in `traffic`.
     pub fn new(traffic: Arc<Traffic>) -> NngPeers {
         NngPeers {
             traffic,
@@ -57,8 +59,9 @@
         Ok(socket)
     }
 
-    /// Keeps a socket whose exchange ended well. One that timed out is
-    /// dropped, so that a late answer can't be taken for the next one's.
+    /// Returns a socket to the pool after a successful exchange. One that timed
+    /// out is dropped instead, so that its late answer can't be read as the answer
+    /// to the next request.
     fn return_to_pool(&self, address: SocketAddr, socket: Socket) {
         let Ok(mut idle) = self.idle.lock() else {
             return;
@@ -94,17 +97,18 @@
     socket.recv()
 }
 
-/// Answers other instances until it is dropped.
+/// Server that answers other instances until it is dropped.
 pub struct PeerServer {
     socket: Socket,
 }
 
 impl PeerServer {
-    /// Starts to listen.
+    /// Starts to listen, and answers each request with `answer`, on several
+    /// threads at the same time.
     ///
     /// # Errors
     ///
-    /// Fails where the address is in use.
+    /// Returns an error if the address can't be listened on.
     pub fn start(
         address: SocketAddr,
         answer: impl Fn(PeerRequest) -> PeerReply + Send + Sync + 'static,
@@ -128,7 +132,7 @@
     }
 }
 
-/// Serves one context: receive, answer, send, until the socket closes.
+/// Receives, answers and replies on one context until the socket closes.
 fn serve(context: &nng::Context, answer: &dyn Fn(PeerRequest) -> PeerReply) {
     let (wake, woken) = flume::bounded(1);
     let aio = nng::Aio::new(move |_, result| {
--- a/crates/mangowalkd/src/edge/platform.rs
+++ b/crates/mangowalkd/src/edge/platform.rs
@@ -9,17 +9,17 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// Longest time that an instance's call other than a watch may take.
+/// Timeout of an instance's call other than a watch.
 const CALL_TIMEOUT_MS: u64 = 2_000;
 
-/// The same for an operator's call. A person who is told that a slow platform
-/// was not reached repeats what might still be done.
+/// Timeout of an operator's call. It is longer, because an operator who sees that
+/// the platform was not reached repeats a write that may still take effect.
 const OPERATOR_TIMEOUT_MS: u64 = 10_000;
 
-/// Time that a watch's answer may take beyond its wait.
+/// Time that a watch call may take in addition to its wait.
 const WATCH_MARGIN_MS: u64 = 3_000;
 
-/// The platform's object API over HTTP.
+/// HTTP client of the platform's object API.
 #[derive(Debug)]
 pub struct HttpPlatform {
     base: String,
@@ -33,7 +33,8 @@
 }
 
 impl HttpPlatform {
-    /// Returns the platform at an address.
+    /// Returns a client of the platform at an address, which counts its calls in
+    /// `traffic`.
     pub fn new(address: SocketAddr, traffic: Arc<Traffic>) -> HttpPlatform {
         HttpPlatform {
             base: format!("http://{address}"),
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Returns the platform at an address for an operator's commands.
+    /// Returns a client for an operator's commands, with a longer timeout.
     pub fn for_operator(address: SocketAddr) -> HttpPlatform {
         HttpPlatform {
             call_timeout_ms: OPERATOR_TIMEOUT_MS,
@@ -72,7 +73,7 @@
             409 => Err(PlatformError::Conflict {
                 version: decode::<WriteReply>(&body)?.version,
             }),
-            // A gateway that gave up says nothing of what became of the write.
+            // A gateway's error doesn't show whether the write took effect.
             500.. => Err(PlatformError::Lost),
             status => Err(PlatformError::Refused { status }),
         }
--- a/crates/mangowalkd/src/edge/services.rs
+++ b/crates/mangowalkd/src/edge/services.rs
@@ -4,7 +4,7 @@
     std::net::SocketAddr,
 };
 
-/// Plain services over HTTP.
+/// HTTP client of plain services.
 #[derive(Debug, Default)]
 pub struct HttpServices;
 
--- a/crates/mangowalkd/src/edge/traffic.rs
+++ b/crates/mangowalkd/src/edge/traffic.rs
@@ -3,13 +3,12 @@
     std::sync::atomic::{AtomicU64, Ordering},
 };
 
-/// Bytes that the heads of one HTTP exchange take, request and answer
-/// together, as the clients here write them. Bodies are counted exactly.
+/// Estimated bytes of the headers of one HTTP exchange, request and answer
+/// together, for the clients of this module. Bodies are counted exactly.
 const HTTP_HEAD_BYTES: u64 = 300;
 
-/// What the instance has spent on control: everything but requests and their
-/// answers.
-/// Counts what the instance spends on control.
+/// Counters of the instance's control traffic: everything but callers' requests
+/// and their answers.
 #[derive(Debug, Default)]
 pub struct Traffic {
     platform_calls: AtomicU64,
@@ -21,7 +20,7 @@
 }
 
 impl Traffic {
-    /// Returns the counts since the start.
+    /// Returns the counts since the start of the instance.
     pub fn counts(&self) -> ControlTraffic {
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         ControlTraffic {
@@ -34,19 +33,19 @@
         }
     }
 
-    /// Counts one call of the platform.
+    /// Counts one call to the platform and the bytes of its answer.
     pub(super) fn count_platform_call(&self, body_bytes: usize) {
         add(&self.platform_calls, 1);
         add(&self.platform_bytes, body_bytes as u64 + HTTP_HEAD_BYTES);
     }
 
-    /// Counts one exchange with a peer.
+    /// Counts one exchange with a peer, with the bytes of both messages.
     pub(super) fn count_peer_exchange(&self, bytes: usize) {
         add(&self.peer_messages, 1);
         add(&self.peer_bytes, bytes as u64);
     }
 
-    /// Counts one read of an engine.
+    /// Counts one control call to an engine and the bytes of its answer.
     pub(super) fn count_engine_call(&self, body_bytes: usize) {
         add(&self.engine_calls, 1);
         add(&self.engine_bytes, body_bytes as u64 + HTTP_HEAD_BYTES);
