--- a/crates/mangowalkd/src/operator/candidates.rs
+++ b/crates/mangowalkd/src/operator/candidates.rs
@@ -11,15 +11,15 @@
     std::collections::HashSet,
 };
 
-/// Weighs the engines of a model for one request, without sending it.
+/// Computes the placement of one request without sending it.
 pub(super) struct PlacementPreview<'a> {
     shared: &'a SharedState,
     engines: Vec<&'a EngineRecord>,
     model: &'a str,
     version: &'a str,
     chain: Vec<u64>,
-    /// Engines that depart. Placement hears of a record a moment after it is
-    /// in force.
+    /// Departing engines. They are excluded here because placement applies a
+    /// record slightly later than the view.
     departing: HashSet<String>,
     now_ms: u64,
 }
@@ -48,17 +48,17 @@
         }
     }
 
-    /// Returns where the request would go now.
+    /// Returns the engine that the request would be sent to now.
     pub(super) fn choice(&self) -> Option<Choice> {
         self.choose(&self.departing, false)
     }
 
-    /// Returns how many whole blocks the prompt has.
+    /// Returns the number of whole blocks in the prompt.
     pub(super) fn blocks(&self) -> usize {
         self.chain.len()
     }
 
-    /// Returns every engine of the model, with why it could be used or not.
+    /// Returns every engine of the model, with the reason why it is usable or not.
     pub(super) fn candidates(&self) -> Vec<Candidate> {
         let known = self.shared.engines.snapshot();
         self.engines
@@ -77,7 +77,7 @@
     fn evaluate(&self, engine: &EngineRecord, known: Option<&KnownEngine>) -> (bool, String) {
         let no = |reason: &str| (false, reason.to_owned());
         if engine.departing {
-            return no("It departs and gets no new work.");
+            return no("It is departing and gets no new requests.");
         }
         let Some(state) = known.and_then(|s| s.state.as_ref()) else {
             return no("It does not answer.");
@@ -93,7 +93,7 @@
             return (
                 false,
                 format!(
-                    "It serves version {version}; this prefix keeps to {}.",
+                    "It serves version {version}; this prefix stays on {}.",
                     self.version
                 ),
             );
@@ -102,21 +102,21 @@
             return no("Attempts on it failed or it is at its limit of attempts.");
         }
         let Some(choice) = self.choose_only(engine, true) else {
-            return no("Placement knows of no answer from it yet.");
+            return no("Placement has no report from it yet.");
         };
         if self.choose_only(engine, false).is_none() {
             return no("It has no room for more of this instance's requests.");
         }
         let expected_ms = choice.expected_ms.round();
         let reason = format!(
-            "First token expected after {expected_ms} ms; it is believed to hold {} of {} blocks.",
+            "First token expected after {expected_ms} ms; it is estimated to have {} of {} blocks cached.",
             choice.held_blocks,
             self.blocks()
         );
         (true, reason)
     }
 
-    /// Weighs one engine as if there were no other.
+    /// Returns the placement if this engine were the only one of the model.
     fn choose_only(&self, engine: &EngineRecord, force: bool) -> Option<Choice> {
         let others = self.engines.iter().filter(|e| e.name != engine.name);
         let avoid = others.map(|e| e.name.clone()).collect();
--- a/crates/mangowalkd/src/operator/explain.rs
+++ b/crates/mangowalkd/src/operator/explain.rs
@@ -11,8 +11,8 @@
     },
 };
 
-/// Returns what the instance would do with a request now. Nothing is spent,
-/// queued or sent.
+/// Returns what the instance would do with a request now. The request spends no
+/// tokens, and is neither queued nor sent.
 pub(super) fn explain(shared: &SharedState, request: &ExplainRequest, now_ms: u64) -> ExplainReply {
     let view = shared.config.view();
     let mut reply = ExplainReply {
@@ -27,7 +27,8 @@
     reply
 }
 
-/// Follows the checks that a request passes before its turn.
+/// Runs the checks of admission before the queue, and appends a line for each to
+/// `steps`.
 fn admit(
     steps: &mut Vec<String>,
     shared: &SharedState,
@@ -52,7 +53,9 @@
     steps.push(format!("Model {model} is offered at version {version}."));
     let tokens = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
     let Some(rate) = view.rates.get(team) else {
-        steps.push(format!("Team {team} has no rate, so nothing is let in."));
+        steps.push(format!(
+            "Team {team} has no rate, so no request is admitted."
+        ));
         return Err(Refusal::RateLimited { retry_ms: 60_000 });
     };
     steps.push(format!(
@@ -68,7 +71,8 @@
     reserve(steps, shared, rate, request, tokens, now_ms)
 }
 
-/// Tells whether the request would get its tokens. They are put back at once.
+/// Checks whether the request would get its tokens. Tokens that are taken are
+/// refunded immediately.
 fn reserve(
     steps: &mut Vec<String>,
     shared: &SharedState,
@@ -92,7 +96,7 @@
     match limits.shortages(|s| s.missing_tokens(team, rate, tokens, now_ms)) {
         Some(missing_tokens) => {
             steps.push(format!(
-                "A look at the other instances a moment ago found {missing_tokens} tokens too few."
+                "The last query of other instances found {missing_tokens} tokens too few."
             ));
             Err(Refusal::RateLimited {
                 retry_ms: refill_ms(rate, missing_tokens),
@@ -102,7 +106,7 @@
     }
 }
 
-/// Weighs the engines as placement does.
+/// Chooses an engine as placement does, and adds the candidates to the reply.
 fn choose_engine(
     reply: &mut ExplainReply,
     shared: &SharedState,
@@ -127,7 +131,7 @@
         .choice()
         .ok_or_else(|| unavailable("Every engine is full; the request would wait or be refused"))?;
     reply.steps.push(format!(
-        "Of {} engines weighed, {} is expected to bring the first token soonest.",
+        "Of {} engines compared, {} has the earliest expected first token.",
         choice.candidate_count, choice.engine
     ));
     reply.engine = Some(choice.engine);
--- a/crates/mangowalkd/src/operator/handler.rs
+++ b/crates/mangowalkd/src/operator/handler.rs
@@ -11,10 +11,10 @@
     tiny_http::{Header, Method, Request, Response},
 };
 
-/// Longest body read: a prompt to explain.
+/// Maximum body size. The largest body holds a prompt to explain.
 const MAX_BODY_BYTES: u64 = 4 << 20;
 
-/// Answers one request of an operator.
+/// Answers one HTTP request of an operator.
 pub(super) fn handle(mut request: Request, shared: &SharedState, now_ms: u64) {
     let path = request.url().split('?').next().unwrap_or_default();
     match (request.method(), path) {
--- a/crates/mangowalkd/src/operator/mod.rs
+++ b/crates/mangowalkd/src/operator/mod.rs
@@ -1,7 +1,7 @@
-//! The edge towards operators: status, health and metrics' facts, read only.
+//! Read-only HTTP server for operators: status, health, counts and explanations.
 //!
-//! It has an address of its own, so that callers never see the names of teams
-//! or the load.
+//! It has its own address, so that callers never see the names of teams or the
+//! load.
 
 mod candidates;
 mod explain;
--- a/crates/mangowalkd/src/operator/server.rs
+++ b/crates/mangowalkd/src/operator/server.rs
@@ -12,14 +12,14 @@
     },
 };
 
-/// Threads that answer operators. Few on purpose: an operator's script that
-/// asks too often waits, and takes nothing from callers.
+/// Threads that answer operators. There are few of them, so that a script that
+/// sends too many requests waits and takes no resources from callers.
 const THREADS: usize = 2;
 
-/// Pause between two looks at whether to stop.
+/// Interval at which a thread checks whether the instance stopped.
 const STOP_POLL: Duration = Duration::from_millis(100);
 
-/// Listens to operators.
+/// HTTP server for operators. It runs until the instance stops.
 pub struct OperatorServer {
     address: SocketAddr,
 }
@@ -29,7 +29,8 @@
     ///
     /// # Errors
     ///
-    /// Fails where the address is in use.
+    /// Returns an error if the address can't be listened on or a thread can't be
+    /// created.
     pub fn start<E: Edges>(
         address: SocketAddr,
         edges: &Arc<E>,
@@ -48,7 +49,7 @@
         Ok(OperatorServer { address })
     }
 
-    /// Returns the address listened on.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/mangowalkd/src/operator/status.rs
+++ b/crates/mangowalkd/src/operator/status.rs
@@ -7,11 +7,10 @@
     },
 };
 
-/// Silence after which what an engine reported is no longer shown as its
-/// state.
+/// Time after an engine's last report from which it is shown as silent.
 const SILENT_MS: u64 = 5_000;
 
-/// Returns the state of the instance.
+/// Returns the status of the instance.
 pub(super) fn status(shared: &SharedState, now_ms: u64) -> InstanceStatus {
     let view = shared.config.view();
     let id = &shared.identity;
@@ -85,7 +84,8 @@
     }
 }
 
-/// Services report nothing, so only their record is known.
+/// Returns the status of a service. It holds only the record, because services
+/// send no reports.
 fn service_status(record: &ServiceRecord) -> UpstreamStatus {
     UpstreamStatus {
         name: record.name.clone(),
@@ -110,8 +110,8 @@
     }
 }
 
-/// Returns what the instance counted. It has a path of its own: at 230 teams it
-/// is hundreds of kilobytes, and the status is asked for far more often.
+/// Returns the counts of each team. They have a separate path, because they take
+/// hundreds of kilobytes for 230 teams and the status is read far more often.
 pub(super) fn burn(shared: &SharedState, now_ms: u64) -> InstanceBurn {
     let view = shared.config.view();
     let mut teams = shared.burn.publish(now_ms);
