--- a/crates/mangowalkd/src/metrics/client.rs
+++ b/crates/mangowalkd/src/metrics/client.rs
@@ -6,19 +6,19 @@
     },
 };
 
-/// Metrics that wait to be sent. When the queue is full, further ones are
-/// dropped: metrics may be lost, requests may not wait.
+/// Maximum number of queued metrics. When the queue is full, new ones are
+/// dropped, because requests must not wait for metrics.
 const QUEUE_CAPACITY: usize = 4_096;
 
-/// Start of every metric's name.
+/// Prefix of every metric's name.
 const PREFIX: &str = "mangowalk";
 
-/// Returns a client that sends to an address, each metric with the instance's
-/// address as a tag.
+/// Returns a statsd client that sends to `address`, and tags each metric with the
+/// address of the instance.
 ///
 /// # Errors
 ///
-/// Fails where the system gives no socket.
+/// Returns an error if no UDP socket can be opened.
 pub fn metrics_client(address: SocketAddr, instance: SocketAddr) -> io::Result<StatsdClient> {
     let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
     socket.set_nonblocking(true)?;
--- a/crates/mangowalkd/src/metrics/controller.rs
+++ b/crates/mangowalkd/src/metrics/controller.rs
@@ -8,14 +8,14 @@
 /// Pause between two reports.
 const PERIOD_MS: u64 = 1_000;
 
-/// Sends what the blackboard counted.
+/// Sends the counts of the shared state to statsd.
 pub struct MetricsReport<E> {
     client: StatsdClient,
     edges: PhantomData<fn() -> E>,
 }
 
 impl<E> MetricsReport<E> {
-    /// Returns a controller that sends through a client.
+    /// Returns a controller that sends through this client.
     pub fn new(client: StatsdClient) -> MetricsReport<E> {
         MetricsReport {
             client,
--- a/crates/mangowalkd/src/metrics/mod.rs
+++ b/crates/mangowalkd/src/metrics/mod.rs
@@ -1,6 +1,6 @@
-//! Metrics by statsd over UDP.
+//! Metrics, sent to statsd over UDP.
 //!
-//! A controller reads the blackboard each second and sends what changed, so
+//! A controller reads the shared state every second and sends the new counts, so
 //! that a request never waits for a metrics daemon.
 
 mod client;
