--- a/crates/mangowalkd/src/cli/machine.rs
+++ b/crates/mangowalkd/src/cli/machine.rs
@@ -6,10 +6,10 @@
     std::{env, path::PathBuf, process::ExitCode},
 };
 
-/// Path of the settings file where neither flag nor variable names one.
+/// Path of the settings file if neither the flag nor the variable gives one.
 const DEFAULT_SETTINGS: &str = "/etc/mangowalk/node.conf";
 
-/// Word that chooses this way of running.
+/// First argument that selects this command.
 pub(super) const MACHINE_COMMAND: &str = "machine";
 
 /// Arguments of `mangowalkd machine`.
@@ -29,7 +29,7 @@
     machine_args()
 }
 
-/// Runs `mangowalkd machine` with the arguments behind the command.
+/// Runs `mangowalkd machine` with the arguments that follow the command.
 pub(super) fn run_machine(given: &[std::ffi::OsString]) -> ExitCode {
     let args = match parser().run_inner(given) {
         Ok(args) => args,
--- a/crates/mangowalkd/src/cli/mod.rs
+++ b/crates/mangowalkd/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! Flags, environment variables and their checks.
+//! Command line of the program: flags, environment variables and their checks.
 
 mod args;
 mod machine;
--- a/crates/mangowalkd/src/cli/run.rs
+++ b/crates/mangowalkd/src/cli/run.rs
@@ -9,7 +9,8 @@
     std::{env, process::ExitCode},
 };
 
-/// Runs the program with the arguments of the process.
+/// Runs the program with the arguments of the process, and returns its exit code:
+/// 0 for success, 1 for a failure, 2 for settings that can't be used.
 pub fn run() -> ExitCode {
     let given: Vec<_> = env::args_os().skip(1).collect();
     if given.first().is_some_and(|word| word == MACHINE_COMMAND) {
--- a/crates/mangowalkd/src/cli/settings.rs
+++ b/crates/mangowalkd/src/cli/settings.rs
@@ -12,41 +12,46 @@
 /// Checked settings of one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// Address for callers.
+    /// Address for callers, which is also reported to them.
     pub caller_address: SocketAddr,
-    /// Address for other instances.
+    /// Address for other instances, which is also reported to them.
     pub peer_address: SocketAddr,
     /// Address of the platform's object API.
     pub platform_address: SocketAddr,
     /// Failure domain of this instance.
     pub failure_domain: String,
-    /// Peers to try while the platform is down.
+    /// Peer addresses to try at start while the platform is down.
     pub seed_peers: Vec<SocketAddr>,
-    /// Largest request body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Most requests open at once.
+    /// Maximum number of concurrently open requests.
     pub max_open_requests: usize,
-    /// Longest time that a request may take.
+    /// Maximum duration of a request.
     pub request_timeout_ms: u64,
-    /// Longest wait for an engine's first token.
+    /// Maximum wait for an engine's first token, after which the request is sent to
+    /// another engine.
     pub first_token_timeout_ms: u64,
-    /// Longest silence of a caller that sends or reads.
+    /// Maximum time without progress of a caller that sends its request or reads
+    /// its answer.
     pub caller_timeout_ms: u64,
-    /// Longest silence of an engine within an answer.
+    /// Maximum time between two tokens of an engine, after which the request
+    /// resumes at another engine.
     pub token_timeout_ms: u64,
-    /// Longest time that a shutdown waits for open requests.
+    /// Maximum time that a shutdown waits for open requests.
     pub drain_timeout_ms: u64,
-    /// What counts most when every engine is full.
+    /// Objective of admission when every engine is full.
     pub favour: AdmissionProfile,
-    /// Time to compute one missed block.
+    /// Time that an engine takes to compute one block of 64 prompt tokens that it
+    /// has not cached, in microseconds.
     pub compute_block_us: u64,
-    /// Shortest time for which a departing instance still serves.
+    /// Minimum time for which a departing instance still serves callers.
     pub depart_grace_ms: u64,
-    /// Time for which records are used while cut off.
+    /// Time for which records are used while neither the platform nor peers are
+    /// reachable.
     pub stale_config_ms: u64,
-    /// Address for operators.
+    /// Address for operators. `None` if the instance doesn't listen to them.
     pub operator_address: Option<SocketAddr>,
-    /// Address of a statsd daemon.
+    /// Address of a statsd daemon. `None` if no metrics are sent.
     pub statsd_address: Option<SocketAddr>,
 }
 
@@ -76,10 +81,10 @@
     }
 }
 
-/// Why settings were refused. Each message names the remedy.
+/// Reason why settings are refused. Each message says what to change.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum SettingsError {
-    /// An address that others are told names no host.
+    /// An address that other processes connect to is unspecified, such as 0.0.0.0.
     #[display(
         "{flag} is {address}, which others can't reach; give the IP number of one interface."
     )]
@@ -89,7 +94,7 @@
         /// Address given.
         address: SocketAddr,
     },
-    /// An address that others are told has no port.
+    /// An address that other processes connect to has port 0.
     #[display("{flag} is {address}; give a port above 0, since others are told this address.")]
     NoPort {
         /// Flag.
@@ -97,17 +102,17 @@
         /// Address given.
         address: SocketAddr,
     },
-    /// Two addresses are the same.
+    /// Two flags have the same address.
     #[display("{flag} and {other} are both {address}; give two ports.")]
     SameAddress {
         /// Flag.
         flag: &'static str,
-        /// Flag that was given the address before.
+        /// Earlier flag with this address.
         other: &'static str,
-        /// Address given twice.
+        /// Address of both flags.
         address: SocketAddr,
     },
-    /// A name is empty or holds blanks.
+    /// A name is empty or contains whitespace.
     #[display("{flag} is {text:?}; give a name without blanks, such as a rack's or a room's.")]
     Name {
         /// Flag.
@@ -115,7 +120,7 @@
         /// Text given.
         text: String,
     },
-    /// A part of a time is longer than the whole.
+    /// A timeout within a request is longer than the timeout of the request.
     #[display("{flag} is above --request-timeout-ms; give fewer milliseconds, or raise that.")]
     LongerThanRequest {
         /// Flag.
@@ -127,22 +132,22 @@
         /// Flag.
         flag: &'static str,
     },
-    /// A list of addresses can't be read.
+    /// An item of the list of seed peers can't be parsed.
     #[display(
         "--seed-peers holds {text:?}, which is no IP number and port; write it as 10.0.0.2:7001."
     )]
     SeedPeer {
-        /// Part that can't be read.
+        /// Item of the list that can't be parsed.
         text: String,
     },
 }
 
 impl Settings {
-    /// Checks the arguments.
+    /// Checks the arguments and returns the settings.
     ///
     /// # Errors
     ///
-    /// Returns the first argument that can't be used, and its remedy.
+    /// Returns an error for the first argument that can't be used.
     pub fn check(args: &Args) -> Result<Settings, SettingsError> {
         check_own_addresses(args)?;
         check_reachable("--platform-address", args.platform_address)?;
@@ -186,7 +191,7 @@
 }
 
 impl Settings {
-    /// Returns how requests are placed.
+    /// Returns the settings of placement.
     pub fn placement(&self) -> PlacementSettings {
         PlacementSettings {
             miss_us: self.compute_block_us as f64,
@@ -194,13 +199,14 @@
         }
     }
 
-    /// Returns how requests are admitted.
+    /// Returns the settings of admission.
     pub fn admission(&self) -> AdmissionSettings {
         AdmissionSettings::for_profile(self.favour)
     }
 }
 
-/// Checks the addresses that this instance listens on and tells others.
+/// Checks the addresses that this instance listens on. They must be reachable and
+/// differ from each other.
 fn check_own_addresses(args: &Args) -> Result<(), SettingsError> {
     let mut seen: Vec<(&'static str, SocketAddr)> = Vec::new();
     let all = [
@@ -223,7 +229,7 @@
     Ok(())
 }
 
-/// Checks an address that some process has to reach.
+/// Checks that an address can be connected to: it has a host and a port.
 fn check_reachable(flag: &'static str, address: SocketAddr) -> Result<(), SettingsError> {
     if address.ip().is_unspecified() {
         return Err(SettingsError::Unspecified { flag, address });
--- a/crates/mangowalkd/src/cli/usage.rs
+++ b/crates/mangowalkd/src/cli/usage.rs
@@ -1,26 +1,27 @@
-//! What an operator is told of arguments that can't be parsed.
+//! Error messages for arguments that can't be parsed.
 //!
-//! The parser names the text that it can't read, and nothing of a bad
-//! environment variable. Behind ten variables of a unit file that is a long
-//! search, so the flag or variable is found and named here.
+//! The parser's message holds only the text that it can't parse, not the name of
+//! the environment variable that it came from. That is hard to find among many
+//! variables of a unit file, so this module finds and names the flag or variable.
 
 use {
     bpaf::{OptionParser, ParseFailure},
     std::{env, process::ExitCode},
 };
 
-/// Exit code for arguments and settings that can't be used.
+/// Exit code for arguments or settings that can't be used.
 pub(super) const EXIT_USAGE: u8 = 2;
 
-/// Width to which help is wrapped.
+/// Line width of the help text, in columns.
 const HELP_WIDTH: usize = 90;
 
 const VARIABLE_PREFIX: &str = "MANGOWALK_";
 
-/// How the parser says that it can't read a text.
+/// Phrase in the parser's message for a text that it can't parse.
 const PARSE_FAILURE: &str = "couldn't parse";
 
-/// Prints help or a script, or why the arguments can't be used.
+/// Prints the parser's help, version or completion script, or an error message
+/// for arguments that can't be used. Returns the exit code.
 pub fn print_usage<T>(
     program: &str,
     options: &OptionParser<T>,
@@ -41,9 +42,10 @@
     ExitCode::from(EXIT_USAGE)
 }
 
-/// Returns what to tell of arguments that the parser refused with a message.
+/// Returns the error message for arguments that the parser refused with
+/// `message`.
 ///
-/// `parse` parses arguments again, and returns the parser's message if it
+/// `parse` runs the parser on other arguments, and returns its message if it
 /// refuses them.
 fn usage_message(message: &str, parse: &dyn Fn(&[String]) -> Option<String>) -> String {
     let given: Vec<String> = env::args().skip(1).collect();
@@ -54,7 +56,7 @@
     format!("{name} is {text:?}. {}", remedy(why))
 }
 
-/// Returns the flag or variable that can't be parsed, and its text.
+/// Returns the name of the flag or variable that can't be parsed, and its text.
 fn find_invalid_argument(
     given: &[String],
     message: &str,
@@ -77,8 +79,8 @@
         .map(|(flag, text)| (flag.to_owned(), text.to_owned()))
 }
 
-/// Finds the variable by giving each one's text as a flag: the parser names
-/// the text of a flag.
+/// Finds the variable by passing the text of each one as a flag, because the
+/// parser's message holds the text of a flag that it can't parse.
 fn find_variable(
     given: &[String],
     parse: &dyn Fn(&[String]) -> Option<String>,
@@ -95,8 +97,8 @@
     })
 }
 
-/// Returns what to write instead: the standard library's errors don't say, the
-/// project's own do.
+/// Returns what to write instead. The errors of the standard library don't say
+/// so and are replaced; the project's own errors do.
 fn remedy(why: &str) -> &str {
     if why.contains("socket address") {
         return "Write an IP number and port, such as 10.0.0.2:7000.";
