--- a/crates/mangowalkd/src/daemon.rs
+++ b/crates/mangowalkd/src/daemon.rs
@@ -28,19 +28,20 @@
     },
 };
 
-/// Pause between two looks at the open requests while draining.
+/// Interval at which open requests and controllers are checked during shutdown.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
 
-/// Time in which the listener takes notice of the stop.
+/// Time within which the listener notices the stop.
 const LISTENER_STOP_WAIT: Duration = Duration::from_millis(250);
 
-/// Time that controllers have to give back what they hold.
+/// Maximum time for controllers to shut down and release what they hold.
 const CONTROLLER_STOP_TIMEOUT_MS: u64 = 3_000;
 
-/// Bits of the incarnation below the time of the start.
+/// Number of low bits of the incarnation that are random. The others hold the
+/// start time.
 const INCARNATION_RANDOM_BITS: u32 = 16;
 
-/// Why an instance did not start. Each message names the remedy.
+/// Reason why an instance did not start. Each message says what to change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum StartError {
     /// The address for callers can't be listened on.
@@ -52,11 +53,11 @@
     /// The address for operators can't be listened on.
     #[display("--operator-address can't be listened on; check that no other process uses it.")]
     OperatorAddress,
-    /// The system gives no socket for metrics.
+    /// The UDP socket for metrics can't be opened.
     #[display("--statsd-address can't be sent to; give an IP number of this network.")]
     StatsdAddress,
-    /// The system gives no threads or signals.
-    #[display("The system gives no more threads; raise the limit of threads.")]
+    /// Threads or signal handlers can't be created.
+    #[display("No more threads can be created; raise the limit of threads.")]
     Threads,
 }
 
@@ -71,11 +72,12 @@
 }
 
 impl Daemon {
-    /// Starts every part.
+    /// Starts the servers and controllers of the instance.
     ///
     /// # Errors
     ///
-    /// Fails where an address is in use or the system gives no threads.
+    /// Returns an error if an address can't be listened on, or threads or sockets
+    /// can't be created.
     pub fn start(settings: Settings) -> Result<Daemon, Report<StartError>> {
         let signals = Signals::new([SIGTERM, SIGINT]).change_context(StartError::Threads)?;
         let edges = Arc::new(LiveEdges::new(settings.platform_address));
@@ -116,8 +118,9 @@
         })
     }
 
-    /// Waits for a signal, then drains: callers are sent elsewhere, open
-    /// requests end, and no request is cut off before the drain timeout.
+    /// Waits for a signal, then drains: callers get the addresses of other
+    /// instances, and open requests are served to their end. Only the drain timeout
+    /// cuts off requests, which makes the exit code a failure.
     pub fn wait(mut self) -> ExitCode {
         let _ = self.signals.forever().next();
         info!("daemon: Draining.");
@@ -145,8 +148,8 @@
         ExitCode::SUCCESS
     }
 
-    /// Serves what was accepted between the last look at the open requests
-    /// and the end of listening.
+    /// Waits for requests that were accepted between the last check of the open
+    /// requests and the end of listening.
     fn drain_late_requests(&self, deadline_ms: u64) {
         thread::sleep(LISTENER_STOP_WAIT);
         let clock = self.edges.clock();
@@ -155,8 +158,8 @@
         }
     }
 
-    /// Waits until the controllers gave back what they hold. One that is
-    /// stuck in a call does not keep the process.
+    /// Waits until the controllers have shut down. The wait has a timeout, so that
+    /// a controller that is stuck in a call doesn't keep the process running.
     fn join_controllers(&self) {
         let clock = self.edges.clock();
         let deadline_ms = clock.now_ms() + CONTROLLER_STOP_TIMEOUT_MS;
@@ -204,9 +207,9 @@
     ])
 }
 
-/// Returns a number that is higher at each start: what is said of the process
-/// before this one on the same address must rank lower. The random part tells
-/// two starts in one millisecond apart.
+/// Returns a number that is higher at each start, so that the state of an earlier
+/// process on the same address ranks lower. The random part distinguishes two
+/// starts in the same millisecond.
 fn incarnation(wall_ms: u64) -> u64 {
     let random = u64::from(rand::random::<u16>());
     (wall_ms << INCARNATION_RANDOM_BITS) | random
--- a/crates/mangowalkd/src/lib.rs
+++ b/crates/mangowalkd/src/lib.rs
@@ -1,5 +1,5 @@
-//! The mangowalk router: edges to the outside, the blackboard, and the
-//! controllers that read and write it.
+//! The mangowalk router: servers for callers and operators, the shared state, the
+//! controllers that read and write it, and the edges to external systems.
 
 pub mod caller;
 pub mod cli;
