--- a/crates/mangowalkd/tests/config.rs
+++ b/crates/mangowalkd/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration in force, through real processes.
+//! Which records routers use, tested with real processes.
 
 use {
     mangowalk_standins::{
@@ -20,7 +20,7 @@
     })
 }
 
-/// Asks for what any valid key may read.
+/// Requests the list of models, which any valid key may read.
 fn models(router: &RouterProcess) -> Answer {
     let bearer = format!("Bearer {}", Fleet::KEY);
     Answer::get(
@@ -39,9 +39,9 @@
     format!("--seed-peers={}", peers.join(","))
 }
 
-/// A caller keeps using a key that was withdrawn, at a router whose watch
-/// never says anything. The other routers hear of the withdrawal from the
-/// platform, and this one from them.
+/// A key is withdrawn while one router's watch of the platform returns nothing.
+/// The other routers get the change from the platform. This router must get it
+/// from them and refuse the key.
 #[test]
 fn a_router_with_a_silent_watch_takes_records_from_peers() {
     let fleet = fleet(2, &[]);
@@ -55,9 +55,9 @@
     });
 }
 
-/// A router restarts while the platform is down. Its callers are served,
-/// because it takes the records from a peer; and the key that was withdrawn
-/// before the outage stays refused.
+/// A router restarts while the platform is down. It takes the records from a
+/// peer, so that callers are served, and a key that was withdrawn before the
+/// outage stays refused.
 #[test]
 fn a_router_that_restarts_in_an_outage_takes_records_from_a_peer() {
     let fleet = fleet(2, &[]);
@@ -73,7 +73,7 @@
     let chat = json!({ "model": "drafting", "prompt": "still there?", "max_tokens": 2 });
     let bearer = format!("Bearer {}", Fleet::KEY);
     let headers = [("Authorization", bearer.as_str())];
-    eventually("it answers with tokens of its peers", || {
+    eventually("it serves with tokens granted by its peers", || {
         let path = "/v1/completions";
         Answer::post(router.address(), path, &headers, &chat.to_string()).status == 200
     });
@@ -84,9 +84,9 @@
     );
 }
 
-/// Every router and the platform are down, and the routers come back first.
-/// No one holds a record, so callers are told that nothing ran and when to
-/// come back; a guess would accept withdrawn keys.
+/// All routers and the platform were down, and a router restarts first, without
+/// any records. It must refuse requests as not run, with a time to retry,
+/// because it would otherwise accept withdrawn keys.
 #[test]
 fn requests_are_refused_without_platform_and_peers() {
     let router = RouterProcess::start(PROGRAM, free_address(), &[]);
@@ -98,9 +98,9 @@
     assert_eq!(Answer::get(router.address(), "/ready", &[]).status, 503);
 }
 
-/// A router loses platform and peers. It serves known keys for a bounded
-/// time, because it can't know which are withdrawn; then it says that nothing
-/// ran. When the platform is back it serves again.
+/// A router with no peers loses the platform. It serves known keys only for a
+/// bounded time, because it can't know which were withdrawn. Then it refuses
+/// requests as not run, until the platform is available again.
 #[test]
 fn an_isolated_router_refuses_requests_after_the_stale_limit() {
     let fleet = fleet(1, &["--stale-config-ms=2000"]);
@@ -117,13 +117,13 @@
     eventually("the router serves again", || models(router).status == 200);
 }
 
-/// The platform is down for longer than records may be used while cut off,
-/// but routers hear each other. Nobody can withdraw a key meanwhile, so
-/// callers are served on.
+/// The platform is down for longer than an isolated router may use its records,
+/// but the routers reach each other. No key can be withdrawn meanwhile, so
+/// callers must still be served.
 #[test]
 fn connected_peers_serve_through_a_platform_outage() {
     let fleet = fleet(3, &["--stale-config-ms=3000"]);
-    eventually("the routers know each other", || {
+    eventually("every router lists the others", || {
         let answer = Answer::get(fleet.routers[0].address(), "/v1/addresses", &[]);
         answer.json()["addresses"].as_array().map_or(0, Vec::len) == 3
     });
@@ -139,9 +139,9 @@
     }
 }
 
-/// An engine with one place is busy, and a second request waits for it. Its
-/// key is withdrawn meanwhile. The request is refused when its turn comes,
-/// and never reaches the engine; the stream that runs goes on to its end.
+/// A key is withdrawn while requests with it are queued for a busy engine with
+/// one slot. The queued requests must be refused and never reach the engine. The
+/// running stream must be served to its end.
 #[test]
 fn a_withdrawn_key_stops_queued_requests() {
     let fleet = Fleet::start(&FleetSettings {
@@ -183,8 +183,8 @@
     assert!(!prompts.keys().any(|p| p.contains("queued")), "{prompts:?}");
 }
 
-/// A record that can't be read is refused alone: the team keeps the rate that
-/// it had, and the record written after it is in force.
+/// A record of an unknown schema is refused. The earlier version of this record
+/// stays in force, and a record written later takes effect.
 #[test]
 fn a_bad_record_does_not_affect_other_records() {
     let fleet = fleet(1, &[]);
@@ -195,7 +195,7 @@
     fleet
         .platform
         .put("model", "other", json!({ "schema": 1, "version": "v1" }));
-    eventually("the record behind the bad one is in force", || {
+    eventually("the record written after the bad one is in force", || {
         models(router).body.contains("\"other\"")
     });
     assert_eq!(models(router).status, 200, "the team is still known");
--- a/crates/mangowalkd/tests/config_status.rs
+++ b/crates/mangowalkd/tests/config_status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of their records.
+//! The status that is written for operators' records.
 
 use {
     mangowalk_standins::{Fleet, FleetSettings, eventually},
@@ -19,9 +19,9 @@
     object.map_or(Value::Null, |o| o.body)
 }
 
-/// An operator writes a record that can't be read, and one in a newer form.
-/// The status of each says why and what would mend it, and which version is
-/// in force; that of the mended record says that it is accepted.
+/// An operator writes a record with an invalid value, and one with a newer
+/// schema. The status of each must say why it is refused, how to correct it and
+/// which version is in force. The corrected record must be accepted.
 #[test]
 fn status_says_why_a_record_is_refused() {
     let fleet = fleet(2);
@@ -51,7 +51,7 @@
     );
     let good = json!({ "schema": 1, "tokens_per_s": 9, "burst_tokens": 5 });
     fleet.platform.put("rate", "gallery", good);
-    eventually("the mended record is accepted", || {
+    eventually("the corrected record is accepted", || {
         status(&fleet, "rate.gallery")["accepted"] == json!(true)
     });
     fleet.platform.delete("rate", "gallery");
@@ -60,9 +60,8 @@
     });
 }
 
-/// Nothing changes for a while. No status is written again, whoever wrote it;
-/// the lease is the only object that one instance keeps writing. When the
-/// writer dies, the next one finds what was written and leaves it.
+/// The instance that writes status dies while no record changes. The next lease
+/// holder must read the written status and not write it again.
 #[test]
 fn unchanged_status_is_not_written_again() {
     let mut fleet = fleet(3);
--- a/crates/mangowalkd/tests/docs.rs
+++ b/crates/mangowalkd/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The fault table names only tests that exist.
+//! Checks that the fault table names only tests that exist.
 
 use std::{
     collections::BTreeSet,
@@ -41,7 +41,7 @@
         .map(|(name, _)| name.to_owned())
 }
 
-/// Returns what stands in backticks in the table's rows.
+/// Returns the text in backticks in the rows of the page's tables.
 fn backquoted_names(page: &str) -> Vec<String> {
     page.lines()
         .filter(|line| line.starts_with('|'))
--- a/crates/mangowalkd/tests/drain.rs
+++ b/crates/mangowalkd/tests/drain.rs
@@ -19,13 +19,13 @@
     serde_json::from_value(answer.json()["addresses"].clone()).unwrap_or_default()
 }
 
-/// An instance is told to stop while streams are open. Every stream ends
-/// whole, callers who kept the address are still served and are told of the
-/// other instance, and the process ends with success.
+/// An instance is terminated while streams are open. Every stream must complete.
+/// Callers that still use its address must be served and get the address of the
+/// other instance. The process must exit with success.
 #[test]
 fn a_shutdown_cuts_off_no_request() {
     let mut fleet = fleet();
-    eventually("both are named and serve", || {
+    eventually("both instances are listed and serve", || {
         addresses(&fleet, 0).len() == 2 && fleet.chat(0, "warm", 2, false).status == 200
     });
     let (leaving, staying) = (fleet.routers[0].address(), fleet.routers[1].address());
@@ -40,14 +40,14 @@
             fleet.engines.iter().map(running).sum::<u32>() == 6
         });
         fleet.routers[0].terminate();
-        eventually("the leaving instance names the other alone", || {
+        eventually("the departing instance lists only the other one", || {
             addresses(fleet, 0) == [staying]
         });
-        eventually("the other one no longer names it", || {
+        eventually("the other instance no longer lists it", || {
             addresses(fleet, 1) == [staying]
         });
         let late = fleet.chat(0, "late", 5, false);
-        assert_eq!(late.status, 200, "a kept address still serves");
+        assert_eq!(late.status, 200, "the departing instance still serves");
         for (i, stream) in streams.into_iter().enumerate() {
             let answer = stream.join().expect("a caller");
             assert_eq!(answer.streamed_text(), expected(i), "{}", answer.body);
@@ -55,7 +55,10 @@
         }
         thread::sleep(Duration::from_secs(1));
         let later = fleet.chat(0, "later", 5, false);
-        assert_eq!(later.status, 200, "it serves on when its streams are over");
+        assert_eq!(
+            later.status, 200,
+            "it still serves after its streams have ended"
+        );
     });
     let status = fleet.routers[0].wait().expect("a status");
     assert!(status.success(), "{status}");
--- a/crates/mangowalkd/tests/fault_pairs.rs
+++ b/crates/mangowalkd/tests/fault_pairs.rs
@@ -1,10 +1,9 @@
-//! Every fault alone, twice and together with every other, while streams and
-//! orders are under way.
+//! Every pair of faults, including a fault with itself, while streams and orders
+//! are in progress.
 //!
-//! What callers see must hold whatever comes: an admitted stream reaches its
-//! caller whole and in order, a refusal that says "not run" is true, and an
-//! order runs at most once even when its caller sends it again through
-//! another router.
+//! With every pair, an admitted stream must reach its caller complete and in
+//! order, a refusal as "not run" must be true, and an order must run at most once
+//! even if its caller retries through another router.
 
 use {
     mangowalk_standins::{
@@ -17,11 +16,11 @@
 const STREAMS: usize = 4;
 const TOKENS: u32 = 30;
 
-/// Time from the start of the streams to the first fault, and from there to
-/// the second.
+/// Time from the start of the streams to the first fault, and from the first to
+/// the second fault.
 const FAULT_DELAY: Duration = Duration::from_millis(60);
 
-/// Time for which a router stays frozen.
+/// Time for which a router is frozen.
 const FREEZE_TIME: Duration = Duration::from_millis(400);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -51,7 +50,7 @@
     Fault::OtherRouterKilled,
 ];
 
-/// One fleet that meets a first fault together with every second one.
+/// A fleet into which pairs of faults are injected.
 struct FaultFleet {
     fleet: Fleet,
     round: usize,
@@ -74,10 +73,11 @@
         faults
     }
 
-    /// Waits until both routers serve with all engines: slots and sights of
-    /// engines come a moment after a router is ready, and an engine that came
-    /// back is tried later still. Two faults take two engines, so a stream that
-    /// began with one of three missing would have none left to go on at.
+    /// Waits until both routers serve with all engines. Slots and engine states
+    /// arrive shortly after a router is ready, and an engine that restarted is
+    /// tried again later still. Two faults may disable two engines, so that a
+    /// stream that starts while one of three is missing would have no engine to
+    /// resume at.
     fn wait_serving(&self) {
         for router in 0..self.fleet.routers.len() {
             let name = format!("warm up {router} {}", self.round);
@@ -156,8 +156,8 @@
         self.wait_serving();
     }
 
-    /// Runs streams and an order while both faults come, and checks what the
-    /// callers received.
+    /// Runs streams and an order while both faults are injected, and checks the
+    /// answers to the callers.
     fn run_pair(&mut self, first: Fault, second: Fault) {
         let name = format!("{first:?} and {second:?}");
         let address = self.fleet.routers[0].address();
@@ -186,8 +186,8 @@
         self.check_orders(&name, &orders);
     }
 
-    /// The streams were admitted before the first fault, and one engine of
-    /// three is left by any two faults: each must reach its caller whole.
+    /// Checks that a stream is complete. It was admitted before the first fault,
+    /// and any two faults leave one engine of three.
     fn check_stream(&self, prompt: &str, answer: &Answer) {
         let expected = Fleet::expected(prompt, u64::from(TOKENS));
         assert_eq!(answer.status, 200, "{prompt}: {}", answer.body);
@@ -241,7 +241,8 @@
     )
 }
 
-/// Runs one first fault alone, twice, and with every other behind it.
+/// Runs pairs of this fault with every fault after it, itself included, in one
+/// fleet.
 fn run_with_every_fault(first: Fault) {
     let mut faults = FaultFleet::new();
     for second in FAULTS {
@@ -250,51 +251,51 @@
 }
 
 #[test]
-fn platform_down_with_every_other() {
+fn platform_down_with_every_other_fault() {
     run_with_every_fault(Fault::PlatformDown);
 }
 
 #[test]
-fn platform_slow_with_every_other() {
+fn platform_slow_with_every_other_fault() {
     run_with_every_fault(Fault::PlatformSlow);
 }
 
 #[test]
-fn replies_lost_with_every_other() {
+fn replies_lost_with_every_other_fault() {
     run_with_every_fault(Fault::RepliesLost);
 }
 
 #[test]
-fn engine_crash_with_every_other() {
+fn engine_crash_with_every_other_fault() {
     run_with_every_fault(Fault::EngineCrash);
 }
 
 #[test]
-fn engine_silent_with_every_other() {
+fn engine_silent_with_every_other_fault() {
     run_with_every_fault(Fault::EngineSilent);
 }
 
 #[test]
-fn events_lost_with_every_other() {
+fn events_lost_with_every_other_fault() {
     run_with_every_fault(Fault::EventsLost);
 }
 
 #[test]
-fn answers_crossed_with_every_other() {
+fn answers_crossed_with_every_other_fault() {
     run_with_every_fault(Fault::AnswersCrossed);
 }
 
 #[test]
-fn service_reply_lost_with_every_other() {
+fn service_reply_lost_with_every_other_fault() {
     run_with_every_fault(Fault::ServiceReplyLost);
 }
 
 #[test]
-fn router_frozen_with_every_other() {
+fn router_frozen_with_every_other_fault() {
     run_with_every_fault(Fault::RouterFrozen);
 }
 
 #[test]
-fn other_router_killed_with_every_other() {
+fn other_router_killed_with_every_other_fault() {
     run_with_every_fault(Fault::OtherRouterKilled);
 }
--- a/crates/mangowalkd/tests/membership.rs
+++ b/crates/mangowalkd/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is named to callers, and who gets work.
+//! Which instances are listed to callers, and which engines get requests.
 
 use {
     mangowalk_core::{
@@ -29,13 +29,13 @@
 }
 
 fn eventually_lists(router: &RouterProcess, count: usize) {
-    eventually("the instance names the right number", || {
+    eventually("the instance lists the expected number", || {
         addresses(router).len() == count
     });
 }
 
-/// An instance is killed while the platform's list still shows it. Callers
-/// are no longer told of it, because its peers got no answer.
+/// An instance is killed while it is still in the platform's list. Its peers get
+/// no answer from it and must stop listing it to callers.
 #[test]
 fn a_killed_instance_is_no_longer_listed() {
     let mut fleet = fleet(3);
@@ -43,11 +43,15 @@
     fleet.routers[2].kill();
     eventually_lists(&fleet.routers[0], 2);
     eventually_lists(&fleet.routers[1], 2);
-    assert_eq!(fleet.platform.list("instance").len(), 3, "the list lags");
+    assert_eq!(
+        fleet.platform.list("instance").len(),
+        3,
+        "the platform still lists it"
+    );
 }
 
-/// An instance is paused and goes on. It is not named meanwhile, and named
-/// again once it contradicts the suspicion.
+/// An instance is frozen and resumes. It must not be listed while it is frozen,
+/// and must be listed again after it has contradicted the suspicion.
 #[test]
 fn a_frozen_instance_is_listed_again_after_it_resumes() {
     let fleet = fleet(3);
@@ -59,8 +63,8 @@
     eventually_lists(&fleet.routers[1], 3);
 }
 
-/// An instance restarts on its address. What is known of the one before it
-/// must not keep callers away.
+/// An instance is killed and restarts on the same address. The state of the
+/// earlier process must not keep it from being listed.
 #[test]
 fn a_restarted_instance_is_listed_again() {
     let mut fleet = fleet(2);
@@ -71,7 +75,8 @@
     eventually_lists(&fleet.routers[0], 2);
 }
 
-/// Callers who ask the same instance are not all sent to one.
+/// Callers that get the address list from one instance must not all be sent to
+/// the same instance first.
 #[test]
 fn callers_are_spread_over_instances() {
     let fleet = fleet(3);
@@ -82,8 +87,8 @@
     assert_eq!(first.len(), 3);
 }
 
-/// An operator marks an engine as departing. Requests go to the other one
-/// alone a few seconds later, from every instance.
+/// An operator marks an engine as departing. Within a few seconds every instance
+/// must send requests only to the other engine.
 #[test]
 fn a_departing_upstream_gets_no_new_work() {
     let fleet = fleet(2);
@@ -92,7 +97,7 @@
     body["departing"] = json!(true);
     fleet.platform.put("upstream", "engine-0", body);
     let started = |n: usize| -> u64 { fleet.engines[n].prompts().values().sum() };
-    eventually("an answer of each instance leaves engine-0 out", || {
+    eventually("no instance sends requests to engine-0", || {
         let before = started(0);
         let served = (0..2).all(|router| {
             (0..4).all(|i| fleet.chat(router, &format!("q{i}"), 2, false).status == 200)
@@ -107,8 +112,8 @@
     assert_eq!(started(0), before);
 }
 
-/// An instance hears that it is suspected. Its answer must outrank the
-/// suspicion, or those who only hear of it from others keep callers away.
+/// An instance receives an update that suspects it. Its answer must override the
+/// suspicion, or instances that know it only from peer reports would not list it.
 #[test]
 fn a_suspected_instance_raises_its_heartbeat() {
     let address = free_address();
--- a/crates/mangowalkd/tests/rollout.rs
+++ b/crates/mangowalkd/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Changes of weights versions, through real processes.
+//! Rollouts of weights versions, tested with real processes.
 
 use {
     mangowalk_standins::{EngineFaults, EngineSettings, Fleet, FleetSettings, eventually},
@@ -46,7 +46,7 @@
     object.map(|o| o.body).unwrap_or_default()
 }
 
-/// Returns the number of the router that holds the lease.
+/// Returns the index of the router that holds the lease.
 fn holder(fleet: &Fleet) -> Option<usize> {
     let lease = fleet.platform.get("lease", &format!("rollout.{MODEL}"))?;
     let holder = lease.body["holder"].as_str()?.to_owned();
@@ -56,14 +56,15 @@
 
 fn eventually_holder(fleet: &Fleet) -> usize {
     let mut found = None;
-    eventually("an engine is drained by a holder", || {
+    eventually("a lease holder drains an engine", || {
         found = holder(fleet);
         found.is_some() && !fleet.platform.list("drain").is_empty()
     });
     found.unwrap_or_default()
 }
 
-/// Fencing numbers that an engine followed never fall.
+/// Asserts that the fencing numbers of the orders that an engine followed never
+/// decrease.
 fn assert_no_stale_order(fleet: &Fleet) {
     for engine in &fleet.engines {
         let numbers: Vec<u64> = engine.orders().iter().map(|o| o.fencing).collect();
@@ -71,18 +72,18 @@
     }
 }
 
-/// The version changes while callers send requests. Each is answered in full,
-/// by the old version or by the new one: an engine is drained before it
-/// loads, and put back once it answered.
+/// The version changes while callers send requests. Every request must be
+/// answered in full, by the old or the new version: an engine is drained before
+/// it loads, and undrained after it has answered a probe.
 #[test]
 fn a_rollout_interrupts_no_request() {
     let fleet = fleet(2, true);
     change_version_under_traffic(&fleet, 4);
 }
 
-/// The same with engines that serve one request at a time, so that requests
-/// wait. Some wait for the old version when its last engine is drained, and
-/// get the new one.
+/// The same with engines that serve one request at a time, so that requests are
+/// queued. Some wait for the old version when its last engine is drained. They
+/// must be answered by the new version.
 #[test]
 fn a_rollout_interrupts_no_queued_request() {
     let fleet = Fleet::start(&FleetSettings {
@@ -126,8 +127,8 @@
     assert!(plan["failure"].is_null(), "{plan}");
 }
 
-/// The weights of a version can't be loaded. One engine meets it; the rollout
-/// stops, says why, and every engine serves the old version.
+/// The weights of a version can't be loaded. The rollout must stop at the first
+/// engine and record the reason, and every engine must serve the old version.
 #[test]
 fn a_version_that_does_not_load_stops_the_rollout() {
     let fleet = fleet(2, true);
@@ -149,15 +150,15 @@
     });
 }
 
-/// A version was rolled out; the next one loads and gives no answers. The
-/// probe finds it before any caller does, and the engine goes back to the
-/// version before it, not to the one before the last. Written back by the
-/// operators, that version clears the failure.
+/// After a complete rollout, the next version loads but doesn't answer. The probe
+/// must fail before a caller's request does, and the engine must be rolled back
+/// to the version of the complete rollout, not to the one before it. When the
+/// operators write that version again, the failure must be cleared.
 #[test]
 fn a_version_that_does_not_answer_is_rolled_back() {
     let fleet = fleet(2, true);
     write_version(&fleet, "v2");
-    eventually("the first rollout is noted as done", || {
+    eventually("the first rollout is recorded as done", || {
         plan(&fleet)["done"] == json!(true) && all_serve(&fleet, "v2")
     });
     let orders = || -> usize { fleet.engines.iter().map(|e| e.orders().len()).sum() };
@@ -174,7 +175,11 @@
         engine.set_faults(EngineFaults::default());
     }
     eventually_all_serve(&fleet, "v2");
-    assert_eq!(orders() - before, 2, "one engine went there and back");
+    assert_eq!(
+        orders() - before,
+        2,
+        "one engine was changed and rolled back"
+    );
     write_version(&fleet, "v2");
     eventually("the failure is cleared", || {
         plan(&fleet)["failure"].is_null() && plan(&fleet)["target"] == json!("v2")
@@ -182,8 +187,8 @@
     assert_eq!(orders() - before, 2);
 }
 
-/// The instance that rolls out is killed while an engine is out. Another one
-/// takes over when the lease has lapsed, finds the mark and goes on.
+/// The lease holder is killed while an engine is drained. Another instance must
+/// take the lease after it expires, find the drain mark and complete the rollout.
 #[test]
 fn a_rollout_continues_after_its_lease_holder_dies() {
     let mut fleet = fleet(3, true);
@@ -194,10 +199,10 @@
     assert_no_stale_order(&fleet);
 }
 
-/// The holder is paused, another one finishes, and the operators go on to
-/// the next version. The first one wakes with the old version in mind. Its
-/// lease has lapsed by its own clock, so it orders nothing; these engines
-/// would follow it, because they ignore fencing numbers.
+/// The lease holder is frozen, the operators write the next version, and another
+/// holder rolls it out. The first one resumes with the state of the old version.
+/// Its lease has expired by its own clock, so it must send no order. The engines
+/// ignore fencing numbers and would follow one.
 #[test]
 fn a_resumed_lease_holder_sends_no_stale_order() {
     let fleet = fleet(3, false);
@@ -207,7 +212,7 @@
     write_version(&fleet, "v3");
     eventually_all_serve(&fleet, "v3");
     fleet.routers[holder].thaw();
-    eventually("the one that woke up knows the version", || {
+    eventually("the resumed router serves the new version", || {
         fleet.chat(holder, "awake", 2, false).status == 200
     });
     thread::sleep(Duration::from_secs(3));
@@ -215,8 +220,8 @@
     eventually_all_serve(&fleet, "v3");
 }
 
-/// An engine restarts behind the rollout and comes back with the weights it
-/// was set up with. It is ordered again.
+/// An engine restarts after the rollout with its initial weights. It must be
+/// ordered again to load the current version.
 #[test]
 fn an_engine_that_restarts_is_ordered_again() {
     let fleet = fleet(1, true);
@@ -224,14 +229,15 @@
     eventually_all_serve(&fleet, "v2");
     fleet.engines[1].crash();
     fleet.engines[1].restart();
-    eventually("the engine is back with old weights", || {
+    eventually("the engine has restarted with old weights", || {
         fleet.engines[1].state().version == "v1"
     });
     eventually_all_serve(&fleet, "v2");
 }
 
-/// A holder died after its engine had loaded and before the mark was gone.
-/// Left there, the mark would keep the engine idle for good.
+/// A lease holder died after an engine had loaded and before it was undrained.
+/// The leftover drain mark must be removed, or the engine would stay idle
+/// forever.
 #[test]
 fn a_leftover_drain_mark_is_removed() {
     let fleet = fleet(2, true);
@@ -241,8 +247,8 @@
     assert!(fleet.engines.iter().all(|e| e.orders().is_empty()));
 }
 
-/// An engine is marked as draining by whoever drains it. A moment later no
-/// instance sends it new requests, and callers are still served.
+/// An engine gets a drain mark of another holder. Shortly after, no instance may
+/// send it new requests, and callers must still be served.
 #[test]
 fn a_drained_engine_gets_no_new_work() {
     let fleet = fleet(2, true);
@@ -252,7 +258,7 @@
     let all_served = |turn: &str| {
         (0..16).all(|i| fleet.chat(i % 2, &format!("{turn} {i}"), 2, false).status == 200)
     };
-    eventually("requests leave engine-0 out", || {
+    eventually("no requests are sent to engine-0", || {
         let before = started();
         all_served("until") && started() == before
     });
@@ -261,8 +267,9 @@
     assert_eq!(started(), before);
 }
 
-/// Streams of several seconds run while the version changes. Each ends on the
-/// engine where it began: an engine is ordered when its last stream is over.
+/// Streams of several seconds run while the version changes. Each must end at the
+/// engine where it started: an engine is ordered only after its last stream has
+/// ended.
 #[test]
 fn long_streams_are_not_moved_by_a_rollout() {
     let fleet = Fleet::start(&FleetSettings {
--- a/crates/mangowalkd/tests/settings.rs
+++ b/crates/mangowalkd/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings: each bad value is refused at start with its remedy, and the page
-//! says what the program says.
+//! Settings: each invalid value is refused at start with a message that says what
+//! to change, and the settings page matches the program.
 
 use std::{
     fs,
@@ -7,7 +7,7 @@
     process::{Command, Output},
 };
 
-/// Settings that can be used. Nothing is listened on: `--check` ends first.
+/// Valid settings. `--check` exits before the program listens on an address.
 const VALID_SETTINGS: [(&str, &str); 4] = [
     ("caller-address", "127.0.0.1:7000"),
     ("peer-address", "127.0.0.1:7001"),
@@ -15,7 +15,7 @@
     ("failure-domain", "rack-1"),
 ];
 
-/// A flag, a value that can't be used, and what the message must hold.
+/// A flag, an invalid value, and a text that the message must contain.
 const INVALID_SETTINGS: &[(&str, &str, &str)] = &[
     ("caller-address", "here", "such as 10.0.0.2:7000"),
     (
@@ -150,8 +150,8 @@
     }
 }
 
-/// Returns the help as the page prints it: blanks at the ends of lines left
-/// out, and no line about the variables of whoever made the page.
+/// Returns the help as it stands on the page: without blanks at the ends of lines,
+/// and made without environment variables that would appear in it.
 fn help() -> String {
     let output = program().arg("--help").output().expect("the program");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -206,7 +206,8 @@
         .collect()
 }
 
-/// Returns the first text behind each log macro of a source file.
+/// Returns the text that follows the opening quote of each log macro in a source
+/// file.
 fn log_lines(source: &str) -> Vec<&str> {
     ["info!(", "warn!(", "error!(", "debug!("]
         .iter()
@@ -215,7 +216,8 @@
         .collect()
 }
 
-/// A prefix that the page lacks is one that an operator can't look up.
+/// Operators look up the prefixes of log lines on the settings page, so that every
+/// prefix in the source must be there.
 #[test]
 fn every_log_prefix_is_on_the_page() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/crates/mangowalkd/tests/status.rs
+++ b/crates/mangowalkd/tests/status.rs
@@ -1,4 +1,4 @@
-//! What an instance shows operators, what it keeps from callers, and metrics.
+//! Status for operators, what callers must not see of it, and metrics.
 
 use {
     mangowalk_core::record::digest_of,
@@ -10,7 +10,8 @@
 const MAX_POLLS: u32 = 200;
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A fleet of one router that listens to operators.
+/// Returns a fleet of one router that listens to operators, with these further
+/// flags, and the router's address for operators.
 fn fleet(more: &[&str]) -> (Fleet, SocketAddr) {
     let operators = free_address();
     let mut fleet = Fleet::start(&FleetSettings {
@@ -55,8 +56,8 @@
     );
 }
 
-/// Team names, load and the reasons of refusals are for operators. A caller,
-/// with a key or without, gets none of them at the callers' address.
+/// Team names, load and reasons of refusals are for operators only. The caller
+/// address must not return them, with or without a key.
 #[test]
 fn the_caller_address_exposes_no_operator_data() {
     let (fleet, _) = fleet(&[]);
@@ -91,8 +92,8 @@
     drop(fleet);
 }
 
-/// The instance drains: its supervisor must see that it is not ready, while
-/// the operators' page still says why.
+/// While an instance drains, `/ready` must return 503, so that its supervisor sees
+/// that it isn't ready, and `/status` must give the phase `departing`.
 #[test]
 fn a_departing_instance_is_not_ready() {
     let (mut fleet, operators) = fleet(&[]);
@@ -121,7 +122,7 @@
     }
 }
 
-/// Opens a request that no engine ends, so that the drain has to wait.
+/// Starts a request that no engine completes, so that the drain has to wait.
 fn chat_in_the_background(fleet: &Fleet) {
     let address = fleet.routers[0].address();
     thread::spawn(move || {
@@ -136,8 +137,8 @@
     });
 }
 
-/// A request is answered, and a metrics daemon hears of it within a few
-/// seconds: count, tokens, time to first token, and the gauges.
+/// A request is answered. Within a few seconds a metrics daemon must receive its
+/// count, tokens and time to first token, and the gauges.
 #[test]
 fn metrics_are_sent() {
     let daemon = UdpSocket::bind("127.0.0.1:0").expect("a socket");
