--- a/crates/mangowalkd/examples/capacity/fleet.rs
+++ b/crates/mangowalkd/examples/capacity/fleet.rs
@@ -1,4 +1,4 @@
-//! What routers spend while nothing is asked of them.
+//! Resource usage of routers without requests.
 
 use {
     crate::process::{cpu_s, resident_kib},
@@ -10,31 +10,31 @@
     std::{env, net::SocketAddr, path::PathBuf, thread, time::Duration},
 };
 
-/// Time for a new fleet to come to rest, before anything is counted.
+/// Time for a new fleet to settle before the measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(12);
 
-/// Time over which is counted.
+/// Duration of the measurement.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(20);
 
-/// Engines that stand behind all the records of engines.
+/// Engine stand-ins, which all engine records share.
 const ENGINES: usize = 4;
 
-/// A fleet of one size.
+/// Number of routers, engine records and teams in a fleet.
 struct FleetSize {
     routers: usize,
     engines: usize,
     teams: usize,
 }
 
-/// What one router spends.
+/// Resource usage of one router since its start, and its resident memory.
 #[derive(Default)]
 struct Usage {
-    cpu_percent: f64,
+    cpu_s: f64,
     resident_kib: f64,
     control: ControlTraffic,
 }
 
-/// Prints the slopes over routers, engines and teams.
+/// Prints the usage for increasing numbers of routers, engines and teams.
 pub(crate) fn measure() {
     println!("## One instance at rest, mean over the fleet\n");
     println!(
@@ -91,7 +91,7 @@
     (RouterProcess::start(&program, platform, &[&flag]), operator)
 }
 
-/// Returns the router's program beside this one.
+/// Returns the path of `mangowalkd` in the parent folder of this example's.
 fn program() -> PathBuf {
     let own = env::current_exe().unwrap_or_default();
     let folder = own.ancestors().nth(2).map(PathBuf::from);
@@ -124,7 +124,7 @@
         .map(|status| status.control)
         .unwrap_or_default();
     Usage {
-        cpu_percent: cpu_s(pid),
+        cpu_s: cpu_s(pid),
         resident_kib: resident_kib(pid) as f64,
         control,
     }
@@ -144,7 +144,7 @@
         size.routers,
         size.engines,
         size.teams,
-        mean(&|b, a| (a.cpu_percent - b.cpu_percent) * 100.0 / window_s),
+        mean(&|b, a| (a.cpu_s - b.cpu_s) * 100.0 / window_s),
         mean(&|_, a| a.resident_kib),
         rate(|c| c.platform_calls),
         rate(|c| c.platform_bytes),
--- a/crates/mangowalkd/examples/capacity/main.rs
+++ b/crates/mangowalkd/examples/capacity/main.rs
@@ -1,9 +1,9 @@
-//! Measures the slopes that docs/CAPACITY.md extends:
+//! Measures how cost grows with size, from which docs/CAPACITY.md extrapolates:
 //! `cargo run --release -p mangowalkd --example capacity [state|fleet]`.
 //!
-//! `state` measures what one process holds and computes; `fleet` runs routers
-//! as processes over stand-ins and reads what they spend while nothing is
-//! asked of them. Without an argument both run.
+//! `state` measures memory and time of one process's state. `fleet` runs router
+//! processes with stand-ins and measures their resource usage without requests.
+//! Without an argument both run.
 
 mod fleet;
 mod process;
--- a/crates/mangowalkd/examples/capacity/process.rs
+++ b/crates/mangowalkd/examples/capacity/process.rs
@@ -1,17 +1,18 @@
-//! What the system says of a process.
+//! Resource usage of a process, read from `/proc`.
 
 use std::fs;
 
-/// Clock ticks a second in which the system counts processor time.
+/// Clock ticks per second, the unit of processor time in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
 
-/// Bytes of a page.
+/// Bytes per memory page.
 const PAGE_BYTES: u64 = 4_096;
 
-/// Position of user time among the fields behind the command's name.
+/// Index of user time among the fields after the command's name.
 const USER_TIME_FIELD: usize = 11;
 
-/// Returns the processor time that a process has used, in seconds.
+/// Returns the processor time that a process has used, user and system time
+/// together, in seconds.
 pub(crate) fn cpu_s(pid: u32) -> f64 {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat
--- a/crates/mangowalkd/examples/capacity/state.rs
+++ b/crates/mangowalkd/examples/capacity/state.rs
@@ -1,4 +1,4 @@
-//! Memory and time of the state that one process holds.
+//! Memory and processing time of the state of one process.
 
 use {
     crate::process::own_resident_kib,
@@ -18,10 +18,11 @@
 const TEAMS: [u64; 3] = [5, 58, 230];
 const REPEATS: u32 = 50;
 
-/// Exchanges after which nothing is news any more.
-const SETTLING_ROUNDS: u32 = 5_000;
+/// Exchanges after which an answer contains no membership updates.
+const SETTLE_ROUNDS: u32 = 5_000;
 
-/// Prints every slope of the state.
+/// Prints the cost of the state for increasing numbers of records, instances and
+/// teams.
 pub(crate) fn measure() {
     println!("## Records in force\n");
     println!("| records | memory KiB | view rebuilt us | one merge us |");
@@ -94,7 +95,7 @@
         bytes / rounds as usize
     };
     let fresh_bytes = mean_bytes(1);
-    mean_bytes(SETTLING_ROUNDS);
+    mean_bytes(SETTLE_ROUNDS);
     println!("| {instances} | {fresh_bytes} | {} |", mean_bytes(REPEATS));
 }
 
--- a/crates/mangowalkd/examples/client_fleet.rs
+++ b/crates/mangowalkd/examples/client_fleet.rs
@@ -1,9 +1,10 @@
-//! A small fleet for a client of another language, driven line by line.
+//! A small fleet for tests of clients in other languages, controlled through
+//! standard input.
 //!
-//! `client_fleet PROGRAM` starts it, prints `URL`, `KEY` and `POOR_KEY`, and
-//! then follows the lines of its input, each answered with `done`: `break`
-//! makes every engine fail, `heal` mends them, `delay` makes the service
-//! slow. It ends with its input.
+//! `client_fleet PROGRAM` starts the fleet, prints `URL`, `KEY` and `POOR_KEY`, and
+//! then runs one command per line of its input, each acknowledged with `done`:
+//! `break` makes every engine fail, `delay` makes the service slow, and any other
+//! command, such as `heal`, ends these faults. It exits at the end of the input.
 
 use {
     mangowalk_core::record::digest_of,
@@ -12,10 +13,10 @@
     std::{env, io},
 };
 
-/// Key of a team whose rate allows next to nothing.
+/// Key of a team with a rate of 1 token per second and a burst of 100 tokens.
 const POOR_KEY: &str = "mw-test-key-poor";
 
-/// Time that a slow service needs.
+/// Delay of the service's answers after `delay`.
 const DELAY_MS: u64 = 3_000;
 
 fn main() {
@@ -46,6 +47,7 @@
     fleet.platform.put("key", "poor-1", key);
 }
 
+/// Sets the faults of a command, and ends those of the command before it.
 fn run_command(fleet: &Fleet, line: &str) {
     let refuse_status = (line == "break").then_some(500);
     for engine in &fleet.engines {
--- a/crates/mangowalkd/examples/measure_streams.rs
+++ b/crates/mangowalkd/examples/measure_streams.rs
@@ -1,9 +1,9 @@
-//! Measures what a router adds to a stream, and what open streams cost it.
+//! Measures the latency that a router adds to a stream, and the resources that
+//! open streams take.
 //!
-//! `measure_streams PROGRAM` starts a fleet of stand-ins and one router, and
-//! prints a table. Time to first token through the router and of a direct
-//! call to the same engine are taken in turn, so that both meet the same
-//! machine.
+//! `measure_streams PROGRAM` starts a fleet of stand-ins with one router, and
+//! prints a table. Calls through the router and direct calls to the same engine
+//! alternate, so that both run under the same load of the machine.
 
 use {
     hdrhistogram::Histogram,
@@ -18,17 +18,17 @@
     },
 };
 
-/// Pairs of calls, one direct and one through the router.
+/// Number of pairs of calls, each one direct and one through the router.
 const PAIRS: u64 = 1_000;
 
-/// Sizes at which the cost of open streams is looked at.
+/// Numbers of open streams at which latency and resources are measured.
 const OPEN_STREAMS: [usize; 4] = [0, 100, 250, 500];
 
-/// Requests sent at each size, and callers that send them.
+/// Requests at each number of open streams, and concurrent callers that send them.
 const REQUESTS: usize = 2_000;
 const CALLERS: usize = 16;
 
-/// Longest time of a measured call in microseconds, for the histograms.
+/// Upper bound of the histograms, in microseconds.
 const MAX_CALL_US: u64 = 60_000_000;
 
 fn main() {
@@ -86,7 +86,7 @@
     started.elapsed().as_micros() as u64
 }
 
-/// Calls the engine itself and reads the first token.
+/// Calls the engine directly and reads until the first token.
 fn call_engine(fleet: &Fleet, prompt: &str) {
     let engine = &fleet.engines[0];
     let state = engine.state();
@@ -108,7 +108,7 @@
     assert!(caller.read_until("w0x"));
 }
 
-/// Calls the router and reads the first token.
+/// Calls the router and reads until the first token.
 fn call_router(fleet: &Fleet, prompt: &str, max_tokens: u32) -> RawCaller {
     let body = json!({
         "model": "drafting",
@@ -133,7 +133,7 @@
     .into_bytes()
 }
 
-/// Opens streams that stay open, and measures beside them.
+/// Opens streams that stay open, and measures other requests meanwhile.
 fn measure_open_streams(fleet: &Fleet) {
     fleet.engines[0].set_faults(EngineFaults {
         freeze_after_tokens: Some(1),
@@ -157,7 +157,8 @@
     }
 }
 
-/// Sends requests of one token from several callers at once.
+/// Sends requests of one token from several concurrent callers. Returns the
+/// requests per second and the times to first token.
 fn measure_load(fleet: &Fleet) -> (f64, Histogram<u64>) {
     let next = AtomicUsize::new(0);
     let started = Instant::now();
@@ -186,7 +187,8 @@
     }
 }
 
-/// Reads what the router's process holds.
+/// Returns the resident memory in MiB and the number of threads of the router's
+/// process.
 fn process_usage(fleet: &Fleet) -> (f64, u64) {
     let pid = fleet.routers[0].pid().unwrap_or_default();
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
