--- a/crates/mangowalkd/src/cli/settings.rs
+++ b/crates/mangowalkd/src/cli/settings.rs
@@ -95,7 +95,7 @@
         address: SocketAddr,
     },
     /// An address that other processes connect to has port 0.
-    #[display("{flag} is {address}; give a port above 0, since others are told this address.")]
+    #[display("{flag} is {address}; give a port above 0, since port 0 can't be connected to.")]
     NoPort {
         /// Flag.
         flag: &'static str,
@@ -134,7 +134,7 @@
     },
     /// An item of the list of seed peers can't be parsed.
     #[display(
-        "--seed-peers holds {text:?}, which is no IP number and port; write it as 10.0.0.2:7001."
+        "--seed-peers holds {text:?}, which is not an IP number and port; write it as 10.0.0.2:7001."
     )]
     SeedPeer {
         /// Item of the list that can't be parsed.
--- a/crates/mangowalkd/src/controller/claim_writer.rs
+++ b/crates/mangowalkd/src/controller/claim_writer.rs
@@ -37,6 +37,8 @@
 }
 
 impl<E: Edges> ClaimWriter<E> {
+    /// Reads the epoch when that is due. If the epoch is over, writes the next one
+    /// and deletes expired claims.
     fn check_epoch(&mut self, edges: &E, shared: &SharedState, now_ms: u64) {
         if now_ms < self.next_epoch_ms {
             return;
@@ -146,6 +148,7 @@
     Ok(own.map(|o| Expect::Version(o.version)))
 }
 
+/// Reads the current epoch, and creates the first one if there is none.
 fn read_epoch<E: Edges>(edges: &E, shared: &SharedState) -> Result<(), PlatformError> {
     let platform = edges.platform();
     let (version, body) = match platform.get(&epoch_key())? {
--- a/crates/mangowalkd/src/controller/gossip.rs
+++ b/crates/mangowalkd/src/controller/gossip.rs
@@ -38,7 +38,9 @@
     seeds: Vec<SocketAddr>,
     registry: Registry<E>,
     round: u64,
+    /// Whether a peer has answered an exchange.
     compared: bool,
+    /// Readiness and departure at the last change of the own heartbeat.
     announced: (bool, bool),
 }
 
@@ -87,6 +89,8 @@
             .collect()
     }
 
+    /// Makes an exchange with the peer at an address. Suspects the peer if it
+    /// doesn't answer.
     fn exchange(&mut self, edges: &E, shared: &SharedState, address: SocketAddr) {
         let request = PeerRequest::Exchange {
             from: own_view(shared),
@@ -123,6 +127,7 @@
         }
     }
 
+    /// Marks the instance as ready for callers if it has what it needs to start.
     fn try_ready(&self, shared: &SharedState, now_ms: u64) {
         let facts = StartingFacts {
             has_records: shared.config.view().revision > 0,
--- a/crates/mangowalkd/src/controller/lease_manager.rs
+++ b/crates/mangowalkd/src/controller/lease_manager.rs
@@ -30,6 +30,7 @@
     name: String,
     nonce: u64,
     state: State,
+    /// Time of the next read while another instance holds the lease.
     next_poll_ms: u64,
 }
 
@@ -105,6 +106,7 @@
         }
     }
 
+    /// Reads the lease, and acquires it if it is free.
     fn try_acquire<E: Edges>(
         &mut self,
         edges: &E,
--- a/crates/mangowalkd/src/controller/model_rollout.rs
+++ b/crates/mangowalkd/src/controller/model_rollout.rs
@@ -134,6 +134,7 @@
         ObjectKey::new(own_kind::ROLLOUT, &self.model)
     }
 
+    /// Saves the plan to the platform if it changed.
     fn save(&self, edges: &E, work: &mut RolloutState) -> Result<(), PlatformError> {
         let plan = work.rollout.plan();
         if *plan == work.saved {
@@ -212,6 +213,7 @@
         }
     }
 
+    /// Writes the drain mark of an engine.
     fn drain(&self, edges: &E, work: &mut RolloutState, engine: &str) -> Result<(), PlatformError> {
         info!("rollout: Draining {engine}.");
         let key = ObjectKey::new(own_kind::DRAIN, engine);
@@ -221,6 +223,7 @@
         Ok(())
     }
 
+    /// Deletes the drain mark of an engine.
     fn undrain(
         &self,
         edges: &E,
--- a/crates/mangowalkd/src/daemon.rs
+++ b/crates/mangowalkd/src/daemon.rs
@@ -57,7 +57,7 @@
     #[display("--statsd-address can't be sent to; give an IP number of this network.")]
     StatsdAddress,
     /// Threads or signal handlers can't be created.
-    #[display("No more threads can be created; raise the limit of threads.")]
+    #[display("The system gives no more threads; raise the limit of threads.")]
     Threads,
 }
 
