--- a/crates/mangowalkd/src/operator/candidates.rs
+++ b/crates/mangowalkd/src/operator/candidates.rs
@@ -77,7 +77,7 @@
     fn evaluate(&self, engine: &EngineRecord, known: Option<&KnownEngine>) -> (bool, String) {
         let no = |reason: &str| (false, reason.to_owned());
         if engine.departing {
-            return no("It is departing and gets no new requests.");
+            return no("It departs and gets no new requests.");
         }
         let Some(state) = known.and_then(|s| s.state.as_ref()) else {
             return no("It does not answer.");
@@ -109,7 +109,7 @@
         }
         let expected_ms = choice.expected_ms.round();
         let reason = format!(
-            "First token expected after {expected_ms} ms; it is estimated to have {} of {} blocks cached.",
+            "First token expected after {expected_ms} ms; it is estimated to hold {} of {} blocks.",
             choice.held_blocks,
             self.blocks()
         );
