--- a/crates/mangowalkd/src/cli/run.rs
+++ b/crates/mangowalkd/src/cli/run.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         Settings, args,
-        machine::{COMMAND, run_machine},
+        machine::{MACHINE_COMMAND, run_machine},
         print_usage,
         usage::EXIT_USAGE,
     },
@@ -9,10 +9,11 @@
     std::{env, process::ExitCode},
 };
 
-/// Runs the program with the arguments of the process.
+/// Runs the program with the arguments of the process, and returns its exit code:
+/// 0 for success, 1 for a failure, 2 for settings that can't be used.
 pub fn run() -> ExitCode {
     let given: Vec<_> = env::args_os().skip(1).collect();
-    if given.first().is_some_and(|word| word == COMMAND) {
+    if given.first().is_some_and(|word| word == MACHINE_COMMAND) {
         return run_machine(&given[1..]);
     }
     let args = match args().run_inner(bpaf::Args::current_args()) {
--- a/crates/mangowalkd/src/controller/cache_events.rs
+++ b/crates/mangowalkd/src/controller/cache_events.rs
@@ -5,16 +5,17 @@
     std::marker::PhantomData,
 };
 
-/// Pause between two rounds.
+/// Pause between two rounds of reads.
 const PERIOD_MS: u64 = 200;
 
-/// Engines asked in one round.
-const ASKED_A_ROUND: usize = 8;
+/// Engines read in one round.
+const ENGINES_PER_ROUND: usize = 8;
 
-/// Reads engines' cache events, while the fleet is small enough that an
-/// instance can hold every block. Above that size nothing is read: 1.2
-/// million events a second over 350 instances are 3,400 for each, even with
-/// every event read once.
+/// Reads cache events from engines while the fleet is small enough for one
+/// instance to store every block.
+///
+/// In a larger fleet no events are read: 1.2 million events per second over
+/// 350 instances are 3,400 per instance, even if each event is read only once.
 pub struct CacheEventReader<E> {
     next: usize,
     edges: PhantomData<fn() -> E>,
@@ -34,16 +35,18 @@
 
     const NAME: &'static str = "cache";
 
-    fn step(&mut self, edges: &E, board: &SharedState, _now_ms: u64) -> u64 {
-        let view = board.config.view();
+    fn step(&mut self, edges: &E, shared: &SharedState, _now_ms: u64) -> u64 {
+        let view = shared.config.view();
         let engines: Vec<_> = view.engines.values().collect();
-        for _ in 0..engines.len().min(ASKED_A_ROUND) {
+        for _ in 0..engines.len().min(ENGINES_PER_ROUND) {
             self.next = (self.next + 1) % engines.len();
             let engine = engines[self.next];
-            let from = board.dispatch.read(|p| p.next_event_sequence(&engine.name));
+            let from = shared
+                .dispatch
+                .read(|p| p.next_event_sequence(&engine.name));
             let Some(from) = from else { continue };
             if let Ok(events) = edges.engines().cache_events(engine.address, from) {
-                board.dispatch.cache_events(&engine.name, &events);
+                shared.dispatch.cache_events(&engine.name, &events);
             }
         }
         PERIOD_MS
--- a/crates/mangowalkd/src/controller/crashes.rs
+++ b/crates/mangowalkd/src/controller/crashes.rs
@@ -9,56 +9,67 @@
     std::{net::SocketAddr, thread},
 };
 
-/// Time that a peer has to answer.
+/// Timeout of one request to a peer.
 const ANSWER_TIMEOUT_MS: u64 = 250;
 
-/// Times that a peer is told. One that misses the news runs the request once
-/// more.
-const TRIES: usize = 2;
+/// Maximum attempts to report to one peer. A peer without the report runs the
+/// request once more.
+const MAX_TRIES: usize = 2;
 
-/// Peers told at once. The rest hears of it in the usual exchanges.
-const MOST_TOLD: usize = 8;
+/// Maximum number of peers that get the report directly. The others receive it
+/// in the periodic exchanges.
+const MAX_DIRECT_REPORTS: usize = 8;
 
-/// Tells peers of crashes at once.
+/// Reports crashes to peers immediately, and merges the crashes that they
+/// report.
 ///
-/// The caller of a request that crashes upstreams sends it again within a
-/// second, to another instance. Left to the usual exchanges, that instance
-/// would count the crashes from one again.
-pub fn tell_crashes<E: Edges>(edges: &E, board: &SharedState) {
+/// The caller of a request that crashes upstreams retries within a second, at
+/// another instance. With the periodic exchanges alone, that instance would
+/// count the crashes from one again.
+pub fn report_crashes<E: Edges>(edges: &E, shared: &SharedState) {
     let request = PeerRequest::Crashes {
-        crashes: board.poison.reports(edges.clock().now_ms()),
+        crashes: shared.poison.reports(edges.clock().now_ms()),
     };
-    let mut peers: Vec<(bool, SocketAddr)> = board.peers.read(|members| {
+    let mut peers: Vec<(bool, SocketAddr)> = shared.peers.read(|members| {
         let all = members.all().map(|m| &m.view);
         all.map(|v| (v.suspected, v.peer_address)).collect()
     });
-    // One that is only suspected may well serve the next copy.
+    // Suspected peers come last, but are included: they may serve the retry.
     peers.sort_unstable();
-    peers.truncate(MOST_TOLD);
-    // All at once: one that is dead must not keep the news from the others.
+    peers.truncate(MAX_DIRECT_REPORTS);
+    // Reports are sent concurrently, so that a dead peer doesn't delay the others.
     thread::scope(|scope| {
         for (_, address) in peers {
             let request = &request;
-            scope.spawn(move || tell(edges, board, address, request));
+            scope.spawn(move || report_to(edges, shared, address, request));
         }
     });
 }
 
-fn tell<E: Edges>(edges: &E, board: &SharedState, address: SocketAddr, request: &PeerRequest) {
-    for _ in 0..TRIES {
+fn report_to<E: Edges>(
+    edges: &E,
+    shared: &SharedState,
+    address: SocketAddr,
+    request: &PeerRequest,
+) {
+    for _ in 0..MAX_TRIES {
         let reply = edges.peers().ask(address, request, ANSWER_TIMEOUT_MS);
         if let Ok(PeerReply::Crashes { crashes }) = reply {
-            board.poison.merge(&crashes, edges.clock().now_ms());
+            shared.poison.merge(&crashes, edges.clock().now_ms());
             return;
         }
     }
-    warn!("poison: {address} was not told of a crash and hears of it later.");
+    warn!("poison: {address} did not receive a crash report; it gets it in a later exchange.");
 }
 
-/// Takes what a peer tells, and answers with what is known here.
-pub(super) fn hear_crashes(board: &SharedState, crashes: &[CrashReport], now_ms: u64) -> PeerReply {
-    board.poison.merge(crashes, now_ms);
+/// Merges a peer's crash reports, and returns all reports of this instance.
+pub(super) fn receive_crashes(
+    shared: &SharedState,
+    crashes: &[CrashReport],
+    now_ms: u64,
+) -> PeerReply {
+    shared.poison.merge(crashes, now_ms);
     PeerReply::Crashes {
-        crashes: board.poison.reports(now_ms),
+        crashes: shared.poison.reports(now_ms),
     }
 }
--- a/crates/mangowalkd/src/controller/lease_keeper.rs
+++ b/crates/mangowalkd/src/controller/lease_manager.rs
@@ -12,12 +12,12 @@
     std::net::SocketAddr,
 };
 
-/// Instances that try to get a lease. More would only read it for nothing;
-/// with fewer, two deaths at once would leave it untaken.
+/// Instances that try to get a lease. More would cause useless reads; with
+/// fewer, nobody would take it after two instances died at the same time.
 const CANDIDATES: usize = 3;
 
-/// Pause between two reads of a lease that another instance holds.
-const LOOK_MS: u64 = 1_000;
+/// Interval between two reads of a lease that another instance holds.
+const POLL_INTERVAL_MS: u64 = 1_000;
 
 #[derive(Debug, Clone, Copy)]
 enum State {
@@ -25,40 +25,45 @@
     Held(Lease<Held>),
 }
 
-/// Takes and renews one lease of the platform.
-pub(super) struct LeaseKeeper {
+/// Acquires, renews and releases one lease in the platform.
+pub(super) struct LeaseManager {
     name: String,
     nonce: u64,
     state: State,
-    look_ms: u64,
+    /// Time of the next read while another instance holds the lease.
+    next_poll_ms: u64,
 }
 
-impl LeaseKeeper {
-    /// Returns a keeper of the lease with a name.
-    pub(super) fn new(name: &str, now_ms: u64) -> LeaseKeeper {
-        LeaseKeeper {
+impl LeaseManager {
+    /// Returns a manager of the lease with this name.
+    pub(super) fn new(name: &str, now_ms: u64) -> LeaseManager {
+        LeaseManager {
             name: name.to_owned(),
             nonce: rand::random(),
             state: State::Watching(Lease::watching(LeaseSettings::default(), now_ms)),
-            look_ms: 0,
+            next_poll_ms: 0,
         }
     }
 
-    /// Takes or renews the lease where that is due, and returns it if held.
-    pub(super) fn keep<E: Edges>(&mut self, edges: &E, board: &SharedState) -> Option<Lease<Held>> {
+    /// Acquires or renews the lease if that is due, and returns it if it is held.
+    pub(super) fn maintain<E: Edges>(
+        &mut self,
+        edges: &E,
+        shared: &SharedState,
+    ) -> Option<Lease<Held>> {
         let now_ms = edges.clock().now_ms();
         match self.state {
             State::Held(held) if !held.is_valid(now_ms) => {
-                info!("lease: {} lapsed.", self.name);
+                info!("lease: {} expired.", self.name);
                 self.state = State::Watching(held.lost(now_ms));
             }
             State::Held(held) if held.needs_renewal(now_ms) => {
-                self.renew(edges, board, held, now_ms);
+                self.renew(edges, shared, held, now_ms);
             }
             State::Held(_) => {}
-            State::Watching(watching) if now_ms >= self.look_ms => {
-                self.look_ms = now_ms + LOOK_MS;
-                self.look(edges, board, watching);
+            State::Watching(watching) if now_ms >= self.next_poll_ms => {
+                self.next_poll_ms = now_ms + POLL_INTERVAL_MS;
+                self.try_acquire(edges, shared, watching);
             }
             State::Watching(_) => {}
         }
@@ -73,7 +78,7 @@
         }
     }
 
-    /// Gives the lease back, so that another instance takes it at once.
+    /// Releases the lease, so that another instance can take it immediately.
     pub(super) fn release<E: Edges>(&mut self, edges: &E) {
         let now_ms = edges.clock().now_ms();
         if let State::Held(held) = self.state {
@@ -90,17 +95,24 @@
     fn renew<E: Edges>(
         &mut self,
         edges: &E,
-        board: &SharedState,
+        shared: &SharedState,
         held: Lease<Held>,
-        asked_ms: u64,
+        requested_ms: u64,
     ) {
-        // Without a reply nothing is known, and the lease runs on to its end.
-        if let Some(version) = self.write(edges, board, Expect::Version(held.fencing())) {
-            self.state = State::Held(held.renewed(version, asked_ms));
+        // Without a reply the outcome is unknown, and the lease lasts until its
+        // current expiry.
+        if let Some(version) = self.write(edges, shared, Expect::Version(held.fencing())) {
+            self.state = State::Held(held.renewed(version, requested_ms));
         }
     }
 
-    fn look<E: Edges>(&mut self, edges: &E, board: &SharedState, mut watching: Lease<Watching>) {
+    /// Reads the lease, and acquires it if it is free.
+    fn try_acquire<E: Edges>(
+        &mut self,
+        edges: &E,
+        shared: &SharedState,
+        mut watching: Lease<Watching>,
+    ) {
         let Ok(object) = edges.platform().get(&self.key()) else {
             return;
         };
@@ -114,19 +126,22 @@
             0 => Expect::Absent,
             version => Expect::Version(version),
         };
-        if let Some(version) = self.write(edges, board, expect) {
-            info!("lease: Holding {} with number {version}.", self.name);
+        if let Some(version) = self.write(edges, shared, expect) {
+            info!(
+                "lease: Holding {} with fencing number {version}.",
+                self.name
+            );
             self.state = State::Held(watching.acquired(version, now_ms));
         }
     }
 
-    /// Writes the lease and returns its version. A lost reply is read back: a
-    /// write of this keeper is known by its nonce.
-    fn write<E: Edges>(&mut self, edges: &E, board: &SharedState, expect: Expect) -> Option<u64> {
+    /// Writes the lease and returns its version. After a lost reply the lease is
+    /// read, and the nonce shows whether this write took effect.
+    fn write<E: Edges>(&mut self, edges: &E, shared: &SharedState, expect: Expect) -> Option<u64> {
         self.nonce = rand::random();
         let body = json!({
             "schema": 1,
-            "holder": board.identity.caller_address,
+            "holder": shared.identity.caller_address,
             "nonce": self.nonce,
         });
         match edges.platform().put(&self.key(), expect, &body) {
@@ -142,12 +157,13 @@
     }
 }
 
-/// Returns whether this instance is among those that try to get a lease. All
-/// instances that see the same others come to the same answer without a word.
-pub(super) fn is_candidate(board: &SharedState, lease: &str) -> bool {
+/// Returns whether this instance is among those that try to get a lease. The
+/// choice uses rendezvous hashing, so that instances with the same set of live
+/// peers agree without communication.
+pub(super) fn is_candidate(shared: &SharedState, lease: &str) -> bool {
     let weight = |address: SocketAddr| digest_of(&format!("{lease}/{address}"));
-    let own = weight(board.identity.caller_address);
+    let own = weight(shared.identity.caller_address);
     let lower = |v: &InstanceView| weight(v.caller_address) < own;
-    let before = board.peers.live().into_iter().filter(lower).count();
-    !board.lifecycle.is_starting() && !board.lifecycle.is_departing() && before < CANDIDATES
+    let before = shared.peers.live().into_iter().filter(lower).count();
+    !shared.lifecycle.is_starting() && !shared.lifecycle.is_departing() && before < CANDIDATES
 }
--- a/crates/mangowalkd/src/controller/model_rollout.rs
+++ b/crates/mangowalkd/src/controller/model_rollout.rs
@@ -1,5 +1,5 @@
 use {
-    super::{lease_keeper::LeaseKeeper, probe::probe},
+    super::{lease_manager::LeaseManager, probe::probe},
     crate::shared_state::SharedState,
     log::{info, warn},
     mangowalk_core::{
@@ -16,23 +16,25 @@
     },
 };
 
-/// What the holder of a lease works on.
-struct Work {
+/// State of a rollout at the lease holder: the plan as last saved to the
+/// platform with its version, and the engines with drain marks.
+struct RolloutState {
     rollout: Rollout,
     saved: Plan,
     plan_version: u64,
-    marks: BTreeSet<String>,
+    drained: BTreeSet<String>,
 }
 
-/// One model's rollout: the lease, and the work while it is held.
+/// One model's rollout: its lease, and its state while the lease is held.
 pub(super) struct ModelRollout<E> {
     model: String,
-    lease: LeaseKeeper,
-    work: Option<Work>,
+    lease: LeaseManager,
+    rollout_state: Option<RolloutState>,
     edges: PhantomData<fn() -> E>,
 }
 
-/// Returns the name of the lease under which a model's engines get orders.
+/// Returns the name of the lease under which orders are sent to a model's
+/// engines.
 pub(super) fn lease_name(model: &str) -> String {
     format!("rollout.{model}")
 }
@@ -41,83 +43,92 @@
     pub(super) fn new(model: &str, now_ms: u64) -> ModelRollout<E> {
         ModelRollout {
             model: model.to_owned(),
-            lease: LeaseKeeper::new(&lease_name(model), now_ms),
-            work: None,
+            lease: LeaseManager::new(&lease_name(model), now_ms),
+            rollout_state: None,
             edges: PhantomData,
         }
     }
 
-    /// Returns whether the platform holds the outcome for a version, or this
-    /// instance has none to write.
+    /// Returns whether the outcome for a version is saved in the platform, or this
+    /// instance has no outcome to save.
     pub(super) fn is_settled(&self, version: &str) -> bool {
-        self.work.as_ref().is_none_or(|work| {
-            let plan = &work.saved;
+        self.rollout_state.as_ref().is_none_or(|rollout_state| {
+            let plan = &rollout_state.saved;
             plan.target == version && (plan.done || plan.failure.is_some())
         })
     }
 
-    /// Gives the lease back. What was done stands on the platform.
+    /// Releases the lease. The saved plan and drain marks stay in the platform.
     pub(super) fn release(&mut self, edges: &E) {
-        self.work = None;
+        self.rollout_state = None;
         self.lease.release(edges);
     }
 
-    /// Takes the next steps, if the lease is held. A failed call ends the
-    /// step; the work is then read again, because what took effect is not
-    /// known.
-    pub(super) fn step(&mut self, edges: &E, board: &SharedState, view: &View) {
-        if self.lease.keep(edges, board).is_none() {
-            self.work = None;
+    /// Runs the next step if the lease is held. A failed call ends the step. The
+    /// state is then loaded again, because it is unknown which writes took effect.
+    pub(super) fn step(&mut self, edges: &E, shared: &SharedState, view: &View) {
+        if self.lease.maintain(edges, shared).is_none() {
+            self.rollout_state = None;
             return;
         }
-        if let Err(error) = self.act(edges, board, view) {
-            warn!("rollout: {} waits. {error}", self.model);
-            self.work = None;
+        if let Err(error) = self.run_step(edges, shared, view) {
+            warn!(
+                "rollout: A step for {} failed and is tried again. {error}",
+                self.model
+            );
+            self.rollout_state = None;
         }
     }
 
-    fn act(&mut self, edges: &E, board: &SharedState, view: &View) -> Result<(), PlatformError> {
+    fn run_step(
+        &mut self,
+        edges: &E,
+        shared: &SharedState,
+        view: &View,
+    ) -> Result<(), PlatformError> {
         let Some(record) = view.models.get(&self.model) else {
             return Ok(());
         };
-        let mut work = match self.work.take() {
-            Some(work) => work,
-            None => self.take_up(edges)?,
+        let mut rollout_state = match self.rollout_state.take() {
+            Some(rollout_state) => rollout_state,
+            None => self.load_state(edges)?,
         };
-        let states = self.read_states(edges, board, view, &work.marks);
+        let states = self.read_states(edges, shared, view, &rollout_state.drained);
         let engines = self.engines(view);
-        let facts = facts(&self.model, &engines, &states, &work.marks);
+        let snapshots = engine_snapshots(&self.model, &engines, &states, &rollout_state.drained);
         let loads = record.concurrent_loads as usize;
-        work.rollout.set_target(&record.version, loads, &facts);
+        rollout_state
+            .rollout
+            .set_target(&record.version, loads, &snapshots);
         let now_ms = edges.clock().now_ms();
-        let actions = work.rollout.decide(&facts, now_ms);
-        self.save(edges, &mut work)?;
+        let actions = rollout_state.rollout.decide(&snapshots, now_ms);
+        self.save(edges, &mut rollout_state)?;
         for action in &actions {
-            self.perform(edges, view, &mut work, &states, action)?;
+            self.perform(edges, view, &mut rollout_state, &states, action)?;
         }
-        self.save(edges, &mut work)?;
-        self.work = Some(work);
+        self.save(edges, &mut rollout_state)?;
+        self.rollout_state = Some(rollout_state);
         Ok(())
     }
 
-    /// Reads what the holder before left: its plan and its marks.
-    fn take_up(&self, edges: &E) -> Result<Work, PlatformError> {
+    /// Loads the plan and the drain marks that the previous lease holder saved.
+    fn load_state(&self, edges: &E) -> Result<RolloutState, PlatformError> {
         let object = edges.platform().get(&self.plan_key())?;
         let plan_version = object.as_ref().map_or(0, |o| o.version);
         let saved: Plan = object
             .and_then(|o| serde_json::from_value(o.body).ok())
             .unwrap_or_default();
-        let marks = edges.platform().list(&[own_kind::DRAIN])?;
-        let own = marks
+        let drain_marks = edges.platform().list(&[own_kind::DRAIN])?;
+        let own = drain_marks
             .objects
             .into_iter()
             .filter(|o| o.body["model"] == self.model.as_str());
         let now_ms = edges.clock().now_ms();
-        Ok(Work {
+        Ok(RolloutState {
             rollout: Rollout::resume(RolloutSettings::default(), saved.clone(), now_ms),
             saved,
             plan_version,
-            marks: own.map(|o| o.key.name).collect(),
+            drained: own.map(|o| o.key.name).collect(),
         })
     }
 
@@ -125,9 +136,10 @@
         ObjectKey::new(own_kind::ROLLOUT, &self.model)
     }
 
-    fn save(&self, edges: &E, work: &mut Work) -> Result<(), PlatformError> {
-        let plan = work.rollout.plan();
-        if *plan == work.saved {
+    /// Saves the plan to the platform if it changed.
+    fn save(&self, edges: &E, rollout_state: &mut RolloutState) -> Result<(), PlatformError> {
+        let plan = rollout_state.rollout.plan();
+        if *plan == rollout_state.saved {
             return Ok(());
         }
         if let Some(failure) = &plan.failure {
@@ -136,13 +148,13 @@
                 self.model, failure.engine, failure.reason
             );
         }
-        let expect = match work.plan_version {
+        let expect = match rollout_state.plan_version {
             0 => Expect::Absent,
             version => Expect::Version(version),
         };
         let body = json!(plan);
-        work.plan_version = edges.platform().put(&self.plan_key(), expect, &body)?;
-        work.saved = plan.clone();
+        rollout_state.plan_version = edges.platform().put(&self.plan_key(), expect, &body)?;
+        rollout_state.saved = plan.clone();
         Ok(())
     }
 
@@ -151,23 +163,23 @@
         view.engines.values().filter(of_model).collect()
     }
 
-    /// Returns what engines serve: those that are out as they say now, the
-    /// others as last seen. Asking all of them in each step would hold up the
-    /// renewal of the lease behind each dead one.
+    /// Returns the state of engines: drained ones are polled now, the others have
+    /// their last known state. Polling all engines in each step would delay the
+    /// renewal of the lease by the timeout of each dead one.
     fn read_states(
         &self,
         edges: &E,
-        board: &SharedState,
+        shared: &SharedState,
         view: &View,
-        marks: &BTreeSet<String>,
+        drained: &BTreeSet<String>,
     ) -> BTreeMap<String, Option<EngineState>> {
-        let mut states: BTreeMap<String, Option<EngineState>> = board
+        let mut states: BTreeMap<String, Option<EngineState>> = shared
             .engines
             .snapshot()
             .into_iter()
-            .map(|(name, sight)| (name, sight.state))
+            .map(|(name, known)| (name, known.state))
             .collect();
-        for name in marks {
+        for name in drained {
             if let Some(engine) = view.engines.get(name) {
                 states.insert(name.clone(), edges.engines().state(engine.address).ok());
             }
@@ -179,15 +191,15 @@
         &self,
         edges: &E,
         view: &View,
-        work: &mut Work,
+        rollout_state: &mut RolloutState,
         states: &BTreeMap<String, Option<EngineState>>,
         action: &Action<'_>,
     ) -> Result<(), PlatformError> {
         match action {
-            Action::Drain { engine } => self.mark(edges, work, engine),
-            Action::Undrain { engine } => self.unmark(edges, work, engine),
+            Action::Drain { engine } => self.drain(edges, rollout_state, engine),
+            Action::Undrain { engine } => self.undrain(edges, rollout_state, engine),
             Action::Order { engine, version } => {
-                self.order(edges, &view.engines[*engine], work, version);
+                self.order(edges, &view.engines[*engine], rollout_state, version);
                 Ok(())
             }
             Action::Probe { engine, version } => {
@@ -196,34 +208,53 @@
                 let incarnation = state.map_or(0, |s| s.incarnation);
                 let ok = probe(edges, record, version, incarnation);
                 let now_ms = edges.clock().now_ms();
-                work.rollout
+                rollout_state
+                    .rollout
                     .record_probe(engine, incarnation, version, ok, now_ms);
                 Ok(())
             }
         }
     }
 
-    fn mark(&self, edges: &E, work: &mut Work, engine: &str) -> Result<(), PlatformError> {
+    /// Writes the drain mark of an engine.
+    fn drain(
+        &self,
+        edges: &E,
+        rollout_state: &mut RolloutState,
+        engine: &str,
+    ) -> Result<(), PlatformError> {
         info!("rollout: Draining {engine}.");
         let key = ObjectKey::new(own_kind::DRAIN, engine);
         let body = json!({ "schema": 1, "model": self.model });
         edges.platform().put(&key, Expect::Any, &body)?;
-        work.marks.insert(engine.to_owned());
+        rollout_state.drained.insert(engine.to_owned());
         Ok(())
     }
 
-    fn unmark(&self, edges: &E, work: &mut Work, engine: &str) -> Result<(), PlatformError> {
-        info!("rollout: Putting {engine} back.");
+    /// Deletes the drain mark of an engine.
+    fn undrain(
+        &self,
+        edges: &E,
+        rollout_state: &mut RolloutState,
+        engine: &str,
+    ) -> Result<(), PlatformError> {
+        info!("rollout: Undraining {engine}.");
         let key = ObjectKey::new(own_kind::DRAIN, engine);
         edges.platform().delete(&key, Expect::Any)?;
-        work.marks.remove(engine);
+        rollout_state.drained.remove(engine);
         Ok(())
     }
 
-    /// Gives an order. The lease is checked against the clock right before:
-    /// the calls since the last look may have taken longer than it lasts, or
-    /// the process may have been paused.
-    fn order(&self, edges: &E, engine: &EngineRecord, work: &mut Work, version: &str) {
+    /// Orders an engine to load a version. The lease is checked again right before
+    /// the order, because it may have expired during the calls since the last
+    /// check or while the process was paused.
+    fn order(
+        &self,
+        edges: &E,
+        engine: &EngineRecord,
+        rollout_state: &mut RolloutState,
+        version: &str,
+    ) {
         let Some(lease) = self.lease.held(edges.clock().now_ms()) else {
             return;
         };
@@ -235,26 +266,30 @@
         };
         let reply = edges.engines().order(engine.address, &order);
         if let Ok(OrderReply::OldFencing { highest }) = reply {
-            // A later holder is at work; it says nothing about the version.
+            // A later lease holder is active. The reply is no result for the version.
             warn!(
-                "rollout: {} follows a holder with number {highest}.",
+                "rollout: {} refused the order; it follows a holder with fencing number {highest}.",
                 engine.name
             );
             return;
         }
         let now_ms = edges.clock().now_ms();
-        work.rollout
-            .record_order_reply(&engine.name, version, reply.ok().as_ref(), now_ms);
+        rollout_state.rollout.record_order_reply(
+            &engine.name,
+            version,
+            reply.ok().as_ref(),
+            now_ms,
+        );
     }
 }
 
-fn facts<'a>(
+fn engine_snapshots<'a>(
     model: &str,
     engines: &[&'a EngineRecord],
     states: &'a BTreeMap<String, Option<EngineState>>,
-    marks: &BTreeSet<String>,
+    drained: &BTreeSet<String>,
 ) -> Vec<EngineSnapshot<'a>> {
-    let of = |engine: &&'a EngineRecord| {
+    let snapshot = |engine: &&'a EngineRecord| {
         let state = states.get(&engine.name).and_then(Option::as_ref);
         let version = |s: &'a EngineState| if s.model == model { &s.version } else { "" };
         EngineSnapshot {
@@ -264,9 +299,9 @@
             loading: state.is_some_and(|s| s.loading),
             open_requests: state.map_or(0, |s| s.load.running + s.load.waiting),
             checks_fencing: engine.checks_fencing,
-            drained: marks.contains(&engine.name),
+            drained: drained.contains(&engine.name),
             departing: engine.departing,
         }
     };
-    engines.iter().map(of).collect()
+    engines.iter().map(snapshot).collect()
 }
--- a/crates/mangowalkd/src/controller/record_status.rs
+++ b/crates/mangowalkd/src/controller/record_status.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         Controller,
-        lease_keeper::{LeaseKeeper, is_candidate},
+        lease_manager::{LeaseManager, is_candidate},
     },
     crate::shared_state::SharedState,
     log::warn,
@@ -13,23 +13,24 @@
     std::{collections::BTreeMap, marker::PhantomData},
 };
 
-/// Pause between two comparisons.
+/// Pause between two comparisons of the current and the written status.
 const PERIOD_MS: u64 = 1_000;
 
-/// Pause of an instance that does not write status.
+/// Pause between two checks of an instance that doesn't hold the lease.
 const IDLE_MS: u64 = 2_000;
 
-/// Writes in one step. A new fleet writes the status of all its records; the
-/// platform takes several hundred writes a second from everyone together.
-const MOST_WRITES: usize = 20;
+/// Maximum number of writes in one step. A new fleet writes the status of all
+/// its records, and the platform accepts several hundred writes per second from
+/// all its users together.
+const MAX_WRITES_PER_STEP: usize = 20;
 
-/// Name of the lease under which status is written.
+/// Name of the lease that the writer of the status holds.
 const LEASE: &str = "status";
 
-/// Writes to the platform what became of each record, by one instance at a
-/// time, and only where it changed.
+/// Writes the status of each record (accepted or refused) to the platform. One
+/// instance at a time writes, and only status that changed.
 pub struct StatusWriter<E> {
-    lease: LeaseKeeper,
+    lease: LeaseManager,
     written: Option<BTreeMap<String, RecordStatus>>,
     edges: PhantomData<fn() -> E>,
 }
@@ -37,7 +38,7 @@
 impl<E> Default for StatusWriter<E> {
     fn default() -> StatusWriter<E> {
         StatusWriter {
-            lease: LeaseKeeper::new(LEASE, 0),
+            lease: LeaseManager::new(LEASE, 0),
             written: None,
             edges: PhantomData,
         }
@@ -45,7 +46,8 @@
 }
 
 impl<E: Edges> StatusWriter<E> {
-    /// Reads what was written before, by whoever held the lease.
+    /// Loads the status that earlier lease holders wrote, unless it is loaded.
+    /// Returns `None` if the platform can't be read.
     fn read_written(&mut self, edges: &E) -> Option<()> {
         if self.written.is_none() {
             let list = edges.platform().list(&[own_kind::STATUS]).ok()?;
@@ -58,14 +60,16 @@
         Some(())
     }
 
-    fn write_changes(&mut self, edges: &E, board: &SharedState) -> Option<()> {
+    /// Writes status that changed and deletes that of withdrawn records. Returns
+    /// `None` after a failed call.
+    fn write_changes(&mut self, edges: &E, shared: &SharedState) -> Option<()> {
         self.read_written(edges)?;
-        let wanted = board.config.read(RecordStatus::of_all);
+        let wanted = shared.config.read(RecordStatus::of_all);
         let written = self.written.get_or_insert_default();
         let changed: Vec<(String, RecordStatus)> = wanted
             .iter()
             .filter(|(name, status)| status.replaces(written.get(*name)))
-            .take(MOST_WRITES)
+            .take(MAX_WRITES_PER_STEP)
             .map(|(name, status)| (name.clone(), status.clone()))
             .collect();
         for (name, status) in changed {
@@ -76,7 +80,7 @@
         let gone: Vec<String> = written
             .keys()
             .filter(|name| !wanted.contains_key(*name))
-            .take(MOST_WRITES)
+            .take(MAX_WRITES_PER_STEP)
             .cloned()
             .collect();
         for name in gone {
@@ -92,24 +96,24 @@
 
     const NAME: &'static str = "status";
 
-    fn step(&mut self, edges: &E, board: &SharedState, _now_ms: u64) -> u64 {
-        if !is_candidate(board, LEASE) {
+    fn step(&mut self, edges: &E, shared: &SharedState, _now_ms: u64) -> u64 {
+        if !is_candidate(shared, LEASE) {
             self.lease.release(edges);
             self.written = None;
             return IDLE_MS;
         }
-        if self.lease.keep(edges, board).is_none() {
+        if self.lease.maintain(edges, shared).is_none() {
             self.written = None;
             return IDLE_MS;
         }
-        if self.write_changes(edges, board).is_none() {
-            warn!("status: The platform took no status; trying again.");
+        if self.write_changes(edges, shared).is_none() {
+            warn!("status: The status could not be written to the platform; trying again.");
             self.written = None;
         }
         PERIOD_MS
     }
 
-    fn leave(&mut self, edges: &E, _board: &SharedState) {
+    fn shut_down(&mut self, edges: &E, _board: &SharedState) {
         self.lease.release(edges);
     }
 }
--- a/crates/mangowalkd/src/operator/candidates.rs
+++ b/crates/mangowalkd/src/operator/candidates.rs
@@ -11,34 +11,34 @@
     std::collections::HashSet,
 };
 
-/// Weighs the engines of a model for one request, without sending it.
-pub(super) struct Weighing<'a> {
-    board: &'a SharedState,
+/// Computes the placement of one request without sending it.
+pub(super) struct PlacementPreview<'a> {
+    shared: &'a SharedState,
     engines: Vec<&'a EngineRecord>,
     model: &'a str,
     version: &'a str,
     chain: Vec<u64>,
-    /// Engines that depart. Placement hears of a record a moment after it is
-    /// in force.
+    /// Departing engines. They are excluded here because placement applies a
+    /// record slightly later than the view.
     departing: HashSet<String>,
     now_ms: u64,
 }
 
-impl<'a> Weighing<'a> {
+impl<'a> PlacementPreview<'a> {
     pub(super) fn new(
-        board: &'a SharedState,
+        shared: &'a SharedState,
         view: &'a View,
         request: &'a ExplainRequest,
         version: &'a str,
         now_ms: u64,
-    ) -> Weighing<'a> {
+    ) -> PlacementPreview<'a> {
         let salt = cache_salt(&request.team, &request.model, version);
         let engines = view.engines.values().filter(|e| e.model == request.model);
         let engines: Vec<&EngineRecord> = engines.collect();
         let departing = engines.iter().filter(|e| e.departing);
         let departing = departing.map(|e| e.name.clone()).collect();
-        Weighing {
-            board,
+        PlacementPreview {
+            shared,
             engines,
             model: &request.model,
             version,
@@ -48,23 +48,23 @@
         }
     }
 
-    /// Returns where the request would go now.
+    /// Returns the engine that the request would be sent to now.
     pub(super) fn choice(&self) -> Option<Choice> {
         self.choose(&self.departing, false)
     }
 
-    /// Returns how many whole blocks the prompt has.
+    /// Returns the number of whole blocks in the prompt.
     pub(super) fn blocks(&self) -> usize {
         self.chain.len()
     }
 
-    /// Returns every engine of the model, with why it could be used or not.
+    /// Returns every engine of the model, with the reason why it is usable or not.
     pub(super) fn candidates(&self) -> Vec<Candidate> {
-        let sights = self.board.engines.snapshot();
+        let known = self.shared.engines.snapshot();
         self.engines
             .iter()
             .map(|engine| {
-                let (usable, reason) = self.judge(engine, sights.get(&engine.name));
+                let (usable, reason) = self.evaluate(engine, known.get(&engine.name));
                 Candidate {
                     engine: engine.name.clone(),
                     usable,
@@ -74,12 +74,12 @@
             .collect()
     }
 
-    fn judge(&self, engine: &EngineRecord, sight: Option<&KnownEngine>) -> (bool, String) {
+    fn evaluate(&self, engine: &EngineRecord, known: Option<&KnownEngine>) -> (bool, String) {
         let no = |reason: &str| (false, reason.to_owned());
         if engine.departing {
-            return no("It departs and gets no new work.");
+            return no("It departs and gets no new requests.");
         }
-        let Some(state) = sight.and_then(|s| s.state.as_ref()) else {
+        let Some(state) = known.and_then(|s| s.state.as_ref()) else {
             return no("It does not answer.");
         };
         if state.loading {
@@ -93,31 +93,31 @@
             return (
                 false,
                 format!(
-                    "It serves version {version}; this prefix keeps to {}.",
+                    "It serves version {version}; this prefix stays on {}.",
                     self.version
                 ),
             );
         }
-        if !self.board.upstreams.usable(&engine.name, self.now_ms) {
+        if !self.shared.upstreams.usable(&engine.name, self.now_ms) {
             return no("Attempts on it failed or it is at its limit of attempts.");
         }
-        let Some(choice) = self.alone(engine, true) else {
-            return no("Placement knows of no answer from it yet.");
+        let Some(choice) = self.choose_only(engine, true) else {
+            return no("Placement has no report from it yet.");
         };
-        if self.alone(engine, false).is_none() {
+        if self.choose_only(engine, false).is_none() {
             return no("It has no room for more of this instance's requests.");
         }
         let expected_ms = choice.expected_ms.round();
         let reason = format!(
-            "First token expected after {expected_ms} ms; it is believed to hold {} of {} blocks.",
+            "First token expected after {expected_ms} ms; it is estimated to hold {} of {} blocks.",
             choice.held_blocks,
             self.blocks()
         );
         (true, reason)
     }
 
-    /// Weighs one engine as if there were no other.
-    fn alone(&self, engine: &EngineRecord, force: bool) -> Option<Choice> {
+    /// Returns the placement if this engine were the only one of the model.
+    fn choose_only(&self, engine: &EngineRecord, force: bool) -> Option<Choice> {
         let others = self.engines.iter().filter(|e| e.name != engine.name);
         let avoid = others.map(|e| e.name.clone()).collect();
         self.choose(&avoid, force)
@@ -130,11 +130,11 @@
             chain: &self.chain,
             cache_store_blocks: 0,
             avoid,
-            is_usable: &|name| force || self.board.upstreams.usable(name, self.now_ms),
+            is_usable: &|name| force || self.shared.upstreams.usable(name, self.now_ms),
             force,
             waited_ms: 0,
-            queued: self.board.dispatch.queued(),
+            queued: self.shared.dispatch.queued(),
         };
-        self.board.dispatch.preview(&ask, self.now_ms)
+        self.shared.dispatch.preview(&ask, self.now_ms)
     }
 }
--- a/crates/mangowalkd/src/operator/explain.rs
+++ b/crates/mangowalkd/src/operator/explain.rs
@@ -1,5 +1,5 @@
 use {
-    super::candidates::Weighing,
+    super::candidates::PlacementPreview,
     crate::{serve::version_of, shared_state::SharedState},
     mangowalk_core::{
         config::View,
@@ -11,26 +11,27 @@
     },
 };
 
-/// Returns what the instance would do with a request now. Nothing is spent,
-/// queued or sent.
-pub(super) fn explain(board: &SharedState, request: &ExplainRequest, now_ms: u64) -> ExplainReply {
-    let view = board.config.view();
+/// Returns what the instance would do with a request now. The request spends no
+/// tokens, and is neither queued nor sent.
+pub(super) fn explain(shared: &SharedState, request: &ExplainRequest, now_ms: u64) -> ExplainReply {
+    let view = shared.config.view();
     let mut reply = ExplainReply {
         engine: None,
         refusal: None,
         steps: Vec::new(),
         candidates: Vec::new(),
     };
-    let refused = admit(&mut reply.steps, board, &view, request, now_ms)
-        .and_then(|()| place(&mut reply, board, &view, request, now_ms));
+    let refused = admit(&mut reply.steps, shared, &view, request, now_ms)
+        .and_then(|()| choose_engine(&mut reply, shared, &view, request, now_ms));
     reply.refusal = refused.err().map(|refusal| refusal.to_string());
     reply
 }
 
-/// Follows the checks that a request passes before its turn.
+/// Runs the checks of admission before the queue, and appends a line for each to
+/// `steps`.
 fn admit(
     steps: &mut Vec<String>,
-    board: &SharedState,
+    shared: &SharedState,
     view: &View,
     request: &ExplainRequest,
     now_ms: u64,
@@ -52,7 +53,9 @@
     steps.push(format!("Model {model} is offered at version {version}."));
     let tokens = estimate_tokens(&request.prompt) + u64::from(request.max_tokens);
     let Some(rate) = view.rates.get(team) else {
-        steps.push(format!("Team {team} has no rate, so nothing is let in."));
+        steps.push(format!(
+            "Team {team} has no rate, so no request is admitted."
+        ));
         return Err(Refusal::RateLimited { retry_ms: 60_000 });
     };
     steps.push(format!(
@@ -65,19 +68,20 @@
             burst_tokens: rate.burst_tokens,
         });
     }
-    reserve(steps, board, rate, request, tokens, now_ms)
+    reserve(steps, shared, rate, request, tokens, now_ms)
 }
 
-/// Tells whether the request would get its tokens. They are put back at once.
+/// Checks whether the request would get its tokens. Tokens that are taken are
+/// refunded immediately.
 fn reserve(
     steps: &mut Vec<String>,
-    board: &SharedState,
+    shared: &SharedState,
     rate: &Rate,
     request: &ExplainRequest,
     tokens: u64,
     now_ms: u64,
 ) -> Result<(), Refusal> {
-    let (limits, team) = (&board.limits, &request.team);
+    let (limits, team) = (&shared.limits, &request.team);
     let shares = limits.slots(now_ms);
     if let Some(reservation) = limits.take(team, rate, tokens, now_ms) {
         limits.settle(&reservation, 0);
@@ -90,22 +94,22 @@
         "This instance holds {shares} slots and lacks the tokens; it would ask other instances."
     ));
     match limits.shortages(|s| s.missing_tokens(team, rate, tokens, now_ms)) {
-        Some(short) => {
+        Some(missing_tokens) => {
             steps.push(format!(
-                "A look at the other instances a moment ago found {short} tokens too few."
+                "The last query of other instances found {missing_tokens} tokens too few."
             ));
             Err(Refusal::RateLimited {
-                retry_ms: refill_ms(rate, short),
+                retry_ms: refill_ms(rate, missing_tokens),
             })
         }
         None => Ok(()),
     }
 }
 
-/// Weighs the engines as placement does.
-fn place(
+/// Chooses an engine as placement does, and adds the candidates to the reply.
+fn choose_engine(
     reply: &mut ExplainReply,
-    board: &SharedState,
+    shared: &SharedState,
     view: &View,
     request: &ExplainRequest,
     now_ms: u64,
@@ -114,20 +118,20 @@
         reason,
         retry_ms: 1_000,
     };
-    let version = version_of(board, &request.team, &request.model, &request.prompt)
+    let version = version_of(shared, &request.team, &request.model, &request.prompt)
         .ok_or_else(|| unavailable("No engine serves the model now"))?;
-    let weighing = Weighing::new(board, view, request, &version, now_ms);
-    reply.candidates = weighing.candidates();
+    let preview = PlacementPreview::new(shared, view, request, &version, now_ms);
+    reply.candidates = preview.candidates();
     reply.steps.push(format!(
         "The prompt has {} whole blocks, and {} requests wait for an engine.",
-        weighing.blocks(),
-        board.dispatch.queued()
+        preview.blocks(),
+        shared.dispatch.queued()
     ));
-    let choice = weighing
+    let choice = preview
         .choice()
         .ok_or_else(|| unavailable("Every engine is full; the request would wait or be refused"))?;
     reply.steps.push(format!(
-        "Of {} engines weighed, {} is expected to bring the first token soonest.",
+        "Of {} engines compared, {} has the earliest expected first token.",
         choice.candidate_count, choice.engine
     ));
     reply.engine = Some(choice.engine);
--- a/crates/mangowalkd/src/operator/server.rs
+++ b/crates/mangowalkd/src/operator/server.rs
@@ -12,14 +12,14 @@
     },
 };
 
-/// Threads that answer operators. Few on purpose: an operator's script that
-/// asks too often waits, and takes nothing from callers.
+/// Threads that answer operators. There are few of them, so that a script that
+/// sends too many requests waits and takes no resources from callers.
 const THREADS: usize = 2;
 
-/// Pause between two looks at whether to stop.
-const POLL: Duration = Duration::from_millis(100);
+/// Interval at which a thread checks whether the instance stopped.
+const STOP_POLL: Duration = Duration::from_millis(100);
 
-/// Listens to operators.
+/// HTTP server for operators. It runs until the instance stops.
 pub struct OperatorServer {
     address: SocketAddr,
 }
@@ -29,35 +29,36 @@
     ///
     /// # Errors
     ///
-    /// Fails where the address is in use.
+    /// Returns an error if the address can't be listened on or a thread can't be
+    /// created.
     pub fn start<E: Edges>(
         address: SocketAddr,
         edges: &Arc<E>,
-        board: &Arc<SharedState>,
+        shared: &Arc<SharedState>,
     ) -> io::Result<OperatorServer> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
         let server = tiny_http::Server::from_listener(listener, None).map_err(io::Error::other)?;
         let server = Arc::new(server);
         for _ in 0..THREADS {
-            let (server, edges, board) = (server.clone(), edges.clone(), board.clone());
+            let (server, edges, shared) = (server.clone(), edges.clone(), shared.clone());
             thread::Builder::new()
                 .name("operators".to_owned())
-                .spawn(move || serve(&server, &*edges, &board))?;
+                .spawn(move || serve(&server, &*edges, &shared))?;
         }
         Ok(OperatorServer { address })
     }
 
-    /// Returns the address listened on.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-fn serve<E: Edges>(server: &tiny_http::Server, edges: &E, board: &SharedState) {
-    while !board.lifecycle.is_stopped() {
-        match server.recv_timeout(POLL) {
-            Ok(Some(request)) => handle(request, board, edges.clock().now_ms()),
+fn serve<E: Edges>(server: &tiny_http::Server, edges: &E, shared: &SharedState) {
+    while !shared.lifecycle.is_stopped() {
+        match server.recv_timeout(STOP_POLL) {
+            Ok(Some(request)) => handle(request, shared, edges.clock().now_ms()),
             Ok(None) => {}
             Err(error) => warn!("operators: A connection failed. {error}"),
         }
--- a/crates/mangowalkd/src/serve/poison.rs
+++ b/crates/mangowalkd/src/serve/poison.rs
@@ -1,6 +1,6 @@
 use {
     super::{ChatRequest, Router, ServiceRequest, attempt::Target},
-    crate::controller::tell_crashes,
+    crate::controller::report_crashes,
     log::warn,
     mangowalk_core::{
         attempt::{End, EndedAttempt},
@@ -94,7 +94,7 @@
             warn!(
                 "poison: {upstream} crashed; the crash is attributed to the most suspect of its requests."
             );
-            tell_crashes(&*self.edges, &self.shared);
+            report_crashes(&*self.edges, &self.shared);
         }
     }
 
--- a/crates/mangowalkd/tests/docs.rs
+++ b/crates/mangowalkd/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The fault table names only tests that exist.
+//! Checks that the fault table names only tests that exist.
 
 use std::{
     collections::BTreeSet,
@@ -41,8 +41,8 @@
         .map(|(name, _)| name.to_owned())
 }
 
-/// Returns what stands in backticks in the table's rows.
-fn named_in(page: &str) -> Vec<String> {
+/// Returns the text in backticks in the rows of the page's tables.
+fn backquoted_names(page: &str) -> Vec<String> {
     page.lines()
         .filter(|line| line.starts_with('|'))
         .flat_map(|line| line.split('`').skip(1).step_by(2).map(str::to_owned))
@@ -53,7 +53,7 @@
 fn the_fault_table_names_tests_that_exist() {
     let page = fs::read_to_string(root().join("docs/faults.md")).expect("the page");
     let tests = test_names();
-    let unknown: Vec<String> = named_in(&page)
+    let unknown: Vec<String> = backquoted_names(&page)
         .into_iter()
         .filter(|name| !tests.contains(name))
         .collect();
--- a/crates/mangowalkd/tests/fault_pairs.rs
+++ b/crates/mangowalkd/tests/fault_pairs.rs
@@ -1,10 +1,9 @@
-//! Every fault alone, twice and together with every other, while streams and
-//! orders are under way.
+//! Every pair of faults, including a fault with itself, while streams and orders
+//! are in progress.
 //!
-//! What callers see must hold whatever comes: an admitted stream reaches its
-//! caller whole and in order, a refusal that says "not run" is true, and an
-//! order runs at most once even when its caller sends it again through
-//! another router.
+//! With every pair, an admitted stream must reach its caller complete and in
+//! order, a refusal as "not run" must be true, and an order must run at most once
+//! even if its caller retries through another router.
 
 use {
     mangowalk_standins::{
@@ -17,12 +16,12 @@
 const STREAMS: usize = 4;
 const TOKENS: u32 = 30;
 
-/// Time from the start of the streams to the first fault, and from there to
-/// the second.
-const STEP: Duration = Duration::from_millis(60);
+/// Time from the start of the streams to the first fault, and from the first to
+/// the second fault.
+const FAULT_DELAY: Duration = Duration::from_millis(60);
 
-/// Time for which a router stays frozen.
-const FROZEN: Duration = Duration::from_millis(400);
+/// Time for which a router is frozen.
+const FREEZE_TIME: Duration = Duration::from_millis(400);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
@@ -51,14 +50,14 @@
     Fault::OtherRouterKilled,
 ];
 
-/// One fleet that meets a first fault together with every second one.
-struct Bench {
+/// A fleet into which pairs of faults are injected.
+struct FaultFleet {
     fleet: Fleet,
     round: usize,
 }
 
-impl Bench {
-    fn new() -> Bench {
+impl FaultFleet {
+    fn new() -> FaultFleet {
         let settings = FleetSettings {
             program: env!("CARGO_BIN_EXE_mangowalkd").to_owned(),
             routers: 2,
@@ -66,18 +65,19 @@
             router_args: vec!["--token-timeout-ms=600".to_owned()],
             ..FleetSettings::default()
         };
-        let bench = Bench {
+        let faults = FaultFleet {
             fleet: Fleet::start(&settings),
             round: 0,
         };
-        bench.wait_serving();
-        bench
+        faults.wait_serving();
+        faults
     }
 
-    /// Waits until both routers serve with all engines: slots and sights of
-    /// engines come a moment after a router is ready, and an engine that came
-    /// back is tried later still. Two faults take two engines, so a stream that
-    /// began with one of three missing would have none left to go on at.
+    /// Waits until both routers serve with all engines. Slots and engine states
+    /// arrive shortly after a router is ready, and an engine that restarted is
+    /// tried again later still. Two faults may disable two engines, so that a
+    /// stream that starts while one of three is missing would have no engine to
+    /// resume at.
     fn wait_serving(&self) {
         for router in 0..self.fleet.routers.len() {
             let name = format!("warm up {router} {}", self.round);
@@ -95,7 +95,7 @@
         }
     }
 
-    fn bring(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::PlatformDown => self.fleet.platform.set_faults(PlatformFaults {
                 down: true,
@@ -128,7 +128,7 @@
             }),
             Fault::RouterFrozen => {
                 self.fleet.routers[0].freeze();
-                thread::sleep(FROZEN);
+                thread::sleep(FREEZE_TIME);
                 self.fleet.routers[0].thaw();
             }
             Fault::OtherRouterKilled => self.fleet.routers[1].kill(),
@@ -156,9 +156,9 @@
         self.wait_serving();
     }
 
-    /// Runs streams and an order while both faults come, and checks what the
-    /// callers received.
-    fn meet(&mut self, first: Fault, second: Fault) {
+    /// Runs streams and an order while both faults are injected, and checks the
+    /// answers to the callers.
+    fn run_pair(&mut self, first: Fault, second: Fault) {
         let name = format!("{first:?} and {second:?}");
         let address = self.fleet.routers[0].address();
         let prompts: Vec<String> = (0..STREAMS).map(|i| format!("{name} {i}")).collect();
@@ -169,14 +169,14 @@
                 thread::spawn(move || stream(address, &prompt))
             })
             .collect();
-        thread::sleep(STEP);
-        self.bring(first);
+        thread::sleep(FAULT_DELAY);
+        self.inject(first);
         let order = {
             let name = name.clone();
             thread::spawn(move || order(address, &name))
         };
-        thread::sleep(STEP);
-        self.bring(second);
+        thread::sleep(FAULT_DELAY);
+        self.inject(second);
         for (prompt, stream) in prompts.iter().zip(streams) {
             self.check_stream(prompt, &stream.join().expect("a caller"));
         }
@@ -186,8 +186,8 @@
         self.check_orders(&name, &orders);
     }
 
-    /// The streams were admitted before the first fault, and one engine of
-    /// three is left by any two faults: each must reach its caller whole.
+    /// Checks that a stream is complete. It was admitted before the first fault,
+    /// and any two faults leave one engine of three.
     fn check_stream(&self, prompt: &str, answer: &Answer) {
         let expected = Fleet::expected(prompt, u64::from(TOKENS));
         assert_eq!(answer.status, 200, "{prompt}: {}", answer.body);
@@ -241,60 +241,61 @@
     )
 }
 
-/// Runs one first fault alone, twice, and with every other behind it.
-fn meets_every_other(first: Fault) {
-    let mut bench = Bench::new();
+/// Runs pairs of this fault with every fault after it, itself included, in one
+/// fleet.
+fn run_with_every_fault(first: Fault) {
+    let mut faults = FaultFleet::new();
     for second in FAULTS {
-        bench.meet(first, second);
+        faults.run_pair(first, second);
     }
 }
 
 #[test]
-fn platform_down_with_every_other() {
-    meets_every_other(Fault::PlatformDown);
+fn platform_down_with_every_other_fault() {
+    run_with_every_fault(Fault::PlatformDown);
 }
 
 #[test]
-fn platform_slow_with_every_other() {
-    meets_every_other(Fault::PlatformSlow);
+fn platform_slow_with_every_other_fault() {
+    run_with_every_fault(Fault::PlatformSlow);
 }
 
 #[test]
-fn replies_lost_with_every_other() {
-    meets_every_other(Fault::RepliesLost);
+fn replies_lost_with_every_other_fault() {
+    run_with_every_fault(Fault::RepliesLost);
 }
 
 #[test]
-fn engine_crash_with_every_other() {
-    meets_every_other(Fault::EngineCrash);
+fn engine_crash_with_every_other_fault() {
+    run_with_every_fault(Fault::EngineCrash);
 }
 
 #[test]
-fn engine_silent_with_every_other() {
-    meets_every_other(Fault::EngineSilent);
+fn engine_silent_with_every_other_fault() {
+    run_with_every_fault(Fault::EngineSilent);
 }
 
 #[test]
-fn events_lost_with_every_other() {
-    meets_every_other(Fault::EventsLost);
+fn events_lost_with_every_other_fault() {
+    run_with_every_fault(Fault::EventsLost);
 }
 
 #[test]
-fn answers_crossed_with_every_other() {
-    meets_every_other(Fault::AnswersCrossed);
+fn answers_crossed_with_every_other_fault() {
+    run_with_every_fault(Fault::AnswersCrossed);
 }
 
 #[test]
-fn service_reply_lost_with_every_other() {
-    meets_every_other(Fault::ServiceReplyLost);
+fn service_reply_lost_with_every_other_fault() {
+    run_with_every_fault(Fault::ServiceReplyLost);
 }
 
 #[test]
-fn router_frozen_with_every_other() {
-    meets_every_other(Fault::RouterFrozen);
+fn router_frozen_with_every_other_fault() {
+    run_with_every_fault(Fault::RouterFrozen);
 }
 
 #[test]
-fn other_router_killed_with_every_other() {
-    meets_every_other(Fault::OtherRouterKilled);
+fn other_router_killed_with_every_other_fault() {
+    run_with_every_fault(Fault::OtherRouterKilled);
 }
--- a/crates/mangowalkd/tests/membership.rs
+++ b/crates/mangowalkd/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is named to callers, and who gets work.
+//! Which instances are listed to callers, and which engines get requests.
 
 use {
     mangowalk_core::{
@@ -28,62 +28,67 @@
     serde_json::from_value(answer.json()["addresses"].clone()).unwrap_or_default()
 }
 
-fn eventually_names(router: &RouterProcess, count: usize) {
-    eventually("the instance names the right number", || {
+fn eventually_lists(router: &RouterProcess, count: usize) {
+    eventually("the instance lists the expected number", || {
         addresses(router).len() == count
     });
 }
 
-/// An instance is killed while the platform's list still shows it. Callers
-/// are no longer told of it, because its peers got no answer.
+/// An instance is killed while it is still in the platform's list. Its peers get
+/// no answer from it and must stop listing it to callers.
 #[test]
-fn a_killed_instance_is_no_longer_named() {
+fn a_killed_instance_is_no_longer_listed() {
     let mut fleet = fleet(3);
-    eventually_names(&fleet.routers[0], 3);
+    eventually_lists(&fleet.routers[0], 3);
     fleet.routers[2].kill();
-    eventually_names(&fleet.routers[0], 2);
-    eventually_names(&fleet.routers[1], 2);
-    assert_eq!(fleet.platform.list("instance").len(), 3, "the list lags");
+    eventually_lists(&fleet.routers[0], 2);
+    eventually_lists(&fleet.routers[1], 2);
+    assert_eq!(
+        fleet.platform.list("instance").len(),
+        3,
+        "the platform still lists it"
+    );
 }
 
-/// An instance is paused and goes on. It is not named meanwhile, and named
-/// again once it contradicts the suspicion.
+/// An instance is frozen and resumes. It must not be listed while it is frozen,
+/// and must be listed again after it has contradicted the suspicion.
 #[test]
-fn a_frozen_instance_is_named_again_when_it_goes_on() {
+fn a_frozen_instance_is_listed_again_after_it_resumes() {
     let fleet = fleet(3);
-    eventually_names(&fleet.routers[0], 3);
+    eventually_lists(&fleet.routers[0], 3);
     fleet.routers[2].freeze();
-    eventually_names(&fleet.routers[0], 2);
+    eventually_lists(&fleet.routers[0], 2);
     fleet.routers[2].thaw();
-    eventually_names(&fleet.routers[0], 3);
-    eventually_names(&fleet.routers[1], 3);
+    eventually_lists(&fleet.routers[0], 3);
+    eventually_lists(&fleet.routers[1], 3);
 }
 
-/// An instance restarts on its address. What is known of the one before it
-/// must not keep callers away.
+/// An instance is killed and restarts on the same address. The state of the
+/// earlier process must not keep it from being listed.
 #[test]
-fn a_restarted_instance_is_named_again() {
+fn a_restarted_instance_is_listed_again() {
     let mut fleet = fleet(2);
-    eventually_names(&fleet.routers[0], 2);
+    eventually_lists(&fleet.routers[0], 2);
     fleet.routers[1].kill();
-    eventually_names(&fleet.routers[0], 1);
+    eventually_lists(&fleet.routers[0], 1);
     fleet.routers[1].start_again();
-    eventually_names(&fleet.routers[0], 2);
+    eventually_lists(&fleet.routers[0], 2);
 }
 
-/// Callers who ask the same instance are not all sent to one.
+/// Callers that get the address list from one instance must not all be sent to
+/// the same instance first.
 #[test]
 fn callers_are_spread_over_instances() {
     let fleet = fleet(3);
-    eventually_names(&fleet.routers[0], 3);
+    eventually_lists(&fleet.routers[0], 3);
     let first: BTreeSet<SocketAddr> = (0..40)
         .filter_map(|_| addresses(&fleet.routers[0]).first().copied())
         .collect();
     assert_eq!(first.len(), 3);
 }
 
-/// An operator marks an engine as departing. Requests go to the other one
-/// alone a few seconds later, from every instance.
+/// An operator marks an engine as departing. Within a few seconds every instance
+/// must send requests only to the other engine.
 #[test]
 fn a_departing_upstream_gets_no_new_work() {
     let fleet = fleet(2);
@@ -92,7 +97,7 @@
     body["departing"] = json!(true);
     fleet.platform.put("upstream", "engine-0", body);
     let started = |n: usize| -> u64 { fleet.engines[n].prompts().values().sum() };
-    eventually("an answer of each instance leaves engine-0 out", || {
+    eventually("no instance sends requests to engine-0", || {
         let before = started(0);
         let served = (0..2).all(|router| {
             (0..4).all(|i| fleet.chat(router, &format!("q{i}"), 2, false).status == 200)
@@ -107,10 +112,10 @@
     assert_eq!(started(0), before);
 }
 
-/// An instance hears that it is suspected. Its answer must outrank the
-/// suspicion, or those who only hear of it from others keep callers away.
+/// An instance receives an update that suspects it. Its answer must override the
+/// suspicion, or instances that know it only from peer reports would not list it.
 #[test]
-fn a_suspected_instance_contradicts() {
+fn a_suspected_instance_raises_its_heartbeat() {
     let address = free_address();
     let identity = Identity {
         caller_address: address,
@@ -118,7 +123,7 @@
         failure_domain: "a".to_owned(),
         incarnation: 7,
     };
-    let board = SharedState::new(identity, DispatchSettings::default());
+    let shared = SharedState::new(identity, DispatchSettings::default());
     let view = |port: u16, heartbeat, suspected| InstanceView {
         caller_address: SocketAddr::from(([127, 0, 0, 1], port)),
         peer_address: SocketAddr::from(([127, 0, 0, 1], port)),
@@ -135,7 +140,7 @@
         updates: vec![view(address.port(), 5, true)],
         crashes: Vec::new(),
     };
-    let reply = answer(&LiveEdges::new(free_address()), &board, &request);
+    let reply = answer(&LiveEdges::new(free_address()), &shared, &request);
     let PeerReply::Exchange { from, .. } = reply else {
         panic!("no exchange: {reply:?}");
     };
--- a/crates/mangowalkd/tests/settings.rs
+++ b/crates/mangowalkd/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings: each bad value is refused at start with its remedy, and the page
-//! says what the program says.
+//! Settings: each invalid value is refused at start with a message that says what
+//! to change, and the settings page matches the program.
 
 use std::{
     fs,
@@ -7,16 +7,16 @@
     process::{Command, Output},
 };
 
-/// Settings that can be used. Nothing is listened on: `--check` ends first.
-const GOOD: [(&str, &str); 4] = [
+/// Valid settings. `--check` exits before the program listens on an address.
+const VALID_SETTINGS: [(&str, &str); 4] = [
     ("caller-address", "127.0.0.1:7000"),
     ("peer-address", "127.0.0.1:7001"),
     ("platform-address", "127.0.0.1:7002"),
     ("failure-domain", "rack-1"),
 ];
 
-/// A flag, a value that can't be used, and what the message must hold.
-const BAD: &[(&str, &str, &str)] = &[
+/// A flag, an invalid value, and a text that the message must contain.
+const INVALID_SETTINGS: &[(&str, &str, &str)] = &[
     ("caller-address", "here", "such as 10.0.0.2:7000"),
     (
         "caller-address",
@@ -75,13 +75,13 @@
     format!("MANGOWALK_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-fn told(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 fn with_flags(changed: (&str, &str)) -> Output {
     let mut command = program();
-    for (flag, value) in GOOD.into_iter().filter(|(f, _)| *f != changed.0) {
+    for (flag, value) in VALID_SETTINGS.into_iter().filter(|(f, _)| *f != changed.0) {
         command.arg(format!("--{flag}={value}"));
     }
     let changed = format!("--{}={}", changed.0, changed.1);
@@ -94,7 +94,7 @@
 
 fn with_variables(changed: (&str, &str)) -> Output {
     let mut command = program();
-    for (flag, value) in GOOD.into_iter().filter(|(f, _)| *f != changed.0) {
+    for (flag, value) in VALID_SETTINGS.into_iter().filter(|(f, _)| *f != changed.0) {
         command.env(variable(flag), value);
     }
     command.env(variable(changed.0), changed.1);
@@ -102,49 +102,56 @@
 }
 
 #[test]
-fn good_settings_pass_by_flags_and_by_variables() {
+fn good_settings_are_accepted_from_flags_and_variables() {
     for given in [with_flags, with_variables] {
         let output = given(("operator-address", "127.0.0.1:7003"));
-        assert_eq!(output.status.code(), Some(0), "{}", told(&output));
+        assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
     }
 }
 
 #[test]
 fn each_bad_value_is_refused_with_its_remedy() {
-    for &(flag, value, remedy) in BAD {
+    for &(flag, value, remedy) in INVALID_SETTINGS {
         for (given, name) in [
             (with_flags as fn(_) -> _, format!("--{flag}")),
             (with_variables, variable(flag)),
         ] {
             let output: Output = given((flag, value));
-            let told = told(&output);
-            assert_eq!(output.status.code(), Some(2), "{name}={value}: {told}");
-            assert!(told.contains(remedy), "{name}={value}: {told}");
-            let named = told.contains(&name) || told.contains(&format!("--{flag}"));
-            assert!(named, "{name}={value}: {told}");
+            let stderr_text = stderr_text(&output);
+            assert_eq!(
+                output.status.code(),
+                Some(2),
+                "{name}={value}: {stderr_text}"
+            );
+            assert!(
+                stderr_text.contains(remedy),
+                "{name}={value}: {stderr_text}"
+            );
+            let named = stderr_text.contains(&name) || stderr_text.contains(&format!("--{flag}"));
+            assert!(named, "{name}={value}: {stderr_text}");
         }
     }
 }
 
 #[test]
 fn a_missing_setting_is_named() {
-    for (missing, _) in GOOD {
+    for (missing, _) in VALID_SETTINGS {
         let mut command = program();
-        for (flag, value) in GOOD.into_iter().filter(|(f, _)| *f != missing) {
+        for (flag, value) in VALID_SETTINGS.into_iter().filter(|(f, _)| *f != missing) {
             command.arg(format!("--{flag}={value}"));
         }
         let output = command.output().expect("the program");
         assert_eq!(output.status.code(), Some(2));
         assert!(
-            told(&output).contains(&format!("--{missing}")),
+            stderr_text(&output).contains(&format!("--{missing}")),
             "{}",
-            told(&output)
+            stderr_text(&output)
         );
     }
 }
 
-/// Returns the help as the page prints it: blanks at the ends of lines left
-/// out, and no line about the variables of whoever made the page.
+/// Returns the help as it stands on the page: without blanks at the ends of lines,
+/// and made without environment variables that would appear in it.
 fn help() -> String {
     let output = program().arg("--help").output().expect("the program");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -161,21 +168,21 @@
         .filter_map(|line| line.split_once('=').map(|(flag, _)| flag))
         .filter(|flag| flag.chars().all(|c| c.is_ascii_lowercase() || c == '-'))
         .collect();
-    assert!(flags.len() >= GOOD.len(), "{help}");
+    assert!(flags.len() >= VALID_SETTINGS.len(), "{help}");
     for flag in flags {
         assert!(
             help.contains(&format!("[env:{}:", variable(flag))),
             "{flag}"
         );
         assert!(
-            BAD.iter().any(|(f, _, _)| *f == flag),
+            INVALID_SETTINGS.iter().any(|(f, _, _)| *f == flag),
             "{flag} has no bad value"
         );
     }
 }
 
 #[test]
-fn the_page_says_what_the_program_says() {
+fn the_settings_page_contains_the_help_text() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/settings.md");
     let page = fs::read_to_string(page).expect("docs/settings.md");
     assert!(
@@ -199,7 +206,8 @@
         .collect()
 }
 
-/// Returns the first text behind each log macro of a source file.
+/// Returns the text that follows the opening quote of each log macro in a source
+/// file.
 fn log_lines(source: &str) -> Vec<&str> {
     ["info!(", "warn!(", "error!(", "debug!("]
         .iter()
@@ -208,7 +216,8 @@
         .collect()
 }
 
-/// A prefix that the page lacks is one that an operator can't look up.
+/// Operators look up the prefixes of log lines on the settings page, so that every
+/// prefix in the source must be there.
 #[test]
 fn every_log_prefix_is_on_the_page() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/crates/mangowalkd/tests/status.rs
+++ b/crates/mangowalkd/tests/status.rs
@@ -1,4 +1,4 @@
-//! What an instance shows operators, what it keeps from callers, and metrics.
+//! Status for operators, what callers must not see of it, and metrics.
 
 use {
     mangowalk_core::record::digest_of,
@@ -7,10 +7,11 @@
     std::{collections::BTreeSet, net::SocketAddr, net::UdpSocket, thread, time::Duration},
 };
 
-const MOST_LOOKS: u32 = 200;
-const PAUSE: Duration = Duration::from_millis(50);
+const MAX_POLLS: u32 = 200;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A fleet of one router that listens to operators.
+/// Returns a fleet of one router that listens to operators, with these further
+/// flags, and the router's address for operators.
 fn fleet(more: &[&str]) -> (Fleet, SocketAddr) {
     let operators = free_address();
     let mut fleet = Fleet::start(&FleetSettings {
@@ -27,11 +28,11 @@
 }
 
 fn chat_until_served(fleet: &Fleet) {
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if fleet.chat(0, "Is walnut in stock?", 4, true).status == 200 {
             return;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     panic!("the router served nothing");
 }
@@ -55,10 +56,10 @@
     );
 }
 
-/// Team names, load and the reasons of refusals are for operators. A caller,
-/// with a key or without, gets none of them at the callers' address.
+/// Team names, load and reasons of refusals are for operators only. The caller
+/// address must not return them, with or without a key.
 #[test]
-fn callers_see_nothing_of_it() {
+fn the_caller_address_exposes_no_operator_data() {
     let (fleet, _) = fleet(&[]);
     let bearer = format!("Bearer {}", Fleet::KEY);
     for path in ["/status", "/burn", "/explain"] {
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn what_can_not_be_answered_is_said() {
+fn an_invalid_operator_request_gets_an_error() {
     let (fleet, operators) = fleet(&[]);
     let cases = [
         (Answer::get(operators, "/nothing", &[]), 404),
@@ -91,22 +92,22 @@
     drop(fleet);
 }
 
-/// The instance drains: its supervisor must see that it is not ready, while
-/// the operators' page still says why.
+/// While an instance drains, `/ready` must return 503, so that its supervisor sees
+/// that it isn't ready, and `/status` must give the phase `departing`.
 #[test]
-fn a_departing_instance_says_so() {
+fn a_departing_instance_is_not_ready() {
     let (mut fleet, operators) = fleet(&[]);
     fleet.engines[0].set_faults(freeze());
     fleet.engines[1].set_faults(freeze());
     chat_in_the_background(&fleet);
     fleet.routers[0].terminate();
     let mut seen = 0;
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         seen = Answer::get(operators, "/ready", &[]).status;
         if seen == 503 {
             break;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     assert_eq!(seen, 503);
     let status = Answer::get(operators, "/status", &[]).json();
@@ -121,7 +122,7 @@
     }
 }
 
-/// Opens a request that no engine ends, so that the drain has to wait.
+/// Starts a request that no engine completes, so that the drain has to wait.
 fn chat_in_the_background(fleet: &Fleet) {
     let address = fleet.routers[0].address();
     thread::spawn(move || {
@@ -136,12 +137,14 @@
     });
 }
 
-/// A request is answered, and a metrics daemon hears of it within a few
-/// seconds: count, tokens, time to first token, and the gauges.
+/// A request is answered. Within a few seconds a metrics daemon must receive its
+/// count, tokens and time to first token, and the gauges.
 #[test]
 fn metrics_are_sent() {
     let daemon = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    daemon.set_read_timeout(Some(PAUSE)).expect("a timeout");
+    daemon
+        .set_read_timeout(Some(POLL_INTERVAL))
+        .expect("a timeout");
     let address = daemon.local_addr().expect("an address");
     let (fleet, _) = fleet(&[&format!("--statsd-address={address}")]);
     chat_until_served(&fleet);
@@ -159,7 +162,7 @@
     ]
     .into();
     let mut packet = [0; 2_048];
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if let Ok(length) = daemon.recv(&mut packet) {
             let text = String::from_utf8_lossy(&packet[..length]).into_owned();
             missing.retain(|part| !text.contains(part));
