--- a/crates/mangowalkd/src/caller/addresses.rs
+++ b/crates/mangowalkd/src/caller/addresses.rs
@@ -14,7 +14,7 @@
 struct Addresses {
     /// Addresses of instances, in the order in which a caller should try them.
     addresses: Vec<SocketAddr>,
-    /// Time for which the caller may cache the response.
+    /// Time for which the caller may cache the response, in milliseconds.
     keep_ms: u64,
 }
 
--- a/crates/mangowalkd/src/caller/listener.rs
+++ b/crates/mangowalkd/src/caller/listener.rs
@@ -25,9 +25,10 @@
 /// - The read timeout closes a connection that receives nothing, within a head,
 ///   within a body or between two requests.
 /// - The write timeout ends a stream whose caller stopped reading.
-/// - The user timeout and keepalive close a connection whose peer machine is gone.
-/// - `TCP_NODELAY`: a token must not wait for the acknowledgement of the previous
-///   one.
+/// - The user timeout and keepalive close a connection whose peer machine is
+///   gone.
+/// - `TCP_NODELAY`: a token must not wait for the acknowledgement of the
+///   previous one.
 ///
 /// The read timeout also ends an idle `accept`; see [`wake_accept`].
 pub(super) fn listen(address: SocketAddr, timeout: Duration) -> io::Result<TcpListener> {
--- a/crates/mangowalkd/src/caller/reply.rs
+++ b/crates/mangowalkd/src/caller/reply.rs
@@ -7,8 +7,8 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// Header that names the sender of a response, `router` or `service`. The error
-/// of a service looks like one of the router.
+/// Header that names the sender of a response, `router` or `service`. Without
+/// it, a service's own error would look like one of the router.
 pub(super) const SOURCE_HEADER: &str = "x-mangowalk-source";
 
 /// A response whose complete body is in memory.
--- a/crates/mangowalkd/src/serve/admit.rs
+++ b/crates/mangowalkd/src/serve/admit.rs
@@ -28,7 +28,8 @@
     /// # Errors
     ///
     /// Refuses a request that would not be served in time, without waiting for
-    /// that time to pass.
+    /// that time to pass. Also fails if no engine serves the model, or if the
+    /// key was withdrawn while the request was queued.
     pub(super) fn admit(&self, request: &ChatRequest) -> Result<Target, Refusal> {
         let mut version = self.current_version(request)?;
         for _ in 1..MAX_VERSION_ATTEMPTS {
--- a/crates/mangowalkd/src/serve/attempts.rs
+++ b/crates/mangowalkd/src/serve/attempts.rs
@@ -15,8 +15,9 @@
     },
 };
 
-/// Attempts per request. If three engines fail in turn, either the whole fleet
-/// is down or the request causes the failures.
+/// Attempts per request. Three engines that fail in turn are not a
+/// coincidence: either the whole fleet is down or the request causes the
+/// failures.
 const MAX_ATTEMPTS: u32 = 4;
 
 /// Refusals per request by engines whose known state was stale.
@@ -189,8 +190,9 @@
         }
     }
 
-    /// Charges an attempt to the retry budget unless it is the first. Returns
-    /// whether it may be sent. An attempt after a stale refusal is free:
+    /// Charges an attempt to the retry budget, unless it is the first or was
+    /// charged before. Returns whether it may be sent; one that resumes a
+    /// stream always may. An attempt after nothing but stale refusals is free:
     /// nothing ran, and the engine's state is known now.
     fn charge_retry(&self, history: &AttemptHistory) -> bool {
         if history.has_begun() {
--- a/crates/mangowalkd/src/serve/place.rs
+++ b/crates/mangowalkd/src/serve/place.rs
@@ -18,7 +18,8 @@
 
 /// Returns the weights version for a new request, `None` if no engine serves
 /// the model. Prompts with the same first block get the same version while the
-/// share of engines that serve it stays the same.
+/// share of engines that serve it stays the same, and so do all prompts that
+/// are shorter than one block.
 pub(crate) fn version_of(
     shared: &SharedState,
     team: &str,
--- a/crates/mangowalkd/src/serve/poison.rs
+++ b/crates/mangowalkd/src/serve/poison.rs
@@ -57,8 +57,9 @@
         Err(Refusal::Poisonous { crashes, outcome })
     }
 
-    /// Clears the crashes of a request that completed, and records a crash of
-    /// the engine if the attempt's connection was lost.
+    /// Clears the crashes of a request that completed. Records a crash of the
+    /// engine if the attempt's connection was lost or its answer could not be
+    /// parsed, unless the engine still runs.
     pub(super) fn record_run(&self, request: &ChatRequest, target: &Target, ended: &EndedAttempt) {
         match ended.end() {
             End::Complete => self.shared.poison.completed(chat_identity(request)),
--- a/crates/mangowalkd/src/serve/reserve.rs
+++ b/crates/mangowalkd/src/serve/reserve.rs
@@ -11,7 +11,7 @@
     std::{cmp::Reverse, net::SocketAddr, thread, time::Duration},
 };
 
-/// Timeout of a peer's reply to a request for tokens.
+/// Timeout of a peer's reply to a request for tokens or to a refund.
 const GRANT_TIMEOUT_MS: u64 = 100;
 
 /// Maximum total time of one round of gathering tokens. A grant that arrives
@@ -180,9 +180,9 @@
         }
     }
 
-    /// Returns the peers to ask: those that hold slots of the team, or any peer
-    /// if none of them is known. The order is random, so that not every
-    /// instance takes the tokens of the same peer.
+    /// Returns the peers to ask, at most `SLOTS_PER_TEAM`: those that hold
+    /// slots of the team, or any peers if none of them is known. The order is
+    /// random, so that not every instance takes the tokens of the same peer.
     fn peers_to_ask(&self, team: &str) -> Vec<SocketAddr> {
         let holders = self.shared.limits.holders(team);
         let live = self.shared.peers.reachable();
--- a/crates/mangowalkd/src/shared_state/admission.rs
+++ b/crates/mangowalkd/src/shared_state/admission.rs
@@ -196,7 +196,8 @@
                 Some(waiter) => waiter.send(decision),
                 None => continue,
             };
-            // The request's thread has ended, so its slot is released.
+            // The request's thread has ended. Its place on the engine is
+            // released, which would otherwise stay taken.
             if let Err(flume::SendError(Decision::Send { choice, .. })) = delivered {
                 let placement = self.dispatcher.placement_mut();
                 placement.ended(&choice, None, now_ms);
--- a/crates/mangowalkd/src/shared_state/limits.rs
+++ b/crates/mangowalkd/src/shared_state/limits.rs
@@ -70,7 +70,8 @@
             .apply_write_result(slot, begun_ms, result, now_ms)
     }
 
-    /// Stops the refill from a slot, before its release is sent.
+    /// Stops the refill from a slot. Must be called before the release of the
+    /// slot is sent.
     pub fn stop_refill(&self, slot: u32, now_ms: u64) {
         lock(&self.inner).limits.stop_refill(slot, now_ms);
     }
@@ -105,7 +106,7 @@
         lock(&self.inner).limits.ledger().retain(keep);
     }
 
-    /// Returns the number of slots that are held at a time.
+    /// Returns the number of slots that are held at `now_ms`.
     pub fn slots(&self, now_ms: u64) -> u32 {
         lock(&self.inner).limits.slots(now_ms)
     }
@@ -142,7 +143,7 @@
         lock(&self.inner).limits.holders(team)
     }
 
-    /// Refunds the unused tokens of a grant to a peer.
+    /// Takes back the tokens of a grant that the peer returns unused.
     pub fn take_back(&self, team: &str, grant_id: u64, tokens: u64) {
         let mut inner = lock(&self.inner);
         inner.limits.ledger().take_back(team, grant_id, tokens);
--- a/crates/mangowalkd/src/shared_state/mod.rs
+++ b/crates/mangowalkd/src/shared_state/mod.rs
@@ -1,8 +1,8 @@
 //! State that controllers and request handlers share.
 //!
-//! Each controller reads it and writes one part of it. Request handlers read
-//! it and record what they observe. No controller calls another, so each can
-//! be tested alone.
+//! Each controller reads it and writes the parts that it maintains. Request
+//! handlers read it and record what they observe. No controller calls another,
+//! so each can be tested alone.
 
 mod admission;
 mod burn;
--- a/crates/mangowalkd/src/shared_state/peers.rs
+++ b/crates/mangowalkd/src/shared_state/peers.rs
@@ -25,7 +25,8 @@
 
 impl SharedPeers {
     /// Merges a view of an instance that another one reported. A view that is
-    /// older than the known one is dropped.
+    /// not newer than the known one is dropped, see
+    /// [`Members::merge_indirect`].
     pub fn merge_indirect(&self, view: &InstanceView, now_ms: u64) {
         lock(&self.members).merge_indirect(view, now_ms);
     }
--- a/crates/mangowalkd/src/shared_state/upstreams.rs
+++ b/crates/mangowalkd/src/shared_state/upstreams.rs
@@ -38,8 +38,8 @@
 
 impl SharedUpstreams {
     /// Returns whether an upstream may get one more attempt: its circuit
-    /// breaker is closed or due for a probe, it is below its concurrency
-    /// limit, and it is not stalled.
+    /// breaker is closed or due for a probe, it is not stalled, and it is below
+    /// its limit of attempts that wait for their first token.
     pub fn usable(&self, name: &str, now_ms: u64) -> bool {
         self.read(name, |health| health.usable(now_ms))
     }
@@ -102,8 +102,8 @@
 }
 
 impl Inner {
-    /// Returns the median of the recent times, in milliseconds, of the other
-    /// upstreams that serve the same as this one.
+    /// Returns the median of the recent times to the first token, in
+    /// milliseconds, of the other upstreams that serve the same as this one.
     fn peers_median_ms(&self, name: &str) -> Option<f64> {
         let serves = &self.upstreams.get(name)?.serves;
         let mut times: Vec<f64> = self
@@ -117,7 +117,8 @@
     }
 }
 
-/// Counts an attempt on its upstream until it ends or is dropped.
+/// Counts an attempt as waiting on its upstream until its first token or its
+/// end, or until this guard is dropped.
 #[derive(Debug)]
 pub struct UpstreamAttempt {
     shared: SharedUpstreams,
@@ -164,8 +165,8 @@
 }
 
 impl Drop for UpstreamAttempt {
-    /// Releases the attempt's place if its thread panicked before the first
-    /// token.
+    /// Stops counting an attempt whose thread panicked before the first token.
+    /// Otherwise it would take up a place in the upstream's limit forever.
     fn drop(&mut self) {
         if !self.is_waiting.get() {
             return;
--- a/crates/mangowalkd/tests/bad_input.rs
+++ b/crates/mangowalkd/tests/bad_input.rs
@@ -224,8 +224,7 @@
 }
 
 /// No caller connects for several read timeouts, each of which would end an
-/// idle
-/// `accept`. The next caller is still served.
+/// idle `accept`. The next caller is still served.
 #[test]
 fn an_idle_router_keeps_accepting() {
     let fleet = fleet(&["--caller-timeout-ms=100"]);
--- a/crates/mangowalkd/tests/callers.rs
+++ b/crates/mangowalkd/tests/callers.rs
@@ -164,9 +164,10 @@
     assert_eq!(refused.header("x-mangowalk-source"), Some("router"));
 }
 
-/// Callers send their key with requests of every kind, including ones that
-/// fail. It must not appear in a request to an engine or a service, in the log
-/// or in an error.
+/// Callers send their key as the bearer token and as the request ID, in a
+/// request for generated text, in a call of a service and to an unknown path,
+/// also in requests that fail. It must not appear in a request to an engine or
+/// a service, in the log or in an error.
 #[test]
 fn an_api_key_is_never_forwarded_or_logged() {
     let fleet = fleet();
--- a/crates/mangowalkd/tests/claims.rs
+++ b/crates/mangowalkd/tests/claims.rs
@@ -54,7 +54,8 @@
 }
 
 /// Retries through the second router until it no longer responds that the call
-/// is still running: outcomes are written after the response is sent.
+/// is still running: outcomes are written in the background, and the response
+/// does not wait for that.
 fn book_until_settled(fleet: &Fleet, key: &str, body: &str) -> Answer {
     let mut answer = Answer::default();
     for _ in 0..50 {
