--- a/crates/core/src/admission/fair_queue.rs
+++ b/crates/core/src/admission/fair_queue.rs
@@ -31,9 +31,10 @@
 /// Protects teams from one that sends several times its share, and short
 /// requests from long ones. Without it, the team that sends most is served
 /// most and every other team waits behind it. Each team has a position in
-/// virtual time that advances by tokens / weight with each request served, and
-/// the team with the lowest position is served next. A team that was idle
-/// starts at the current virtual time, so it accumulates no credit.
+/// virtual time that advances by tokens / weight with each request served. Of
+/// the teams with the most urgent priority, the one with the lowest position is
+/// served next. A team that was idle starts at the current virtual time, so it
+/// accumulates no credit.
 #[derive(Debug)]
 pub struct FairQueue {
     settings: AdmissionSettings,
@@ -121,7 +122,7 @@
 
     /// Returns the tokens that a team was served beyond its fair share so far.
     /// They are 0 for a team that used less than its share, so its next request
-    /// is served first, however small the share is.
+    /// can start at once, however small the share is.
     fn overserved_tokens(&self, team: &TeamQueue, weight: f64) -> f64 {
         (team.finish_tag - self.virtual_time).max(0.0) * weight
     }
--- a/crates/core/src/placement/block_index.rs
+++ b/crates/core/src/placement/block_index.rs
@@ -32,7 +32,8 @@
         self.cursors.get(&slot).map_or(0, |c| c.next_sequence)
     }
 
-    /// Returns whether events of an engine have been applied.
+    /// Returns whether the index is valid for an engine: its events have been
+    /// applied, so blocks without an entry count as not cached.
     pub(super) fn is_synced(&self, slot: usize) -> bool {
         self.cursors.get(&slot).is_some_and(|c| c.synced)
     }
--- a/crates/core/src/placement/prefix_table.rs
+++ b/crates/core/src/placement/prefix_table.rs
@@ -12,7 +12,9 @@
 pub(super) struct Holder {
     /// Slot of the engine.
     pub(super) slot: usize,
-    /// Generation of the engine slot when the prefix was computed.
+    /// Generation of the engine slot when the prefix was computed. It changes
+    /// when the engine restarts or the slot gets another engine; the entry does
+    /// not count any more then.
     pub(super) generation: u32,
     /// Time at which the engine last used the prefix.
     pub(super) used_ms: u64,
--- a/crates/core/src/pool/choice.rs
+++ b/crates/core/src/pool/choice.rs
@@ -92,8 +92,8 @@
 /// permits are never chosen; paused ones only if no other is available.
 ///
 /// `memory_tokens` is the memory of one engine. `draw` is a random number that
-/// breaks ties, so that instances with the same view of the loads do not all
-/// choose the same engine.
+/// selects the sampled engines and breaks ties, so that instances with the same
+/// view of the loads do not all choose the same engine.
 pub fn choose<'a>(
     engines: impl Iterator<Item = &'a KnownEngine> + Clone,
     requirements: &EngineRequirements,
--- a/crates/core/src/pool/known_engine.rs
+++ b/crates/core/src/pool/known_engine.rs
@@ -153,15 +153,16 @@
         !self.is_silent(now_ms) && !self.health.is_suspect(settings, now_ms)
     }
 
-    /// Returns whether no request should be sent to the engine: it is silent, a
-    /// probe request is in flight, or a peer reported it silent and nothing was
-    /// received from it since.
+    /// Returns whether no request should be sent to the engine: it is silent, it
+    /// is suspect with a probe request in flight, or a peer reported it silent
+    /// and nothing was received from it since.
     pub fn is_excluded(&self, settings: &HealthSettings, now_ms: u64) -> bool {
         now_ms < self.reported_silent_until_ms || self.health.is_excluded(settings, now_ms)
     }
 
     /// Applies the report of a peer that the engine is silent, for `valid_ms`.
-    /// Ignored if something was received from the engine within that time.
+    /// Ignored if something was received from the engine within the last
+    /// `valid_ms`.
     pub fn report_silent(&mut self, valid_ms: u64, now_ms: u64) {
         if now_ms >= self.last_received_ms + valid_ms {
             self.reported_silent_until_ms = now_ms + valid_ms;
--- a/crates/core/src/pool/listing_status.rs
+++ b/crates/core/src/pool/listing_status.rs
@@ -28,7 +28,7 @@
     Missing,
     /// A peer reported that it leaves, but its entry is newer.
     ReportedLeaving,
-    /// The list has not been updated for longer than a watch takes.
+    /// The store has not answered about the list for longer than a watch takes.
     OldList,
 }
 
--- a/crates/core/src/share/bucket.rs
+++ b/crates/core/src/share/bucket.rs
@@ -7,7 +7,8 @@
     /// included. The rest of the rate is reserved for instances that may still
     /// be serving on the other side of a partition.
     pub reachable_fraction: f64,
-    /// Fraction of the team's demand that arrives at this instance.
+    /// Fraction of the bucket that is this instance's share: part of the bucket
+    /// is divided evenly, the rest by the team's demand at each instance.
     pub demand_fraction: f64,
     /// Number of instances with demand from the team whose turn comes before
     /// this one.
@@ -80,16 +81,16 @@
 
     /// Refills the bucket and takes tokens from it, all or none.
     ///
-    /// While the bucket is less than half full, an instance takes only from
-    /// its own share of the level; otherwise all instances would spend the same
-    /// few tokens within one heartbeat. At half full or more, the whole level
-    /// is available to as many instances as it holds requests of this size, in
-    /// an order that changes with the spending. Without that order, 20
-    /// instances that a team addressed at once granted 20 requests from a burst
-    /// of four, and the team was refused for 20 seconds afterwards.
+    /// While the bucket is less than half full, an instance may use at most
+    /// twice its share of the level; otherwise all instances would spend the
+    /// same few tokens within one heartbeat. At half full or more, the whole
+    /// level is available to as many instances as level and slack hold requests
+    /// of this size, in an order that changes with the spending. Without that
+    /// order, 20 instances that a team addressed at once granted 20 requests
+    /// from a burst of four, and the team was refused for 20 seconds afterwards.
     ///
-    /// A request larger than the burst is granted from a full bucket and leaves
-    /// a debt; otherwise it would never be granted.
+    /// A request larger than the burst is granted once the bucket is 95 % full,
+    /// and leaves a debt; otherwise it would never be granted.
     ///
     /// # Errors
     ///
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -49,8 +49,8 @@
     4_000
 }
 
-/// One team queues far more requests than the other. Both must be served the
-/// same number of tokens, although their requests differ in length.
+/// One team queues ten times as many requests as the other. Both must be served
+/// the same number of tokens, although their requests differ in length.
 #[test]
 fn an_overloading_team_gets_only_its_fair_share() {
     let mut queue = queue();
@@ -107,8 +107,9 @@
 }
 
 /// Queued requests would all be served in time until the engines stall. Those
-/// that will miss their maximum wait must be refused as soon as the prediction
-/// shows it, and not only when that wait has passed.
+/// that will miss their maximum wait of 2 s must be refused as soon as the
+/// prediction shows it, the first at most 1.5 s after its arrival, while its
+/// caller still has time to go elsewhere.
 #[test]
 fn requests_that_will_miss_their_deadline_are_refused_early() {
     let mut queue = queue();
--- a/crates/core/tests/full.rs
+++ b/crates/core/tests/full.rs
@@ -222,8 +222,9 @@
     assert!(ours.late < 0.25, "{ours:?}");
 }
 
-/// Below capacity nothing must be refused, and sessions must reach the engines
-/// that have their parts cached at least as often as with the fewest requests.
+/// Below capacity, fewer than 0.5 % of the requests may be refused. More than
+/// 97 % must be on time, and no fewer than with the fewest requests, because
+/// sessions reach the engines that have their parts cached.
 #[test]
 fn nothing_is_refused_while_there_is_room() {
     let (ours, least) = (
--- a/crates/core/tests/limits/model.rs
+++ b/crates/core/tests/limits/model.rs
@@ -145,8 +145,8 @@
         (self.now_ms as i64 + self.now_ms as i64 * drift / 1_000) as u64
     }
 
-    /// Advances to a time counted from before the first leases, if it is later
-    /// than now.
+    /// Advances to a time counted from the start of the first leases. Does
+    /// nothing if that time has passed.
     pub(crate) fn advance_to(&mut self, since_start_ms: u64) {
         self.now_ms = self.now_ms.max(START_MS + since_start_ms);
     }
@@ -372,8 +372,8 @@
         self.crash(instance, true);
     }
 
-    /// Checks that no span of time between two grants exceeds burst + rate x
-    /// span.
+    /// Checks that the tokens granted in every span of time between two grants
+    /// are at most burst + rate x span.
     pub(crate) fn check(&self) -> Result<(), String> {
         for (first, (from_ms, _)) in self.grants.iter().enumerate() {
             let mut sum = 0;
--- a/crates/core/tests/mixed.rs
+++ b/crates/core/tests/mixed.rs
@@ -321,7 +321,8 @@
     );
 }
 
-/// Below capacity, nothing must be refused and hardly anything may fail.
+/// Below capacity, fewer than 0.5 % of each kind may be refused, fewer than
+/// 0.5 % may fail, and more than 90 % must be on time.
 #[test]
 fn a_mix_below_capacity_is_served_without_refusals() {
     let is_unaffected = |kind: &Outcome| kind.refused < 0.005 && kind.failed < 0.005;
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -237,7 +237,8 @@
     assert_eq!(choice.import_blocks, 64);
 }
 
-/// The work of a decision must not grow with the fleet.
+/// A decision must compare at most 20 candidates, whatever the size of the
+/// fleet.
 #[test]
 fn the_number_of_candidates_is_bounded_at_every_fleet_size() {
     for engines in [16, 160, 640] {
--- a/crates/core/tests/pool.rs
+++ b/crates/core/tests/pool.rs
@@ -184,8 +184,8 @@
     );
 }
 
-/// An engine that fails part of its requests must get only single probe
-/// requests until one is answered.
+/// An engine that fails part of its requests must get one probe request at a
+/// time; the next may be sent once the probe is answered.
 #[test]
 fn a_failing_engine_gets_single_requests() {
     let settings = HealthSettings::default();
