--- a/crates/core/src/placement/block_index.rs
+++ b/crates/core/src/placement/block_index.rs
@@ -33,7 +33,8 @@
     }
 
     /// Returns whether the index is valid for an engine: its events have been
-    /// applied, so blocks without an entry count as not cached.
+    /// applied. Blocks without an entry then count as not cached, except those
+    /// of requests sent so recently that their events may not have arrived.
     pub(super) fn is_synced(&self, slot: usize) -> bool {
         self.cursors.get(&slot).is_some_and(|c| c.synced)
     }
--- a/crates/core/src/pool/known_engine.rs
+++ b/crates/core/src/pool/known_engine.rs
@@ -61,7 +61,7 @@
     pub health: Health,
     /// Weights version per model, from list entries, answers and orders.
     pub versions: HashMap<String, u64>,
-    /// Set while new work is kept away from the engine.
+    /// Set while new requests to the engine are paused.
     pub pause: Option<WorkPause>,
     /// Shared prompt parts that the engine has read, with the time of their
     /// last use.
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Returns whether new work is kept away from the engine for now.
+    /// Returns whether new requests to the engine are paused.
     pub fn is_paused(&self, now_ms: u64) -> bool {
         self.pause.is_some_and(|pause| now_ms < pause.until_ms)
     }
@@ -147,8 +147,9 @@
     /// instance and its peers.
     ///
     /// The instance that orders weights may have no work at a dead engine and
-    /// so detect its failure last. If it kept waiting for dead engines, the
-    /// orders to the others would stall.
+    /// so detect its failure last. If dead engines counted against the limits
+    /// of concurrent loads and of unavailable engines, the orders to the others
+    /// would stall.
     pub fn is_responsive(&self, settings: &HealthSettings, now_ms: u64) -> bool {
         !self.is_silent(now_ms) && !self.health.is_suspect(settings, now_ms)
     }
@@ -176,8 +177,8 @@
         self.health.record_connection();
     }
 
-    /// Keeps new work away for `pause_ms` after the engine refused some, unless
-    /// it is paused already.
+    /// Pauses new requests to the engine for `pause_ms` after it refused some,
+    /// unless they are paused already.
     pub fn pause_after_refusal(&mut self, pause_ms: u64, now_ms: u64) {
         if !self.is_paused(now_ms) {
             self.pause = Some(WorkPause {
--- a/crates/core/tests/departures.rs
+++ b/crates/core/tests/departures.rs
@@ -7,8 +7,8 @@
 
 const ENGINES: [&str; 3] = ["e0", "e1", "e2"];
 
-/// Longer than any timeout or grace period. Reported departures have none, so
-/// they still apply after this time.
+/// Longer than any timeout. Reported departures have none, so they still apply
+/// after this time.
 const LATER_MS: u64 = 3_600_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
