--- a/crates/core/src/placement/block_index.rs
+++ b/crates/core/src/placement/block_index.rs
@@ -32,7 +32,9 @@
         self.cursors.get(&slot).map_or(0, |c| c.next_sequence)
     }
 
-    /// Returns whether events of an engine have been applied.
+    /// Returns whether the index is valid for an engine: its events have been
+    /// applied. Blocks without an entry then count as not cached, except those
+    /// of requests sent so recently that their events may not have arrived.
     pub(super) fn is_synced(&self, slot: usize) -> bool {
         self.cursors.get(&slot).is_some_and(|c| c.synced)
     }
