--- a/crates/core/src/burn/counts.rs
+++ b/crates/core/src/burn/counts.rs
@@ -23,7 +23,7 @@
     pub first_in_time: u64,
     /// First tokens later than the team's objective.
     pub first_late: u64,
-    /// Tokens of the requests that were not refused.
+    /// Tokens of the requests in `complete`, `cut` and `abandoned`.
     pub served_tokens: u64,
     /// Tokens of the requests that were refused for the rate.
     pub over_rate_tokens: u64,
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Returns the number of tokens that the team requested.
+    /// Returns the number of tokens that the team requested, without those of
+    /// the requests in `rejected` and `turned_away`.
     pub fn asked_tokens(&self) -> u64 {
         self.served_tokens + self.over_rate_tokens
     }
--- a/crates/core/src/burn/end.rs
+++ b/crates/core/src/burn/end.rs
@@ -23,7 +23,10 @@
     ///
     /// The result depends on what the caller is asked to do: a refusal that
     /// asks to retry is counted against the system, one that asks to change the
-    /// request against the caller.
+    /// request against the caller. Three cases are decided before that: a
+    /// request that may have run is [`End::Cut`], one over the team's rate is
+    /// [`End::OverRate`], and one whose idempotency key is already claimed is
+    /// [`End::Rejected`].
     pub fn from_refusal(refusal: &Refusal, answered: bool) -> End {
         if answered {
             return End::Cut;
--- a/crates/core/src/burn/level.rs
+++ b/crates/core/src/burn/level.rs
@@ -16,10 +16,12 @@
 /// multi-burn-rate alert in Google's Site Reliability Workbook, chapter 5: the
 /// burn rate must reach the threshold in both a short and a long window. The
 /// alert thus ends soon after the failure, and a brief error raises none.
+/// `Fast` uses the windows of five minutes and one hour, `Slow` those of one
+/// hour and six hours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Level {
-    /// Below both thresholds.
+    /// Neither threshold is reached in both of its windows.
     #[display("ok")]
     Ok,
     /// Needs attention within the day.
--- a/crates/core/src/burn/observation.rs
+++ b/crates/core/src/burn/observation.rs
@@ -8,6 +8,7 @@
     pub first_token_ms: Option<u64>,
     /// How the request ended.
     pub end: End,
-    /// Number of tokens used; for a request over the rate, tokens requested.
+    /// Number of tokens used by a completed generation; for other requests, the
+    /// tokens that they reserve.
     pub tokens: u64,
 }
--- a/crates/core/src/poison/ledger.rs
+++ b/crates/core/src/poison/ledger.rs
@@ -19,7 +19,7 @@
 /// Maximum number of recorded crashes per request.
 const MAX_CRASHES_PER_REQUEST: usize = 16;
 
-/// Maximum number of crashes reported to a peer at once.
+/// Maximum number of crash reports sent to a peer at once.
 const MAX_REPORTS: usize = 512;
 
 #[derive(Debug, Clone, Copy)]
--- a/crates/core/src/record/team.rs
+++ b/crates/core/src/record/team.rs
@@ -9,7 +9,7 @@
     /// Priority of the team's requests, from 0 (served first) to 9.
     #[serde(default = "default_priority")]
     pub priority: u8,
-    /// Objective for the time to first token, in milliseconds.
+    /// Objective of the burn report for the time to first token, in milliseconds.
     #[serde(default = "default_first_token_ms")]
     pub first_token_ms: u64,
 }
--- a/crates/core/src/retries/mod.rs
+++ b/crates/core/src/retries/mod.rs
@@ -1,4 +1,5 @@
-//! Retry budget per service, shared by all instances.
+//! Bounds on the retries to a service by all instances together. Each instance
+//! applies its part and counts only its own requests and retries.
 
 mod budget;
 
--- a/crates/core/src/routing/route.rs
+++ b/crates/core/src/routing/route.rs
@@ -22,7 +22,8 @@
     pub services: Vec<WeightedService>,
     /// Whether requests may be sent again.
     pub repeat: RepeatPolicy,
-    /// Maximum time that a request waits, in milliseconds.
+    /// Maximum time from a request's arrival to its deadline, in milliseconds.
+    /// The caller may ask for an earlier deadline.
     pub timeout_ms: u64,
     /// Target for the time to the answer or to the first event of a stream, in
     /// milliseconds.
--- a/crates/core/src/status/upstream.rs
+++ b/crates/core/src/status/upstream.rs
@@ -14,8 +14,9 @@
     pub serves: String,
     /// Whether it is departing and gets no new work.
     pub departing: bool,
-    /// State in one word: `serving`, `loading`, `silent` or `unseen`. `unseen`
-    /// means that this instance has received nothing about it.
+    /// State in one word. Engines are `serving`, `loading`, `silent` or
+    /// `unseen`; `unseen` means that this instance has received nothing about
+    /// the engine. Plain services report no state and are always `service`.
     pub state: String,
     /// Last reported weights version, if any.
     pub version: Option<String>,
--- a/crates/core/src/stream/sequencer.rs
+++ b/crates/core/src/stream/sequencer.rs
@@ -21,7 +21,8 @@
 /// Why the events of an attempt make it fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// At least one token is missing.
+    /// At least one token is missing, or the engine's final token count differs
+    /// from the number of tokens received.
     Gap,
     /// The engine answered under other weights or another incarnation.
     OtherWeights,
--- a/crates/core/src/upstream/breaker.rs
+++ b/crates/core/src/upstream/breaker.rs
@@ -78,8 +78,8 @@
     }
 
     /// Records an attempt that gives no information on the upstream, for example
-    /// because the caller disconnected. If it was the probe, the next attempt
-    /// may probe at once.
+    /// because the caller disconnected. It may have been the probe, so if the
+    /// breaker waits for one, the next attempt may probe at once.
     pub fn inconclusive(&mut self, now_ms: u64) {
         if let Phase::Probing { pause_ms, .. } = self.phase {
             self.phase = Phase::Open {
--- a/crates/core/src/upstream/limit_settings.rs
+++ b/crates/core/src/upstream/limit_settings.rs
@@ -10,10 +10,11 @@
     pub min_limit: f64,
     /// Maximum limit, about half of the streams that one instance may hold.
     pub max_limit: f64,
-    /// Factor of the baseline above which the smoothed time to first token
-    /// counts as slow. A prefix cache miss alone makes one answer several times
-    /// slower than a hit, so times are smoothed before the comparison; the mix
-    /// of hits and misses changes the smoothed time by less than a factor of 2.
+    /// Factor above which the smoothed time to first token counts as slow,
+    /// relative to the smaller of the baseline and the peers' times. A prefix
+    /// cache miss alone makes one answer several times slower than a hit, so
+    /// times are smoothed before the comparison; the mix of hits and misses
+    /// changes the smoothed time by less than a factor of 2.
     pub slow_factor: f64,
     /// Milliseconds added to the bound, so that a few milliseconds of
     /// scheduling delay on a fast engine do not count as slow.
--- a/crates/core/tests/streams.rs
+++ b/crates/core/tests/streams.rs
@@ -46,7 +46,8 @@
 }
 
 /// The engine of an abandoned attempt sends its answer late, between the tokens
-/// of the second attempt. The caller must receive only those of the second.
+/// of the second attempt. From the start of the second attempt on, the caller
+/// must receive only its tokens.
 #[test]
 fn late_events_of_an_abandoned_attempt_are_skipped() {
     let mut sequencer = started_sequencer();
