--- a/crates/mangowalk/tests/client/fleet.rs
+++ b/crates/mangowalk/tests/client/fleet.rs
@@ -72,7 +72,7 @@
     let fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
     eventually_in_force(&fleet, 2);
-    fleet.routers[1].freeze();
+    fleet.routers[1].pause();
     let late = client.run(&[
         "set",
         "team",
@@ -81,7 +81,7 @@
         "--wait",
         "--wait-timeout-ms=100",
     ]);
-    fleet.routers[1].thaw();
+    fleet.routers[1].resume();
     assert_eq!(late.code, 6, "{late}");
     let frozen = fleet.routers[1].address().to_string();
     assert!(late.stderr.contains(&frozen), "{late}");
--- a/crates/mangowalkd/examples/client_fleet.rs
+++ b/crates/mangowalkd/examples/client_fleet.rs
@@ -28,7 +28,7 @@
         ..FleetSettings::default()
     });
     add_poor_team(&fleet);
-    fleet.until_served();
+    fleet.wait_until_served();
     println!("URL=http://{}/v1", fleet.routers[0].address());
     println!("KEY={}", Fleet::KEY);
     println!("POOR_KEY={POOR_KEY}");
--- a/crates/mangowalkd/examples/measure_streams.rs
+++ b/crates/mangowalkd/examples/measure_streams.rs
@@ -49,7 +49,7 @@
         burst_tokens: 100_000_000,
         ..FleetSettings::default()
     });
-    fleet.until_served();
+    fleet.wait_until_served();
     measure_first_tokens(&fleet);
     measure_open_streams(&fleet);
 }
--- a/crates/mangowalkd/tests/admission.rs
+++ b/crates/mangowalkd/tests/admission.rs
@@ -17,7 +17,7 @@
         router_args: vec![format!("--favour={favour}")],
         ..FleetSettings::default()
     });
-    fleet.until_served();
+    fleet.wait_until_served();
     fleet
 }
 
--- a/crates/mangowalkd/tests/bad_input.rs
+++ b/crates/mangowalkd/tests/bad_input.rs
@@ -15,7 +15,7 @@
         router_args: args.iter().map(|a| (*a).to_owned()).collect(),
         ..FleetSettings::default()
     });
-    fleet.until_served();
+    fleet.wait_until_served();
     fleet
 }
 
@@ -253,7 +253,7 @@
     assert!(holding.send("}".repeat(1_999).as_bytes()));
     assert!(holding.read_until("HTTP/1.1 400"));
     drop(holding);
-    fleet.until_served();
+    fleet.wait_until_served();
 }
 
 /// A missing or wrong key is refused. A withdrawn key is refused in the same
--- a/crates/mangowalkd/tests/callers.rs
+++ b/crates/mangowalkd/tests/callers.rs
@@ -11,7 +11,7 @@
         engines: 1,
         ..FleetSettings::default()
     });
-    fleet.until_served();
+    fleet.wait_until_served();
     fleet
 }
 
--- a/crates/mangowalkd/tests/fault_pairs.rs
+++ b/crates/mangowalkd/tests/fault_pairs.rs
@@ -127,9 +127,9 @@
                 ..ServiceFaults::default()
             }),
             Fault::RouterFrozen => {
-                self.fleet.routers[0].freeze();
+                self.fleet.routers[0].pause();
                 thread::sleep(FROZEN);
-                self.fleet.routers[0].thaw();
+                self.fleet.routers[0].resume();
             }
             Fault::OtherRouterKilled => self.fleet.routers[1].kill(),
         }
@@ -150,7 +150,7 @@
             }
         }
         if self.fleet.routers[1].pid().is_none() {
-            self.fleet.routers[1].start_again();
+            self.fleet.routers[1].restart();
             self.fleet.routers[1].wait_ready();
         }
         self.wait_serving();
--- a/crates/mangowalkd/tests/limits.rs
+++ b/crates/mangowalkd/tests/limits.rs
@@ -134,10 +134,7 @@
     let mut tokens = spend(&fleet, &[0, 1], Duration::from_millis(700));
     for _ in 0..2 {
         fleet.routers.iter_mut().for_each(|router| router.kill());
-        fleet
-            .routers
-            .iter_mut()
-            .for_each(|router| router.start_again());
+        fleet.routers.iter_mut().for_each(|router| router.restart());
         fleet.routers.iter().for_each(|router| router.wait_ready());
         let after = spend(&fleet, &[0, 1], Duration::from_millis(1_500));
         assert!(after > TOKENS_PER_S / 4, "{after} tokens after a restart");
@@ -158,9 +155,9 @@
     let fleet = fleet(2);
     thread::sleep(REFILL_TIME);
     let since = Instant::now();
-    fleet.routers[1].freeze();
+    fleet.routers[1].pause();
     let alone = spend(&fleet, &[0], Duration::from_secs(2));
-    fleet.routers[1].thaw();
+    fleet.routers[1].resume();
     let tokens = alone + spend(&fleet, &[0, 1], Duration::from_secs(1));
     assert!(
         alone >= TOKENS_PER_S * 2 / 3,
@@ -202,7 +199,7 @@
         lose_replies: 40,
         ..PlatformFaults::default()
     });
-    fleet.routers[0].start_again();
+    fleet.routers[0].restart();
     fleet.routers[0].wait_ready();
     wait_for_slots(&fleet);
     thread::sleep(REFILL_TIME);
@@ -243,7 +240,7 @@
         ..PlatformFaults::default()
     });
     fleet.routers[0].kill();
-    fleet.routers[0].start_again();
+    fleet.routers[0].restart();
     let answer = (0..100)
         .map(|_| {
             thread::sleep(Duration::from_millis(20));
--- a/crates/mangowalkd/tests/membership.rs
+++ b/crates/mangowalkd/tests/membership.rs
@@ -52,9 +52,9 @@
 fn a_frozen_instance_is_named_again_when_it_goes_on() {
     let fleet = fleet(3);
     eventually_names(&fleet.routers[0], 3);
-    fleet.routers[2].freeze();
+    fleet.routers[2].pause();
     eventually_names(&fleet.routers[0], 2);
-    fleet.routers[2].thaw();
+    fleet.routers[2].resume();
     eventually_names(&fleet.routers[0], 3);
     eventually_names(&fleet.routers[1], 3);
 }
@@ -67,7 +67,7 @@
     eventually_names(&fleet.routers[0], 2);
     fleet.routers[1].kill();
     eventually_names(&fleet.routers[0], 1);
-    fleet.routers[1].start_again();
+    fleet.routers[1].restart();
     eventually_names(&fleet.routers[0], 2);
 }
 
--- a/crates/mangowalkd/tests/outcomes.rs
+++ b/crates/mangowalkd/tests/outcomes.rs
@@ -14,7 +14,7 @@
         ],
         ..FleetSettings::default()
     });
-    fleet.until_served();
+    fleet.wait_until_served();
     for engine in &fleet.engines {
         engine.set_faults(faults.clone());
     }
@@ -87,7 +87,7 @@
             .to_vec(),
         ..FleetSettings::default()
     });
-    fleet.until_served();
+    fleet.wait_until_served();
     for engine in &fleet.engines {
         engine.set_faults(EngineFaults {
             freeze_after_tokens: Some(0),
--- a/crates/mangowalkd/tests/rollout.rs
+++ b/crates/mangowalkd/tests/rollout.rs
@@ -203,10 +203,10 @@
     let fleet = fleet(3, false);
     write_version(&fleet, "v2");
     let holder = eventually_holder(&fleet);
-    fleet.routers[holder].freeze();
+    fleet.routers[holder].pause();
     write_version(&fleet, "v3");
     eventually_all_serve(&fleet, "v3");
-    fleet.routers[holder].thaw();
+    fleet.routers[holder].resume();
     eventually("the one that woke up knows the version", || {
         fleet.chat(holder, "awake", 2, false).status == 200
     });
--- a/crates/mangowalkd/tests/streams.rs
+++ b/crates/mangowalkd/tests/streams.rs
@@ -21,7 +21,7 @@
         router_args: args.iter().map(|a| (*a).to_owned()).collect(),
         ..FleetSettings::default()
     });
-    fleet.until_served();
+    fleet.wait_until_served();
     fleet
 }
 
@@ -224,7 +224,7 @@
             .to_vec(),
         ..FleetSettings::default()
     });
-    fleet.until_served();
+    fleet.wait_until_served();
     let answer = fleet.chat(0, "long", 200, true);
     assert!(!answer.is_done(), "{}", answer.body);
     assert!(
--- a/crates/mangowalkd/tests/upstreams.rs
+++ b/crates/mangowalkd/tests/upstreams.rs
@@ -13,7 +13,7 @@
         engines,
         ..FleetSettings::default()
     });
-    fleet.until_served();
+    fleet.wait_until_served();
     fleet
 }
 
@@ -56,7 +56,7 @@
         ],
         ..FleetSettings::default()
     });
-    fleet.until_served();
+    fleet.wait_until_served();
     let running = |engine: usize| fleet.engines[engine].state().load.running;
     thread::scope(|scope| {
         let mut streams = 0;
--- a/crates/standins/examples/hedging.rs
+++ b/crates/standins/examples/hedging.rs
@@ -30,13 +30,13 @@
 const STALL_EVERY_MS: f64 = 60_000.0;
 
 /// Pause between two looks at whether an engine is silent.
-const SILENCE_LOOK_MS: f64 = 100.0;
+const SILENCE_CHECK_INTERVAL_MS: f64 = 100.0;
 
 /// Copies and moves that one request pays in.
-const BUDGET: f64 = 0.1;
+const BUDGET_PER_REQUEST: f64 = 0.1;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Way {
+enum Strategy {
     Never,
     Copy { after_ms: f64 },
     Move { after_ms: f64 },
@@ -48,13 +48,13 @@
     Arrive,
     Done(usize),
     Stall(usize),
-    Waited(usize),
+    HedgeDue(usize),
 }
 
 #[derive(Debug, Clone, Default)]
 struct Request {
     at_ms: f64,
-    home: usize,
+    cached_on: usize,
     is_new: bool,
     first_ms: Option<f64>,
 }
@@ -63,8 +63,8 @@
 struct Engine {
     queue: VecDeque<(usize, f64)>,
     computing: Option<(usize, f64)>,
-    free_ms: f64,
-    stalled_ms: f64,
+    busy_until_ms: f64,
+    stall_end_ms: f64,
 }
 
 impl Engine {
@@ -75,54 +75,54 @@
 }
 
 struct Model {
-    way: Way,
+    strategy: Strategy,
     rng: SmallRng,
-    between_ms: f64,
+    mean_interarrival_ms: f64,
     now_ms: f64,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
     events: Vec<Event>,
     engines: Vec<Engine>,
     requests: Vec<Request>,
     budget: f64,
-    sent: usize,
+    resent: usize,
     computed_ms: f64,
     wasted_ms: f64,
 }
 
 impl Model {
-    fn new(way: Way, load: f64, seed: u64) -> Model {
+    fn new(strategy: Strategy, load: f64, seed: u64) -> Model {
         let mean_ms = (1.0 - NEW_SHARE) * HIT_MS + NEW_SHARE * MISS_MS;
         Model {
-            way,
+            strategy,
             rng: SmallRng::seed_from_u64(seed),
-            between_ms: mean_ms / (load * ENGINES as f64),
+            mean_interarrival_ms: mean_ms / (load * ENGINES as f64),
             now_ms: 0.0,
             heap: BinaryHeap::new(),
             events: Vec::new(),
             engines: vec![Engine::default(); ENGINES],
             requests: Vec::new(),
             budget: 0.0,
-            sent: 0,
+            resent: 0,
             computed_ms: 0.0,
             wasted_ms: 0.0,
         }
     }
 
-    fn at(&mut self, at_ms: f64, event: Event) {
+    fn schedule(&mut self, at_ms: f64, event: Event) {
         let number = self.events.len() as u64;
         self.events.push(event);
         self.heap.push(Reverse(((at_ms * 1_000.0) as u64, number)));
     }
 
-    fn pause_ms(&mut self, mean_ms: f64) -> f64 {
+    fn exponential_ms(&mut self, mean_ms: f64) -> f64 {
         -mean_ms * (1.0 - self.rng.random::<f64>()).ln()
     }
 
     fn run(mut self) -> Model {
-        self.at(0.0, Event::Arrive);
+        self.schedule(0.0, Event::Arrive);
         for engine in 0..ENGINES {
-            let at_ms = self.pause_ms(STALL_EVERY_MS);
-            self.at(at_ms, Event::Stall(engine));
+            let at_ms = self.exponential_ms(STALL_EVERY_MS);
+            self.schedule(at_ms, Event::Stall(engine));
         }
         while let Some(Reverse((at_us, number))) = self.heap.pop() {
             self.now_ms = at_us as f64 / 1_000.0;
@@ -130,7 +130,7 @@
                 Event::Arrive => self.arrive(),
                 Event::Done(engine) => self.done(engine),
                 Event::Stall(engine) => self.stall(engine),
-                Event::Waited(request) => self.waited(request),
+                Event::HedgeDue(request) => self.hedge(request),
             }
             if self.requests.len() == REQUESTS
                 && self
@@ -152,23 +152,24 @@
         }
         let request = Request {
             at_ms: self.now_ms,
-            home: self.rng.random_range(0..ENGINES),
+            cached_on: self.rng.random_range(0..ENGINES),
             is_new: self.rng.random::<f64>() < NEW_SHARE,
             first_ms: None,
         };
         let id = self.requests.len();
         let takes_ms = if request.is_new { MISS_MS } else { HIT_MS };
-        let home = request.home;
+        let cached_on = request.cached_on;
         self.requests.push(request);
-        self.budget = (self.budget + BUDGET).min(20.0);
-        self.send(id, home, takes_ms);
-        if let Way::Copy { after_ms } | Way::Move { after_ms } | Way::MoveIfSilent { after_ms } =
-            self.way
+        self.budget = (self.budget + BUDGET_PER_REQUEST).min(20.0);
+        self.send(id, cached_on, takes_ms);
+        if let Strategy::Copy { after_ms }
+        | Strategy::Move { after_ms }
+        | Strategy::MoveIfSilent { after_ms } = self.strategy
         {
-            self.at(self.now_ms + after_ms, Event::Waited(id));
+            self.schedule(self.now_ms + after_ms, Event::HedgeDue(id));
         }
-        let next_ms = self.now_ms + self.pause_ms(self.between_ms);
-        self.at(next_ms, Event::Arrive);
+        let next_ms = self.now_ms + self.exponential_ms(self.mean_interarrival_ms);
+        self.schedule(next_ms, Event::Arrive);
     }
 
     fn send(&mut self, id: usize, engine: usize, takes_ms: f64) {
@@ -186,25 +187,25 @@
             return;
         };
         model.computing = Some((id, takes_ms));
-        model.free_ms = model.free_ms.max(now_ms) + takes_ms;
-        let at_ms = model.free_ms;
-        self.at(at_ms, Event::Done(engine));
+        model.busy_until_ms = model.busy_until_ms.max(now_ms) + takes_ms;
+        let at_ms = model.busy_until_ms;
+        self.schedule(at_ms, Event::Done(engine));
     }
 
     /// An engine that stalls finishes what it computes that much later.
     fn stall(&mut self, engine: usize) {
         let model = &mut self.engines[engine];
-        model.free_ms = model.free_ms.max(self.now_ms) + STALL_MS;
-        model.stalled_ms = self.now_ms + STALL_MS;
-        let next_ms = self.now_ms + STALL_MS + self.pause_ms(STALL_EVERY_MS);
-        self.at(next_ms, Event::Stall(engine));
+        model.busy_until_ms = model.busy_until_ms.max(self.now_ms) + STALL_MS;
+        model.stall_end_ms = self.now_ms + STALL_MS;
+        let next_ms = self.now_ms + STALL_MS + self.exponential_ms(STALL_EVERY_MS);
+        self.schedule(next_ms, Event::Stall(engine));
     }
 
     fn done(&mut self, engine: usize) {
         let model = &mut self.engines[engine];
-        if self.now_ms + 0.01 < model.free_ms {
-            let at_ms = model.free_ms;
-            return self.at(at_ms, Event::Done(engine));
+        if self.now_ms + 0.01 < model.busy_until_ms {
+            let at_ms = model.busy_until_ms;
+            return self.schedule(at_ms, Event::Done(engine));
         }
         let Some((id, takes_ms)) = model.computing.take() else {
             return;
@@ -222,31 +223,33 @@
         self.begin(engine);
     }
 
-    fn waited(&mut self, id: usize) {
+    fn hedge(&mut self, id: usize) {
         if self.requests[id].first_ms.is_some() || self.budget < 1.0 {
             return;
         }
-        let home = self.requests[id].home;
-        if let Way::MoveIfSilent { after_ms } = self.way {
+        let cached_on = self.requests[id].cached_on;
+        if let Strategy::MoveIfSilent { after_ms } = self.strategy {
             // The streams of an engine stop with it: silence is seen
             // `after_ms` behind the beginning of a stall, until its end.
-            let since_ms = self.engines[home].stalled_ms - STALL_MS;
+            let since_ms = self.engines[cached_on].stall_end_ms - STALL_MS;
             let is_silent = self.now_ms - since_ms >= after_ms && self.now_ms < since_ms + STALL_MS;
             if !is_silent {
-                return self.at(self.now_ms + SILENCE_LOOK_MS, Event::Waited(id));
+                return self.schedule(self.now_ms + SILENCE_CHECK_INTERVAL_MS, Event::HedgeDue(id));
             }
         }
         self.budget -= 1.0;
-        self.sent += 1;
-        let least = (0..ENGINES)
-            .filter(|engine| *engine != home)
+        self.resent += 1;
+        let least_loaded = (0..ENGINES)
+            .filter(|engine| *engine != cached_on)
             .min_by(|a, b| {
                 f64::total_cmp(&self.engines[*a].work_ms(), &self.engines[*b].work_ms())
             });
-        if !matches!(self.way, Way::Copy { .. }) {
-            self.engines[home].queue.retain(|(queued, _)| *queued != id);
+        if !matches!(self.strategy, Strategy::Copy { .. }) {
+            self.engines[cached_on]
+                .queue
+                .retain(|(queued, _)| *queued != id);
         }
-        if let Some(engine) = least {
+        if let Some(engine) = least_loaded {
             self.send(id, engine, MISS_MS);
         }
     }
@@ -256,50 +259,50 @@
     println!(
         "load  way                    median      p99    p99.9  sent again  work more  wasted"
     );
-    let ways = [
-        Way::Never,
-        Way::Copy { after_ms: 200.0 },
-        Way::Copy { after_ms: 500.0 },
-        Way::Copy { after_ms: 1_000.0 },
-        Way::Move { after_ms: 500.0 },
-        Way::Move { after_ms: 1_000.0 },
-        Way::MoveIfSilent { after_ms: 500.0 },
-        Way::MoveIfSilent { after_ms: 1_000.0 },
+    let strategies = [
+        Strategy::Never,
+        Strategy::Copy { after_ms: 200.0 },
+        Strategy::Copy { after_ms: 500.0 },
+        Strategy::Copy { after_ms: 1_000.0 },
+        Strategy::Move { after_ms: 500.0 },
+        Strategy::Move { after_ms: 1_000.0 },
+        Strategy::MoveIfSilent { after_ms: 500.0 },
+        Strategy::MoveIfSilent { after_ms: 1_000.0 },
     ];
     for load in [0.3, 0.6, 0.8] {
-        let mut plain_ms = 0.0;
-        for way in ways {
+        let mut baseline_ms = 0.0;
+        for strategy in strategies {
             let runs: Vec<Model> = (0..SEEDS)
-                .map(|seed| Model::new(way, load, seed).run())
+                .map(|seed| Model::new(strategy, load, seed).run())
                 .collect();
             let computed_ms: f64 = runs.iter().map(|run| run.computed_ms).sum();
-            if way == Way::Never {
-                plain_ms = computed_ms;
+            if strategy == Strategy::Never {
+                baseline_ms = computed_ms;
             }
-            show(load, way, &runs, computed_ms / plain_ms);
+            print_row(load, strategy, &runs, computed_ms / baseline_ms);
         }
     }
 }
 
-fn show(load: f64, way: Way, runs: &[Model], work: f64) {
+fn print_row(load: f64, strategy: Strategy, runs: &[Model], work: f64) {
     let mut times: Vec<f64> = runs
         .iter()
         .flat_map(|run| run.requests.iter().filter_map(|r| r.first_ms))
         .collect();
     times.sort_by(f64::total_cmp);
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
-    let sent: usize = runs.iter().map(|run| run.sent).sum();
+    let resent: usize = runs.iter().map(|run| run.resent).sum();
     let wasted_ms: f64 = runs.iter().map(|run| run.wasted_ms).sum();
     let computed_ms: f64 = runs.iter().map(|run| run.computed_ms).sum();
     println!(
         "{load:>4}  {:<21} {:>6.0} ms {:>5.0} ms {:>5.0} ms {:>9.1} % {:>8.1} % {:>6.1} %",
-        format!("{way:?}")
+        format!("{strategy:?}")
             .replace(" { after_ms:", "")
             .replace(" }", " ms"),
         at(0.5),
         at(0.99),
         at(0.999),
-        100.0 * sent as f64 / times.len() as f64,
+        100.0 * resent as f64 / times.len() as f64,
         100.0 * (work - 1.0),
         100.0 * wasted_ms / computed_ms,
     );
--- a/crates/standins/examples/policy.rs
+++ b/crates/standins/examples/policy.rs
@@ -24,8 +24,8 @@
         for pattern in Pattern::ALL {
             for policy in PolicyKind::ALL {
                 let label = format!("{} | {pattern} | {policy}", deployment.name);
-                let wanted = filters.iter().all(|f| label.contains(f.as_str()));
-                if wanted {
+                let is_selected = filters.iter().all(|f| label.contains(f.as_str()));
+                if is_selected {
                     let settings = RunSettings {
                         deployment: deployment.clone(),
                         pattern,
@@ -49,24 +49,24 @@
         cell(of(|f| f.worst_team_percent)),
         cell(of(|f| f.refused_percent)),
     ];
-    cells.push(of_alone(settings, seeds, &runs).map_or_else(String::new, cell));
+    cells.push(share_of_alone(settings, seeds, &runs).map_or_else(String::new, cell));
     cells.join(" | ")
 }
 
 fn cell(spread: Spread) -> String {
-    format!("{:.1} ±{:.1}", spread.mean, spread.plus_minus)
+    format!("{:.1} ±{:.1}", spread.mean, spread.max_deviation)
 }
 
 /// Returns what teams within their rate get beside those that flood, of what
 /// they get alone: the least of any team.
-fn of_alone(settings: &RunSettings, seeds: u64, runs: &[Figures]) -> Option<Spread> {
-    let floods = [
-        Pattern::Overload1,
-        Pattern::Overload3,
-        Pattern::NoRates,
-        Pattern::OneTeam,
+fn share_of_alone(settings: &RunSettings, seeds: u64, runs: &[Figures]) -> Option<Spread> {
+    let flood_patterns = [
+        Pattern::Overload150Percent,
+        Pattern::Overload300Percent,
+        Pattern::OverloadWithoutRates,
+        Pattern::OneTeamOverRate,
     ];
-    if !floods.contains(&settings.pattern) {
+    if !flood_patterns.contains(&settings.pattern) {
         return None;
     }
     let alone = RunSettings {
@@ -74,14 +74,14 @@
         ..settings.clone()
     };
     let alone = over_seeds(&alone, seeds);
-    let least = runs.iter().zip(&alone).map(|(beside, alone)| {
+    let lowest = runs.iter().zip(&alone).map(|(beside, alone)| {
         let teams = beside.served_tokens.iter().zip(&alone.served_tokens);
         teams
             .filter(|(_, alone)| **alone > 0)
             .map(|(beside, alone)| 100.0 * *beside as f64 / *alone as f64)
             .fold(f64::INFINITY, f64::min)
     });
-    Some(Spread::of(least))
+    Some(Spread::of(lowest))
 }
 
 fn over_seeds(settings: &RunSettings, seeds: u64) -> Vec<Figures> {
--- a/crates/standins/src/engine/run.rs
+++ b/crates/standins/src/engine/attempt.rs
@@ -10,19 +10,19 @@
 const BLOCK_TOKENS: u64 = (BLOCK_BYTES / TOKEN_BYTES) as u64;
 
 /// Longest answer of a stand-in, whatever `max_tokens` allows.
-const LONGEST_ANSWER_TOKENS: u64 = 200;
+const MAX_ANSWER_TOKENS: u64 = 200;
 
 /// One attempt that writes its answer.
-pub(super) struct Run<'a> {
+pub(super) struct Attempt<'a> {
     pub(super) shared: &'a Arc<Shared>,
     pub(super) request: &'a GenerateRequest,
     pub(super) incarnation: u64,
     pub(super) cached_blocks: usize,
 }
 
-impl Run<'_> {
+impl Attempt<'_> {
     pub(super) fn write(&self, writer: &mut impl Write) {
-        let tokens = u64::from(self.request.max_tokens).min(LONGEST_ANSWER_TOKENS);
+        let tokens = u64::from(self.request.max_tokens).min(MAX_ANSWER_TOKENS);
         let first = self.request.generated.len() as u64;
         let faults = self.shared.lock().faults.clone();
         if let Some(not_run) = faults.fail_not_run {
@@ -32,7 +32,7 @@
             return;
         }
         for index in first..tokens {
-            if !self.go_on(index - first) {
+            if !self.wait_for_token(index - first) {
                 return;
             }
             if faults.cut_after_tokens == Some(index - first) {
@@ -56,40 +56,43 @@
                 return;
             }
         }
-        let done = self.done(tokens.max(first));
+        let done = self.done_payload(tokens.max(first));
         let _ = send(writer, &self.event(self.request.attempt, done));
         let _ = writer.write(b"");
     }
 
     /// Waits for the time of one token, and tells whether the run goes on.
-    fn go_on(&self, written: u64) -> bool {
-        let (faults, alive) = {
+    fn wait_for_token(&self, written: u64) -> bool {
+        let (faults, is_running) = {
             let inner = self.shared.lock();
             let key = (self.request.request_id.clone(), self.request.attempt);
-            let alive = inner.incarnation == self.incarnation && !inner.cancelled.contains(&key);
-            (inner.faults.clone(), alive)
+            let is_running =
+                inner.incarnation == self.incarnation && !inner.cancelled.contains(&key);
+            (inner.faults.clone(), is_running)
         };
-        if !alive {
+        if !is_running {
             return false;
         }
-        let poison = faults
+        let is_crash_prompt = faults
             .crash_on
             .as_ref()
             .is_some_and(|text| self.request.prompt.contains(text.as_str()));
-        if poison || faults.crash_after_tokens == Some(written) {
+        if is_crash_prompt || faults.crash_after_tokens == Some(written) {
             self.shared.crash();
             return false;
         }
         if faults.stall || faults.freeze_after_tokens == Some(written) {
-            return self.stay_silent();
+            return self.wait_while_stalled();
         }
-        let slow = faults.slow_factor.max(1);
-        thread::sleep(Duration::from_micros(self.shared.settings.token_us * slow));
+        let slow_factor = faults.slow_factor.max(1);
+        thread::sleep(Duration::from_micros(
+            self.shared.settings.token_us * slow_factor,
+        ));
         self.shared.lock().incarnation == self.incarnation
     }
 
     /// Says nothing until the attempt is cancelled or the fault is lifted.
-    fn stay_silent(&self) -> bool {
+    fn wait_while_stalled(&self) -> bool {
         loop {
             thread::sleep(Duration::from_millis(20));
             let inner = self.shared.lock();
@@ -103,7 +106,7 @@
         }
     }
 
-    fn done(&self, tokens: u64) -> GeneratePayload {
+    fn done_payload(&self, tokens: u64) -> GeneratePayload {
         let version = self.shared.lock().version.clone();
         let prompt_tokens = estimate_tokens(&self.request.prompt);
         GeneratePayload::Done {
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -6,8 +6,8 @@
 //! [`EngineFaults`], `POST /crash` crashes and comes back empty.
 
 mod answer;
+mod attempt;
 mod faults;
-mod run;
 mod settings;
 mod stand_in;
 
--- a/crates/standins/src/engine/stand_in.rs
+++ b/crates/standins/src/engine/stand_in.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EngineFaults, EngineSettings, answer, run::Run},
+    super::{EngineFaults, EngineSettings, answer, attempt::Attempt},
     crate::{
         cache::PrefixCache,
         http::{Exchange, Server},
@@ -33,7 +33,7 @@
     address: Mutex<SocketAddr>,
     server: Mutex<Option<Server>>,
     inner: Mutex<Inner>,
-    freed: Condvar,
+    slot_freed: Condvar,
 }
 
 pub(super) struct Inner {
@@ -79,7 +79,7 @@
             address: Mutex::new(bind),
             server: Mutex::new(None),
             inner: Mutex::new(inner),
-            freed: Condvar::new(),
+            slot_freed: Condvar::new(),
         });
         shared.clone().listen();
         EngineStandIn { shared }
@@ -170,7 +170,7 @@
             inner.running = 0;
             inner.waiting = 0;
         }
-        self.freed.notify_all();
+        self.slot_freed.notify_all();
         *self.server.lock().expect("server") = None;
     }
 
@@ -237,10 +237,12 @@
             let mut inner = self.lock();
             if inner.faults.lose_events > 0 {
                 inner.faults.lose_events -= 1;
-                inner.cache.lose_one();
+                inner.cache.drop_changes();
             }
             let incarnation = inner.incarnation;
-            inner.cache.events(incarnation, exchange.number("from"))
+            inner
+                .cache
+                .events(incarnation, exchange.query_number("from"))
         };
         exchange.json(200, &events);
     }
@@ -249,11 +251,11 @@
         let Ok(order) = serde_json::from_slice::<Order>(&exchange.body) else {
             return exchange.json(400, &json!({}));
         };
-        let reply = self.clone().follow(order);
+        let reply = self.clone().execute_order(order);
         exchange.json(200, &reply);
     }
 
-    fn follow(self: Arc<Self>, order: Order) -> OrderReply {
+    fn execute_order(self: Arc<Self>, order: Order) -> OrderReply {
         let mut inner = self.lock();
         if self.settings.checks_fencing && order.fencing < inner.fencing {
             return OrderReply::OldFencing {
@@ -295,28 +297,28 @@
                 drop(inner);
                 return exchange.json(status, &json!({}));
             }
-            let wrong = inner.loading
+            let is_mismatch = inner.loading
                 || inner.model != request.model
                 || inner.version != request.version
                 || inner.incarnation != request.incarnation;
-            if wrong {
+            if is_mismatch {
                 drop(inner);
                 return exchange.json(409, &json!({}));
             }
             inner.incarnation
         };
         let Some(cached) = self.admit(&request, incarnation) else {
-            return exchange.hang_up();
+            return exchange.close_without_response();
         };
         let mut writer = exchange.stream();
-        let run = Run {
+        let attempt = Attempt {
             shared: &self,
             request: &request,
             incarnation,
             cached_blocks: cached,
         };
-        run.write(&mut writer);
-        self.leave(incarnation);
+        attempt.write(&mut writer);
+        self.release_slot(incarnation);
     }
 
     /// Waits for a slot, computes what is missed, and returns the blocks that
@@ -325,7 +327,7 @@
         let mut inner = self.lock();
         inner.waiting += 1;
         while inner.running >= self.settings.slots && inner.incarnation == incarnation {
-            inner = self.freed.wait(inner).ok()?;
+            inner = self.slot_freed.wait(inner).ok()?;
         }
         if inner.incarnation != incarnation {
             return None;
@@ -335,10 +337,12 @@
         *inner.prompts.entry(request.prompt.clone()).or_default() += 1;
         let chain = block_chain(&request.cache_salt, &request.prompt);
         let hits = inner.cache.hits(&chain);
-        let slow = inner.faults.slow_factor.max(1);
+        let slow_factor = inner.faults.slow_factor.max(1);
         drop(inner);
         let missed = (chain.len() - hits) as u64;
-        thread::sleep(Duration::from_micros(missed * self.settings.miss_us * slow));
+        thread::sleep(Duration::from_micros(
+            missed * self.settings.miss_us * slow_factor,
+        ));
         let mut inner = self.lock();
         if inner.incarnation != incarnation {
             return None;
@@ -347,12 +351,12 @@
         Some(hits)
     }
 
-    fn leave(&self, incarnation: u64) {
+    fn release_slot(&self, incarnation: u64) {
         let mut inner = self.lock();
         if inner.incarnation == incarnation {
             inner.running = inner.running.saturating_sub(1);
         }
         drop(inner);
-        self.freed.notify_all();
+        self.slot_freed.notify_all();
     }
 }
--- a/crates/standins/src/fleet/address.rs
+++ b/crates/standins/src/fleet/address.rs
@@ -9,10 +9,10 @@
 };
 
 /// Lowest port that a test uses.
-const LOWEST_PORT: u32 = 10_240;
+const MIN_PORT: u32 = 10_240;
 
 /// Lowest port of outgoing connections where the system does not say.
-const USUAL_EPHEMERAL_PORT: u32 = 32_768;
+const DEFAULT_EPHEMERAL_PORT: u32 = 32_768;
 
 /// Ports between the first ports of two test processes.
 const PROCESS_STRIDE: u32 = 97;
@@ -26,13 +26,13 @@
 /// another test before the router binds it, and after a kill before the router
 /// binds it again; the test would then fail without a fault.
 pub fn free_address() -> SocketAddr {
-    let ports = ephemeral_port().saturating_sub(LOWEST_PORT).max(1);
+    let ports = min_ephemeral_port().saturating_sub(MIN_PORT).max(1);
     let first = process::id().wrapping_mul(PROCESS_STRIDE);
     for _ in 0..ports {
         let used = USED.fetch_add(1, Ordering::Relaxed);
-        let port = LOWEST_PORT + first.wrapping_add(used) % ports;
+        let port = MIN_PORT + first.wrapping_add(used) % ports;
         let address = SocketAddr::from(([127, 0, 0, 1], port as u16));
-        if can_bind(address).is_ok() {
+        if try_bind(address).is_ok() {
             return address;
         }
     }
@@ -44,16 +44,16 @@
 /// A process that another test starts meanwhile holds a copy of every socket
 /// until it runs its program. Were this one to listen, the address would stay in
 /// use for that time, and the router that is to have it would not start.
-fn can_bind(address: SocketAddr) -> io::Result<()> {
+fn try_bind(address: SocketAddr) -> io::Result<()> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())
 }
 
 /// Returns the lowest port that the system gives to outgoing connections.
-fn ephemeral_port() -> u32 {
+fn min_ephemeral_port() -> u32 {
     fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range")
         .ok()
         .and_then(|range| range.split_whitespace().next()?.parse().ok())
-        .unwrap_or(USUAL_EPHEMERAL_PORT)
+        .unwrap_or(DEFAULT_EPHEMERAL_PORT)
 }
--- a/crates/standins/src/fleet/eventually.rs
+++ b/crates/standins/src/fleet/eventually.rs
@@ -1,8 +1,8 @@
 use std::{thread, time::Duration};
 
 /// Looks before a test gives up.
-const LOOKS: u32 = 600;
-const PAUSE: Duration = Duration::from_millis(50);
+const MAX_CHECKS: u32 = 600;
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Looks again and again until the check holds.
 ///
@@ -10,11 +10,11 @@
 ///
 /// Panics with what was waited for if the check never holds.
 pub fn eventually(what: &str, mut check: impl FnMut() -> bool) {
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_CHECKS {
         if check() {
             return;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(CHECK_INTERVAL);
     }
     panic!("this did not come about: {what}");
 }
--- a/crates/standins/src/fleet/mod.rs
+++ b/crates/standins/src/fleet/mod.rs
@@ -3,15 +3,15 @@
 mod address;
 mod answer;
 mod eventually;
-mod raw;
+mod raw_caller;
 mod router;
-mod whole;
+mod setup;
 
 pub use {
     address::free_address,
     answer::Answer,
     eventually::eventually,
-    raw::RawCaller,
+    raw_caller::RawCaller,
     router::RouterProcess,
-    whole::{Fleet, FleetSettings},
+    setup::{Fleet, FleetSettings},
 };
--- a/crates/standins/src/fleet/router.rs
+++ b/crates/standins/src/fleet/router.rs
@@ -15,8 +15,8 @@
 };
 
 /// Looks at a starting router before the test gives up.
-const READY_LOOKS: u32 = 500;
-const READY_PAUSE: Duration = Duration::from_millis(20);
+const MAX_READY_CHECKS: u32 = 500;
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A router as a process of its own.
 pub struct RouterProcess {
@@ -30,7 +30,7 @@
 
 impl RouterProcess {
     /// Starts a router on free ports, with more arguments behind the usual.
-    pub fn start(program: &str, platform: SocketAddr, more: &[&str]) -> RouterProcess {
+    pub fn start(program: &str, platform: SocketAddr, extra_args: &[&str]) -> RouterProcess {
         let address = free_address();
         let peer_address = free_address();
         let mut args = vec![
@@ -38,10 +38,10 @@
             format!("--peer-address={peer_address}"),
             format!("--platform-address={platform}"),
         ];
-        if !more.iter().any(|a| a.starts_with("--failure-domain")) {
+        if !extra_args.iter().any(|a| a.starts_with("--failure-domain")) {
             args.push("--failure-domain=a".to_owned());
         }
-        args.extend(more.iter().map(|a| (*a).to_owned()));
+        args.extend(extra_args.iter().map(|a| (*a).to_owned()));
         let mut router = RouterProcess {
             program: program.to_owned(),
             args,
@@ -50,7 +50,7 @@
             child: None,
             log: Arc::default(),
         };
-        router.start_again();
+        router.restart();
         router
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Starts the process again with the same arguments.
-    pub fn start_again(&mut self) {
+    pub fn restart(&mut self) {
         let mut child = Command::new(&self.program)
             .args(&self.args)
             .stdout(Stdio::null())
@@ -74,7 +74,7 @@
             .expect("the router's program");
         if let Some(stderr) = child.stderr.take() {
             let log = self.log.clone();
-            thread::spawn(move || keep_log(stderr, &log));
+            thread::spawn(move || collect_log(stderr, &log));
         }
         self.child = Some(child);
     }
@@ -86,11 +86,11 @@
 
     /// Waits until the router says that it is ready.
     pub fn wait_ready(&self) {
-        for _ in 0..READY_LOOKS {
+        for _ in 0..MAX_READY_CHECKS {
             if Answer::get(self.address, "/ready", &[]).status == 200 {
                 return;
             }
-            thread::sleep(READY_PAUSE);
+            thread::sleep(READY_CHECK_INTERVAL);
         }
         panic!("the router at {} did not become ready", self.address);
     }
@@ -104,12 +104,12 @@
     }
 
     /// Pauses the process with SIGSTOP.
-    pub fn freeze(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
     /// Lets a paused process go on.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
@@ -136,7 +136,7 @@
 }
 
 /// Keeps what the process logs, and shows it with the test's own output.
-fn keep_log(stderr: ChildStderr, log: &Mutex<String>) {
+fn collect_log(stderr: ChildStderr, log: &Mutex<String>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         eprintln!("{line}");
         let mut log = log.lock().expect("the log");
--- a/crates/standins/src/fleet/whole.rs
+++ b/crates/standins/src/fleet/setup.rs
@@ -7,11 +7,11 @@
 };
 
 /// Part of the burst that a fleet holds before tests begin, as a divisor.
-const SERVED_PART: u64 = 50;
+const BURST_DIVISOR: u64 = 50;
 
 /// Looks at whether a new fleet serves.
-const SERVED_LOOKS: u32 = 200;
-const SERVED_PAUSE: Duration = Duration::from_millis(50);
+const MAX_SERVED_CHECKS: u32 = 200;
+const SERVED_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What a test's fleet is made of.
 #[derive(Debug, Clone)]
@@ -141,16 +141,16 @@
     /// many more. A new instance takes its slots step by step, so it mints at
     /// a part of the rate at first, and a test that sends at once would meet
     /// the rate in place of what it tests.
-    pub fn until_served(&self) {
-        for _ in 0..SERVED_LOOKS {
+    pub fn wait_until_served(&self) {
+        for _ in 0..MAX_SERVED_CHECKS {
             let answer = self.chat(0, "warm", 1, false);
             let tokens = |name| answer.header(name)?.parse::<u64>().ok();
             let remaining = tokens("x-ratelimit-remaining-tokens").unwrap_or_default();
             let burst = tokens("x-ratelimit-limit-tokens").unwrap_or_default();
-            if answer.status == 200 && remaining * SERVED_PART >= burst {
+            if answer.status == 200 && remaining * BURST_DIVISOR >= burst {
                 return;
             }
-            thread::sleep(SERVED_PAUSE);
+            thread::sleep(SERVED_CHECK_INTERVAL);
         }
         panic!("the fleet serves nobody");
     }
--- a/crates/standins/src/http/server.rs
+++ b/crates/standins/src/http/server.rs
@@ -11,8 +11,8 @@
     tiny_http::{Header, Request, Response},
 };
 
-const BIND_TRIES: u32 = 100;
-const BIND_PAUSE: Duration = Duration::from_millis(20);
+const MAX_BIND_ATTEMPTS: u32 = 100;
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A server that handles each request on a thread of its own, and that can be
 /// stopped and started again on the same port.
@@ -27,7 +27,7 @@
         bind: SocketAddr,
         handler: impl Fn(Exchange) + Send + Sync + 'static,
     ) -> Server {
-        let listener = listen(bind);
+        let listener = bind_with_retries(bind);
         let address = listener.local_addr().expect("a bound listener");
         let inner = Arc::new(tiny_http::Server::from_listener(listener, None).expect("a server"));
         let server = inner.clone();
@@ -49,12 +49,12 @@
 
 /// Listens, waiting a while for a server on the same port to go: a crashed
 /// engine that comes back would otherwise meet its own last listener.
-fn listen(bind: SocketAddr) -> TcpListener {
-    for _ in 0..BIND_TRIES {
+fn bind_with_retries(bind: SocketAddr) -> TcpListener {
+    for _ in 0..MAX_BIND_ATTEMPTS {
         if let Ok(listener) = TcpListener::bind(bind) {
             return listener;
         }
-        thread::sleep(BIND_PAUSE);
+        thread::sleep(BIND_RETRY_INTERVAL);
     }
     panic!("{bind} stays in use; choose another port")
 }
@@ -104,7 +104,7 @@
     }
 
     /// Returns a number of the query, or 0.
-    pub(crate) fn number(&self, name: &str) -> u64 {
+    pub(crate) fn query_number(&self, name: &str) -> u64 {
         self.query
             .get(name)
             .and_then(|v| v.parse().ok())
@@ -123,7 +123,7 @@
 
     /// Closes the connection without an answer. The client must have sent
     /// `Connection: close`.
-    pub(crate) fn hang_up(self) {
+    pub(crate) fn close_without_response(self) {
         drop(self.request.into_writer());
     }
 
--- a/crates/standins/src/platform/faults.rs
+++ b/crates/standins/src/platform/faults.rs
@@ -24,8 +24,8 @@
 impl PlatformFaults {
     /// Returns whether the reply to a write of a kind is lost, and counts it.
     pub(super) fn loses_reply(&mut self, kind: &str) -> bool {
-        let other = self.lose_replies_of.as_ref().is_some_and(|k| k != kind);
-        if other || self.lose_replies == 0 {
+        let is_other_kind = self.lose_replies_of.as_ref().is_some_and(|k| k != kind);
+        if is_other_kind || self.lose_replies == 0 {
             return false;
         }
         self.lose_replies -= 1;
--- a/crates/standins/src/platform/stand_in.rs
+++ b/crates/standins/src/platform/stand_in.rs
@@ -13,12 +13,12 @@
 };
 
 /// Longest time that a watch waits, in milliseconds.
-const LONGEST_WAIT_MS: u64 = 30_000;
+const MAX_WAIT_MS: u64 = 30_000;
 
 /// A platform on threads of this process.
 pub struct PlatformStandIn {
     server: Server,
-    doors: Mutex<Vec<Server>>,
+    silent_servers: Mutex<Vec<Server>>,
     shared: Arc<Shared>,
 }
 
@@ -43,7 +43,7 @@
         let server = Server::start(bind, move |exchange| handler.handle(exchange));
         PlatformStandIn {
             server,
-            doors: Mutex::default(),
+            silent_servers: Mutex::default(),
             shared,
         }
     }
@@ -55,14 +55,14 @@
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
         let server = Server::start(any, move |exchange| match exchange.path.as_str() {
             "/watch" => {
-                thread::sleep(Duration::from_millis(exchange.number("wait_ms")));
-                let revision = exchange.number("after");
+                thread::sleep(Duration::from_millis(exchange.query_number("wait_ms")));
+                let revision = exchange.query_number("after");
                 exchange.json(200, &json!({ "revision": revision, "changes": [] }));
             }
             _ => handler.handle(exchange),
         });
         let address = server.address();
-        self.doors.lock().expect("doors").push(server);
+        self.silent_servers.lock().expect("doors").push(server);
         address
     }
 
@@ -139,7 +139,7 @@
             thread::sleep(Duration::from_millis(delay_ms));
         }
         if self.lock().faults.down {
-            return exchange.hang_up();
+            return exchange.close_without_response();
         }
         match exchange.path.as_str() {
             "/list" => self.list(exchange),
@@ -172,7 +172,7 @@
     fn get(&self, exchange: Exchange, key: &ObjectKey) {
         self.count("get");
         if self.lock().faults.lose_reads {
-            return exchange.hang_up();
+            return exchange.close_without_response();
         }
         let object = self.lock().state.get(key).cloned();
         match object {
@@ -186,23 +186,23 @@
         let expect = if exchange.query.contains_key("absent") {
             Expect::Absent
         } else if exchange.query.contains_key("version") {
-            Expect::Version(exchange.number("version"))
+            Expect::Version(exchange.query_number("version"))
         } else {
             Expect::Any
         };
-        let (result, lost) = {
+        let (result, is_reply_lost) = {
             let mut inner = self.lock();
             let result = inner.state.write(key, expect, body);
-            let lost = inner.faults.loses_reply(&key.kind);
-            (result, lost)
+            let is_reply_lost = inner.faults.loses_reply(&key.kind);
+            (result, is_reply_lost)
         };
         self.written.notify_all();
-        if lost {
-            return exchange.hang_up();
+        if is_reply_lost {
+            return exchange.close_without_response();
         }
         match result {
             Ok(version) => exchange.json(200, &json!({ "version": version })),
-            Err(held) => exchange.json(409, &json!({ "version": held })),
+            Err(current_version) => exchange.json(409, &json!({ "version": current_version })),
         }
     }
 
@@ -212,7 +212,7 @@
         let kinds: Vec<&str> = kinds.split(',').collect();
         let reply = {
             let inner = self.lock();
-            let revision = inner.visible();
+            let revision = inner.visible_revision();
             inner.state.list(&kinds, revision)
         };
         exchange.json(200, &reply);
@@ -222,27 +222,27 @@
         self.count("watch");
         let kinds = exchange.query.get("kinds").cloned().unwrap_or_default();
         let kinds: Vec<&str> = kinds.split(',').collect();
-        let after = exchange.number("after");
-        let wait_ms = exchange.number("wait_ms").min(LONGEST_WAIT_MS);
+        let after = exchange.query_number("after");
+        let wait_ms = exchange.query_number("wait_ms").min(MAX_WAIT_MS);
         let deadline = Instant::now() + Duration::from_millis(wait_ms);
         let mut inner = self.lock();
         let reply = loop {
             if inner.faults.down {
                 drop(inner);
-                return exchange.hang_up();
+                return exchange.close_without_response();
             }
-            let mut reply = inner.state.changes(&kinds, after, inner.visible());
+            let mut reply = inner.state.changes(&kinds, after, inner.visible_revision());
             if inner.faults.mute_watches {
                 reply.changes.clear();
                 reply.revision = after;
             }
-            let left = deadline.saturating_duration_since(Instant::now());
-            if !reply.changes.is_empty() || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !reply.changes.is_empty() || remaining.is_zero() {
                 break reply;
             }
-            inner = match self.written.wait_timeout(inner, left) {
+            inner = match self.written.wait_timeout(inner, remaining) {
                 Ok((inner, _)) => inner,
-                Err(_) => return exchange.hang_up(),
+                Err(_) => return exchange.close_without_response(),
             };
         };
         drop(inner);
@@ -252,7 +252,7 @@
 
 impl Inner {
     /// Returns the revision that lists and watches show.
-    fn visible(&self) -> u64 {
+    fn visible_revision(&self) -> u64 {
         self.state
             .revision()
             .saturating_sub(self.faults.lag_revisions)
--- a/crates/standins/src/platform/state.rs
+++ b/crates/standins/src/platform/state.rs
@@ -29,14 +29,14 @@
         expect: Expect,
         body: Option<Value>,
     ) -> Result<u64, u64> {
-        let held = self.objects.get(key).map_or(0, |o| o.version);
-        let fits = match expect {
+        let current_version = self.objects.get(key).map_or(0, |o| o.version);
+        let is_met = match expect {
             Expect::Any => true,
-            Expect::Absent => held == 0,
-            Expect::Version(version) => held == version,
+            Expect::Absent => current_version == 0,
+            Expect::Version(version) => current_version == version,
         };
-        if !fits {
-            return Err(held);
+        if !is_met {
+            return Err(current_version);
         }
         self.revision += 1;
         let version = self.revision;
--- a/crates/standins/src/queue/plain.rs
+++ b/crates/standins/src/queue/baseline.rs
@@ -11,43 +11,43 @@
 
 /// One engine as a baseline sees it.
 #[derive(Debug, Clone, Default)]
-struct Seen {
-    up: bool,
+struct EngineView {
+    is_up: bool,
     reported: u32,
     since_report: i32,
-    own: u32,
+    open_requests: u32,
 }
 
-impl Seen {
+impl EngineView {
     fn load(&self) -> u32 {
         self.reported
             .saturating_add_signed(self.since_report)
-            .max(self.own)
+            .max(self.open_requests)
     }
 }
 
 /// One instance with a plain policy.
-pub(super) struct Plain {
+pub(super) struct Baseline {
     kind: PolicyKind,
-    engines: Vec<Seen>,
+    engines: Vec<EngineView>,
     instances: u32,
-    turn: usize,
+    next_engine: usize,
     queues: Vec<VecDeque<(u64, usize)>>,
     team_running: [u32; TEAM_SHARES.len()],
     team_of: HashMap<u64, usize>,
 }
 
-impl Plain {
-    pub(super) fn new(deployment: &Deployment, kind: PolicyKind, instance: usize) -> Plain {
-        let seen = Seen {
-            up: true,
-            ..Seen::default()
+impl Baseline {
+    pub(super) fn new(deployment: &Deployment, kind: PolicyKind, instance: usize) -> Baseline {
+        let view = EngineView {
+            is_up: true,
+            ..EngineView::default()
         };
-        Plain {
+        Baseline {
             kind,
-            engines: vec![seen; deployment.engines],
+            engines: vec![view; deployment.engines],
             instances: deployment.instances as u32,
-            turn: instance,
+            next_engine: instance,
             queues: vec![VecDeque::new(); TEAM_SHARES.len()],
             team_running: [0; TEAM_SHARES.len()],
             team_of: HashMap::new(),
@@ -55,9 +55,9 @@
     }
 
     fn send(&mut self, id: u64, engine: usize) -> Action {
-        let seen = &mut self.engines[engine];
-        seen.since_report += 1;
-        seen.own += 1;
+        let view = &mut self.engines[engine];
+        view.since_report += 1;
+        view.open_requests += 1;
         if let Some(team) = self.team_of.get(&id) {
             self.team_running[*team] += 1;
         }
@@ -69,34 +69,34 @@
     }
 
     fn least_loaded(&self) -> usize {
-        let turn = self.turn;
+        let first = self.next_engine;
         let count = self.engines.len();
         (0..count)
-            .map(|i| (i + turn) % count)
-            .min_by_key(|e| (!self.engines[*e].up, self.engines[*e].load()))
+            .map(|i| (i + first) % count)
+            .min_by_key(|e| (!self.engines[*e].is_up, self.engines[*e].load()))
             .unwrap_or_default()
     }
 
-    fn hashed(&self, request: &Request) -> usize {
+    fn engine_by_hash(&self, request: &Request) -> usize {
         let key = request.chain[request.shared_blocks - 1];
         let count = self.engines.len();
         (0..count)
             .map(|i| (key as usize).wrapping_add(i) % count)
-            .find(|e| self.engines[*e].up)
+            .find(|e| self.engines[*e].is_up)
             .unwrap_or_default()
     }
 
-    fn direct(&mut self, request: &Request) -> Action {
-        self.turn += 1;
+    fn send_now(&mut self, request: &Request) -> Action {
+        self.next_engine += 1;
         let engine = match self.kind {
-            PolicyKind::RoundRobin => self.turn % self.engines.len(),
-            PolicyKind::PrefixHash => self.hashed(request),
+            PolicyKind::RoundRobin => self.next_engine % self.engines.len(),
+            PolicyKind::PrefixHash => self.engine_by_hash(request),
             _ => self.least_loaded(),
         };
         self.send(request.id, engine)
     }
 
-    fn queues(&self) -> bool {
+    fn has_queue(&self) -> bool {
         matches!(self.kind, PolicyKind::Fifo | PolicyKind::StaticShares)
     }
 
@@ -124,33 +124,38 @@
                 return actions;
             };
             self.queues[team].pop_front();
-            self.turn += 1;
+            self.next_engine += 1;
             actions.push(self.send(id, engine));
         }
     }
 }
 
-impl Policy for Plain {
-    fn arrive(&mut self, request: &Request, _kept_blocks: usize, _now_ms: u64) -> Vec<Action> {
+impl Policy for Baseline {
+    fn arrive(
+        &mut self,
+        request: &Request,
+        _cache_store_blocks: usize,
+        _now_ms: u64,
+    ) -> Vec<Action> {
         self.team_of.insert(request.id, request.team);
-        if !self.queues() {
-            return vec![self.direct(request)];
+        if !self.has_queue() {
+            return vec![self.send_now(request)];
         }
         self.queues[request.team].push_back((request.id, request.team));
         self.drain()
     }
 
-    fn again(&mut self, request: &Request, dead: usize, _now_ms: u64) -> Vec<Action> {
-        self.engines[dead].up = false;
-        vec![self.direct(request)]
+    fn reroute(&mut self, request: &Request, failed_engine: usize, _now_ms: u64) -> Vec<Action> {
+        self.engines[failed_engine].is_up = false;
+        vec![self.send_now(request)]
     }
 
     fn report(&mut self, engine: usize, state: Option<&EngineState>, _now_ms: u64) -> Vec<Action> {
-        let seen = &mut self.engines[engine];
-        seen.up = state.is_some();
-        seen.reported = state.map_or(0, |s| s.load.running + s.load.waiting);
-        seen.since_report = 0;
-        if self.queues() {
+        let view = &mut self.engines[engine];
+        view.is_up = state.is_some();
+        view.reported = state.map_or(0, |s| s.load.running + s.load.waiting);
+        view.since_report = 0;
+        if self.has_queue() {
             self.drain()
         } else {
             Vec::new()
@@ -166,20 +171,20 @@
         _cached_blocks: Option<usize>,
         _now_ms: u64,
     ) -> Vec<Action> {
-        let seen = &mut self.engines[engine];
-        seen.since_report -= 1;
-        seen.own = seen.own.saturating_sub(1);
+        let view = &mut self.engines[engine];
+        view.since_report -= 1;
+        view.open_requests = view.open_requests.saturating_sub(1);
         if let Some(team) = self.team_of.get(&id) {
             self.team_running[*team] = self.team_running[*team].saturating_sub(1);
         }
-        if self.queues() {
+        if self.has_queue() {
             self.drain()
         } else {
             Vec::new()
         }
     }
 
-    fn leave(&mut self, id: u64) -> bool {
+    fn cancel(&mut self, id: u64) -> bool {
         let Some(team) = self.team_of.get(&id) else {
             return false;
         };
--- a/crates/standins/src/queue/deployment.rs
+++ b/crates/standins/src/queue/deployment.rs
@@ -12,7 +12,7 @@
     /// Failure domains.
     pub failure_domains: usize,
     /// Distance between two failure domains, there and back.
-    pub other_domain_us: u64,
+    pub cross_domain_rtt_us: u64,
     /// What counts most.
     pub favour: AdmissionProfile,
     /// Blocks of the level that a whole team shares.
@@ -33,7 +33,7 @@
             engines: 12,
             instances: 7,
             failure_domains: 4,
-            other_domain_us: 2_000,
+            cross_domain_rtt_us: 2_000,
             favour: AdmissionProfile::FirstToken,
             outer_blocks: 96,
             inner_blocks: 64,
@@ -49,7 +49,7 @@
             engines: 18,
             instances: 6,
             failure_domains: 4,
-            other_domain_us: 3_000,
+            cross_domain_rtt_us: 3_000,
             favour: AdmissionProfile::WorstTeam,
             outer_blocks: 160,
             inner_blocks: 40,
@@ -85,7 +85,7 @@
 pub(super) const CACHE_BLOCKS: usize = 1_600;
 
 /// Time that a caller waits for the first token.
-pub(super) const PATIENCE_US: u64 = 10_000_000;
+pub(super) const FIRST_TOKEN_TIMEOUT_US: u64 = 10_000_000;
 
 impl Deployment {
     /// Returns the requests a second that all slots can take if every prefix
--- a/crates/standins/src/queue/engine.rs
+++ b/crates/standins/src/queue/engine.rs
@@ -26,8 +26,8 @@
 #[derive(Debug)]
 pub(super) struct EngineModel {
     pub(super) incarnation: u64,
-    pub(super) up: bool,
-    pub(super) slow: u64,
+    pub(super) is_up: bool,
+    pub(super) slow_factor: u64,
     pub(super) cache: PrefixCache,
     running: u32,
     waiting: VecDeque<Task>,
@@ -44,8 +44,8 @@
         };
         EngineModel {
             incarnation,
-            up: true,
-            slow: 1,
+            is_up: true,
+            slow_factor: 1,
             cache: PrefixCache::new(CACHE_BLOCKS),
             running: 0,
             waiting: VecDeque::new(),
@@ -56,7 +56,7 @@
     }
 
     /// Takes a task, and begins its prefill if nothing is in the way.
-    pub(super) fn take(&mut self, task: Task) -> Option<Prefill> {
+    pub(super) fn enqueue(&mut self, task: Task) -> Option<Prefill> {
         self.waiting.push_back(task);
         self.advance()
     }
@@ -84,7 +84,7 @@
         Some(Prefill {
             task,
             hit_blocks,
-            takes_us: takes_us * self.slow,
+            takes_us: takes_us * self.slow_factor,
         })
     }
 
@@ -92,7 +92,7 @@
     pub(super) fn prefilled(&mut self, task: &Task) -> (Option<Prefill>, u64) {
         self.cache.store(&task.chain);
         self.computing = false;
-        let answer_us = task.answer_tokens * TOKEN_US * self.slow;
+        let answer_us = task.answer_tokens * TOKEN_US * self.slow_factor;
         (self.advance(), answer_us)
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Drops a task that still waits. Returns whether it did.
-    pub(super) fn drop_waiting(&mut self, id: u64) -> bool {
+    pub(super) fn remove_waiting(&mut self, id: u64) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|t| t.id != id);
         before > self.waiting.len()
@@ -119,7 +119,7 @@
     }
 
     pub(super) fn state(&self) -> Option<EngineState> {
-        self.up.then(|| EngineState {
+        self.is_up.then(|| EngineState {
             incarnation: self.incarnation,
             model: MODEL.to_owned(),
             version: VERSION.to_owned(),
--- a/crates/standins/src/queue/service.rs
+++ b/crates/standins/src/queue/engine_events.rs
@@ -1,30 +1,34 @@
 use super::{
     engine::{Prefill, Task},
-    run::{Event, PIECE_BLOCKS, Run},
+    run::{Event, PART_BLOCKS, Run},
 };
 
 /// Time within which a block that is computed again counts as wasted.
-const RECOMPUTED_US: u64 = 30_000_000;
+const RECOMPUTATION_WINDOW_US: u64 = 30_000_000;
 
 /// What engines do with requests.
 impl Run {
-    pub(super) fn reach(&mut self, engine: usize, task: Task) {
-        if !self.engines[engine].up {
-            return self.again(task.id, engine);
+    pub(super) fn reach_engine(&mut self, engine: usize, task: Task) {
+        if !self.engines[engine].is_up {
+            return self.reroute(task.id, engine);
         }
-        let prefill = self.engines[engine].take(task);
-        self.begin(engine, prefill);
+        let prefill = self.engines[engine].enqueue(task);
+        self.begin_prefill(engine, prefill);
     }
 
-    pub(super) fn begin(&mut self, engine: usize, prefill: Option<Prefill>) {
+    pub(super) fn begin_prefill(&mut self, engine: usize, prefill: Option<Prefill>) {
         let Some(prefill) = prefill else { return };
         let chain = &prefill.task.chain;
-        let known = |b: &&u64| {
+        let is_recent = |b: &&u64| {
             let computed_us = self.computed.get(b);
-            computed_us.is_some_and(|us| self.now_us - us < RECOMPUTED_US)
+            computed_us.is_some_and(|us| self.now_us - us < RECOMPUTATION_WINDOW_US)
         };
-        let behind = prefill.hit_blocks + prefill.task.import_blocks;
-        let recomputed = chain.iter().skip(behind).filter(known).count();
+        let available_blocks = prefill.hit_blocks + prefill.task.import_blocks;
+        let recomputed = chain
+            .iter()
+            .skip(available_blocks)
+            .filter(is_recent)
+            .count();
         let outcome = &mut self.outcomes[prefill.task.id as usize];
         outcome.hit_blocks = prefill.hit_blocks;
         outcome.recomputed_blocks = recomputed;
@@ -33,7 +37,7 @@
             incarnation: self.engines[engine].incarnation,
             task: prefill.task,
         };
-        self.at(self.now_us + prefill.takes_us, event);
+        self.schedule(self.now_us + prefill.takes_us, event);
     }
 
     pub(super) fn prefilled(&mut self, engine: usize, incarnation: u64, task: &Task) {
@@ -41,21 +45,21 @@
             return;
         }
         for (depth, block) in task.chain.iter().enumerate() {
-            let again = self.computed.insert(*block, self.now_us).is_some();
-            if again && (depth + 1) % PIECE_BLOCKS == 0 {
-                self.kept.insert(*block);
+            let is_recomputed = self.computed.insert(*block, self.now_us).is_some();
+            if is_recomputed && (depth + 1) % PART_BLOCKS == 0 {
+                self.cache_store.insert(*block);
             }
         }
         let (next, answer_us) = self.engines[engine].prefilled(task);
-        self.begin(engine, next);
+        self.begin_prefill(engine, next);
         let ended = Event::Ended {
             engine,
             incarnation,
             id: task.id,
         };
-        self.at(self.now_us + answer_us, ended);
+        self.schedule(self.now_us + answer_us, ended);
         let at = task.id as usize;
-        if self.places[at].on != Some((engine, incarnation)) {
+        if self.request_states[at].assigned_to != Some((engine, incarnation)) {
             return;
         }
         let request = &self.requests[at];
@@ -72,17 +76,17 @@
             return;
         }
         let next = self.engines[engine].ended();
-        self.begin(engine, next);
-        if self.places[id as usize].on != Some((engine, incarnation)) {
+        self.begin_prefill(engine, next);
+        if self.request_states[id as usize].assigned_to != Some((engine, incarnation)) {
             return;
         }
-        self.places[id as usize].over = true;
+        self.request_states[id as usize].is_finished = true;
         let cached = self.outcomes[id as usize].hit_blocks;
-        self.settle(id, engine, Some(cached));
+        self.release(id, engine, Some(cached));
     }
 
-    pub(super) fn settle(&mut self, id: u64, engine: usize, cached_blocks: Option<usize>) {
-        self.places[id as usize].on = None;
+    pub(super) fn release(&mut self, id: u64, engine: usize, cached_blocks: Option<usize>) {
+        self.request_states[id as usize].assigned_to = None;
         let instance = self.requests[id as usize].instance;
         let now_ms = self.now_ms();
         let actions = self.instances[instance].ended(id, engine, cached_blocks, now_ms);
--- a/crates/standins/src/queue/figures.rs
+++ b/crates/standins/src/queue/figures.rs
@@ -1,4 +1,4 @@
-use super::deployment::{PATIENCE_US, TEAM_SHARES};
+use super::deployment::{FIRST_TOKEN_TIMEOUT_US, TEAM_SHARES};
 
 /// What became of one request.
 #[derive(Debug, Clone, Default)]
@@ -72,7 +72,7 @@
     let mut times_us: Vec<u64> = measured
         .iter()
         .filter(|o| !o.refused)
-        .map(|o| o.first_token_us.unwrap_or(PATIENCE_US))
+        .map(|o| o.first_token_us.unwrap_or(FIRST_TOKEN_TIMEOUT_US))
         .collect();
     times_us.sort_unstable();
     let at = times_us.len().saturating_sub(1) * 99 / 100;
@@ -102,7 +102,7 @@
     /// Mean.
     pub mean: f64,
     /// Widest difference from the mean.
-    pub plus_minus: f64,
+    pub max_deviation: f64,
 }
 
 impl Spread {
@@ -110,7 +110,10 @@
     pub fn of(values: impl Iterator<Item = f64> + Clone) -> Spread {
         let count = values.clone().count().max(1);
         let mean = values.clone().sum::<f64>() / count as f64;
-        let plus_minus = values.map(|v| (v - mean).abs()).fold(0.0, f64::max);
-        Spread { mean, plus_minus }
+        let max_deviation = values.map(|v| (v - mean).abs()).fold(0.0, f64::max);
+        Spread {
+            mean,
+            max_deviation,
+        }
     }
 }
--- a/crates/standins/src/queue/mangowalk.rs
+++ b/crates/standins/src/queue/mangowalk.rs
@@ -21,11 +21,11 @@
     waiting: HashSet<u64>,
 }
 
-fn name(engine: usize) -> String {
+fn engine_name(engine: usize) -> String {
     format!("engine-{engine}")
 }
 
-fn number(name: &str) -> usize {
+fn engine_index(name: &str) -> usize {
     let digits = name.trim_start_matches("engine-");
     digits.parse().expect("an engine of the model")
 }
@@ -43,7 +43,7 @@
             miss_us: MISS_US as f64,
             hit_us: HIT_US as f64,
             import_us: (kind == PolicyKind::Import).then_some(IMPORT_US as f64),
-            other_domain_ms: deployment.other_domain_us as f64 / 1e3,
+            other_domain_ms: deployment.cross_domain_rtt_us as f64 / 1e3,
             instances: deployment.instances as u32,
             full_events_engines: match kind {
                 PolicyKind::NoEvents => 0,
@@ -54,7 +54,7 @@
         let mut placement = Placement::new(settings, seed);
         let specs: Vec<EngineSpec> = (0..deployment.engines)
             .map(|engine| EngineSpec {
-                name: name(engine),
+                name: engine_name(engine),
                 model: MODEL.to_owned(),
                 in_same_domain: engine % domains == instance % domains,
                 departing: false,
@@ -69,12 +69,12 @@
         }
     }
 
-    fn act(&mut self, verdicts: Vec<Decision>) -> Vec<Action> {
-        verdicts.into_iter().map(|v| self.action(v)).collect()
+    fn act(&mut self, decisions: Vec<Decision>) -> Vec<Action> {
+        decisions.into_iter().map(|v| self.action(v)).collect()
     }
 
-    fn action(&mut self, verdict: Decision) -> Action {
-        match verdict {
+    fn action(&mut self, decision: Decision) -> Action {
+        match decision {
             Decision::Send { id, choice } => {
                 self.waiting.remove(&id);
                 self.send(id, choice)
@@ -87,7 +87,7 @@
     }
 
     fn send(&mut self, id: u64, choice: Choice) -> Action {
-        let engine = number(&choice.engine);
+        let engine = engine_index(&choice.engine);
         let import_blocks = choice.import_blocks;
         self.choices.insert(id, choice);
         Action::Send {
@@ -99,7 +99,7 @@
 }
 
 impl Policy for Mangowalk {
-    fn arrive(&mut self, request: &Request, kept_blocks: usize, now_ms: u64) -> Vec<Action> {
+    fn arrive(&mut self, request: &Request, cache_store_blocks: usize, now_ms: u64) -> Vec<Action> {
         let job = Job {
             id: request.id,
             team: format!("team-{}", request.team),
@@ -112,16 +112,16 @@
             model: MODEL.to_owned(),
             version: VERSION.to_owned(),
             chain: request.chain.to_vec(),
-            stored_blocks: kept_blocks,
+            stored_blocks: cache_store_blocks,
         };
         self.waiting.insert(request.id);
-        let verdicts = self.dispatcher.submit(job, &|_| true, now_ms);
-        self.act(verdicts)
+        let decisions = self.dispatcher.submit(job, &|_| true, now_ms);
+        self.act(decisions)
     }
 
-    fn again(&mut self, request: &Request, dead: usize, now_ms: u64) -> Vec<Action> {
-        let avoid = HashSet::from([name(dead)]);
-        let ask = PlacementRequest {
+    fn reroute(&mut self, request: &Request, failed_engine: usize, now_ms: u64) -> Vec<Action> {
+        let avoid = HashSet::from([engine_name(failed_engine)]);
+        let placement_request = PlacementRequest {
             model: MODEL,
             version: VERSION,
             chain: &request.chain,
@@ -133,7 +133,7 @@
             force: true,
         };
         let placement = self.dispatcher.placement_mut();
-        let Some(mut choice) = placement.choose(&ask, now_ms) else {
+        let Some(mut choice) = placement.choose(&placement_request, now_ms) else {
             return vec![Action::Refuse { id: request.id }];
         };
         placement.sent(&mut choice, &request.chain, now_ms);
@@ -142,7 +142,7 @@
 
     fn report(&mut self, engine: usize, state: Option<&EngineState>, now_ms: u64) -> Vec<Action> {
         let placement = self.dispatcher.placement_mut();
-        placement.report(&name(engine), state);
+        placement.report(&engine_name(engine), state);
         self.tick(now_ms)
     }
 
@@ -166,24 +166,24 @@
         self.tick(now_ms)
     }
 
-    fn leave(&mut self, id: u64) -> bool {
+    fn cancel(&mut self, id: u64) -> bool {
         self.dispatcher.remove(id);
         self.waiting.remove(&id)
     }
 
     fn tick(&mut self, now_ms: u64) -> Vec<Action> {
-        let verdicts = self.dispatcher.dispatch_queued(&|_| true, now_ms);
-        self.act(verdicts)
+        let decisions = self.dispatcher.dispatch_queued(&|_| true, now_ms);
+        self.act(decisions)
     }
 
     fn events_from(&self, engine: usize) -> Option<u64> {
         self.dispatcher
             .placement()
-            .next_event_sequence(&name(engine))
+            .next_event_sequence(&engine_name(engine))
     }
 
     fn cache_events(&mut self, engine: usize, events: &CacheEvents) {
         let placement = self.dispatcher.placement_mut();
-        placement.cache_events(&name(engine), events);
+        placement.cache_events(&engine_name(engine), events);
     }
 }
--- a/crates/standins/src/queue/mod.rs
+++ b/crates/standins/src/queue/mod.rs
@@ -5,18 +5,18 @@
 //! batch, one prefill at a time, a prefix cache that evicts, reports and cache
 //! events that lag. Figures for real engines need a measurement of these.
 
+mod baseline;
 mod deployment;
 mod engine;
+mod engine_events;
 mod faults;
 mod figures;
 mod mangowalk;
 mod pattern;
-mod plain;
 mod policy;
-mod reads;
+mod polling;
 mod request;
 mod run;
-mod service;
 mod workload;
 
 pub use {
--- a/crates/standins/src/queue/pattern.rs
+++ b/crates/standins/src/queue/pattern.rs
@@ -23,25 +23,25 @@
     LongAmongShort,
     /// Large teams flood: one and a half times the capacity together.
     #[display("overload 1.5x")]
-    Overload1,
+    Overload150Percent,
     /// Large teams flood: three times the capacity together.
     #[display("overload 3x")]
-    Overload3,
+    Overload300Percent,
     /// As the one above, but no rate limits the teams: the queue alone shares.
     #[display("overload 3x, no rates")]
-    NoRates,
+    OverloadWithoutRates,
     /// One team sends five times its rate.
     #[display("one team at 5x rate")]
-    OneTeam,
+    OneTeamOverRate,
     /// The inner prefix that gets half of all changes every five seconds.
     #[display("shifting hot prefix")]
-    Shifting,
+    ShiftingHotPrefix,
     /// An engine restarts and comes back empty a second later.
     #[display("engine back empty")]
-    EngineEmpty,
+    EngineRestart,
     /// Every instance restarts within a second.
     #[display("herd of restarts")]
-    Herd,
+    RestartAll,
 }
 
 impl Pattern {
@@ -53,13 +53,13 @@
         Pattern::HotKey,
         Pattern::SlowUpstream,
         Pattern::LongAmongShort,
-        Pattern::Overload1,
-        Pattern::Overload3,
-        Pattern::NoRates,
-        Pattern::OneTeam,
-        Pattern::Shifting,
-        Pattern::EngineEmpty,
-        Pattern::Herd,
+        Pattern::Overload150Percent,
+        Pattern::Overload300Percent,
+        Pattern::OverloadWithoutRates,
+        Pattern::OneTeamOverRate,
+        Pattern::ShiftingHotPrefix,
+        Pattern::EngineRestart,
+        Pattern::RestartAll,
     ];
 
     /// Returns a team's load at a time, as a share of the capacity.
@@ -70,10 +70,14 @@
             Pattern::Burst => share * 0.5,
             Pattern::HotCaller => share * 0.45 + if team == 2 { 0.15 } else { 0.0 },
             // The small teams stay at four fifths of their rate.
-            Pattern::Overload1 if flooding => share / 0.7 * (1.5 - 0.24),
-            Pattern::Overload3 | Pattern::NoRates if flooding => share / 0.7 * (3.0 - 0.24),
-            Pattern::Overload1 | Pattern::Overload3 | Pattern::NoRates => share * 0.8,
-            Pattern::OneTeam if team == 2 => share * 5.0,
+            Pattern::Overload150Percent if flooding => share / 0.7 * (1.5 - 0.24),
+            Pattern::Overload300Percent | Pattern::OverloadWithoutRates if flooding => {
+                share / 0.7 * (3.0 - 0.24)
+            }
+            Pattern::Overload150Percent
+            | Pattern::Overload300Percent
+            | Pattern::OverloadWithoutRates => share * 0.8,
+            Pattern::OneTeamOverRate if team == 2 => share * 5.0,
             _ => share * 0.6,
         }
     }
@@ -81,14 +85,16 @@
     /// Returns whether rates limit the teams before any queue, for every
     /// policy alike, as the router's limits do.
     pub(super) fn is_limited(self) -> bool {
-        self != Pattern::NoRates
+        self != Pattern::OverloadWithoutRates
     }
 
     /// Returns whether a team may send more than its rate.
     pub(super) fn floods(self, team: usize) -> bool {
         match self {
-            Pattern::Overload1 | Pattern::Overload3 | Pattern::NoRates => team < 2,
-            Pattern::OneTeam => team == 2,
+            Pattern::Overload150Percent
+            | Pattern::Overload300Percent
+            | Pattern::OverloadWithoutRates => team < 2,
+            Pattern::OneTeamOverRate => team == 2,
             _ => false,
         }
     }
--- a/crates/standins/src/queue/policy.rs
+++ b/crates/standins/src/queue/policy.rs
@@ -62,9 +62,9 @@
 
 /// How one instance decides.
 pub(super) trait Policy {
-    fn arrive(&mut self, request: &Request, kept_blocks: usize, now_ms: u64) -> Vec<Action>;
+    fn arrive(&mut self, request: &Request, cache_store_blocks: usize, now_ms: u64) -> Vec<Action>;
     /// Places a request whose engine died.
-    fn again(&mut self, request: &Request, dead: usize, now_ms: u64) -> Vec<Action>;
+    fn reroute(&mut self, request: &Request, failed_engine: usize, now_ms: u64) -> Vec<Action>;
     fn report(&mut self, engine: usize, state: Option<&EngineState>, now_ms: u64) -> Vec<Action>;
     fn first_token(&mut self, id: u64, now_ms: u64);
     fn ended(
@@ -75,7 +75,7 @@
         now_ms: u64,
     ) -> Vec<Action>;
     /// Takes out a request whose caller has gone. Returns whether it waited.
-    fn leave(&mut self, id: u64) -> bool;
+    fn cancel(&mut self, id: u64) -> bool;
     fn tick(&mut self, now_ms: u64) -> Vec<Action>;
     fn events_from(&self, _engine: usize) -> Option<u64> {
         None
--- a/crates/standins/src/queue/reads.rs
+++ b/crates/standins/src/queue/polling.rs
@@ -2,22 +2,22 @@
 
 /// Engines whose state, or whose events, an instance reads in one round; as
 /// in the running router.
-pub(super) const ASKED_A_ROUND: usize = 8;
+pub(super) const ENGINES_PER_ROUND: usize = 8;
 
 /// Time between two rounds of reports.
-pub(super) const REPORT_ROUND_US: u64 = 250_000;
+pub(super) const REPORT_INTERVAL_US: u64 = 250_000;
 
-const EVENTS_ROUND_US: u64 = 200_000;
+const EVENTS_INTERVAL_US: u64 = 200_000;
 
 /// What instances read of engines.
 impl Run {
     pub(super) fn schedule_reads(&mut self, instance: usize, from_us: u64) {
         for engine in 0..self.settings.deployment.engines {
-            let round = (engine / ASKED_A_ROUND) as u64;
-            let at_us = from_us + round * REPORT_ROUND_US;
-            self.at(at_us, Event::Report { instance, engine });
-            let at_us = from_us + round * EVENTS_ROUND_US;
-            self.at(at_us, Event::ReadEvents { instance, engine });
+            let round = (engine / ENGINES_PER_ROUND) as u64;
+            let at_us = from_us + round * REPORT_INTERVAL_US;
+            self.schedule(at_us, Event::Report { instance, engine });
+            let at_us = from_us + round * EVENTS_INTERVAL_US;
+            self.schedule(at_us, Event::ReadEvents { instance, engine });
         }
     }
 
@@ -26,9 +26,9 @@
         let now_ms = self.now_ms();
         let actions = self.instances[instance].report(engine, state.as_ref(), now_ms);
         self.act(actions);
-        let rounds = self.settings.deployment.engines.div_ceil(ASKED_A_ROUND) as u64;
-        let at_us = self.now_us + rounds * REPORT_ROUND_US;
-        self.at(at_us, Event::Report { instance, engine });
+        let rounds = self.settings.deployment.engines.div_ceil(ENGINES_PER_ROUND) as u64;
+        let at_us = self.now_us + rounds * REPORT_INTERVAL_US;
+        self.schedule(at_us, Event::Report { instance, engine });
     }
 
     pub(super) fn read_events(&mut self, instance: usize, engine: usize) {
@@ -38,8 +38,8 @@
         let model = &self.engines[engine];
         let events = model.cache.events(model.incarnation, from);
         self.instances[instance].cache_events(engine, &events);
-        let rounds = self.settings.deployment.engines.div_ceil(ASKED_A_ROUND) as u64;
-        let at_us = self.now_us + rounds * EVENTS_ROUND_US;
-        self.at(at_us, Event::ReadEvents { instance, engine });
+        let rounds = self.settings.deployment.engines.div_ceil(ENGINES_PER_ROUND) as u64;
+        let at_us = self.now_us + rounds * EVENTS_INTERVAL_US;
+        self.schedule(at_us, Event::ReadEvents { instance, engine });
     }
 }
--- a/crates/standins/src/queue/run.rs
+++ b/crates/standins/src/queue/run.rs
@@ -1,13 +1,13 @@
 use {
     super::{
         Deployment, Figures, Pattern, PolicyKind,
-        deployment::PATIENCE_US,
+        baseline::Baseline,
+        deployment::FIRST_TOKEN_TIMEOUT_US,
         engine::{EngineModel, Task},
         figures::Outcome,
         mangowalk::Mangowalk,
-        plain::Plain,
         policy::{Action, Policy},
-        reads::REPORT_ROUND_US,
+        polling::REPORT_INTERVAL_US,
         request::Request,
         workload::workload,
     },
@@ -25,12 +25,12 @@
 const TICK_US: u64 = 50_000;
 
 /// Blocks in a kept piece: 4,096 tokens.
-pub(super) const PIECE_BLOCKS: usize = 64;
+pub(super) const PART_BLOCKS: usize = 64;
 
 /// When faults set in, and when a slow engine recovers.
-const FAULT_US: u64 = 16_000_000;
-const RECOVER_US: u64 = 31_000_000;
-const DOWN_US: u64 = 1_000_000;
+const FAULT_START_US: u64 = 16_000_000;
+const FAULT_END_US: u64 = 31_000_000;
+const DOWNTIME_US: u64 = 1_000_000;
 
 /// One run.
 #[derive(Debug, Clone)]
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub(super) enum Event {
     Arrive(u64),
-    Reach {
+    ReachEngine {
         engine: usize,
         task: Task,
     },
@@ -84,7 +84,7 @@
         incarnation: u64,
         id: u64,
     },
-    GiveUp(u64),
+    FirstTokenTimeout(u64),
     Publish,
     Report {
         instance: usize,
@@ -106,16 +106,16 @@
 
 /// Where a request is now.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Place {
-    pub(super) on: Option<(usize, u64)>,
-    pub(super) over: bool,
+pub(super) struct RequestState {
+    pub(super) assigned_to: Option<(usize, u64)>,
+    pub(super) is_finished: bool,
 }
 
 /// One run under way.
 pub(super) struct Run {
     pub(super) settings: RunSettings,
     pub(super) requests: Vec<Request>,
-    pub(super) places: Vec<Place>,
+    pub(super) request_states: Vec<RequestState>,
     pub(super) outcomes: Vec<Outcome>,
     pub(super) engines: Vec<EngineModel>,
     pub(super) instances: Vec<Box<dyn Policy>>,
@@ -124,7 +124,7 @@
     pub(super) next: u64,
     pub(super) now_us: u64,
     pub(super) computed: HashMap<u64, u64>,
-    pub(super) kept: HashSet<u64>,
+    pub(super) cache_store: HashSet<u64>,
     pub(super) rng: SmallRng,
 }
 
@@ -132,17 +132,17 @@
 pub fn simulate(settings: &RunSettings) -> Figures {
     let mut run = Run::new(settings.clone());
     run.schedule_all();
-    run.go();
+    run.process_events();
     Figures::of(&run.outcomes)
 }
 
-pub(super) fn policy(settings: &RunSettings, instance: usize, seed: u64) -> Box<dyn Policy> {
+pub(super) fn new_policy(settings: &RunSettings, instance: usize, seed: u64) -> Box<dyn Policy> {
     let (deployment, kind) = (&settings.deployment, settings.policy);
     match kind {
         PolicyKind::Mangowalk | PolicyKind::NoEvents | PolicyKind::Import => {
             Box::new(Mangowalk::new(deployment, kind, instance, seed))
         }
-        _ => Box::new(Plain::new(deployment, kind, instance)),
+        _ => Box::new(Baseline::new(deployment, kind, instance)),
     }
 }
 
@@ -169,10 +169,10 @@
             })
             .collect();
         let instances = (0..d.instances)
-            .map(|i| policy(&settings, i, settings.seed * 100 + i as u64))
+            .map(|i| new_policy(&settings, i, settings.seed * 100 + i as u64))
             .collect();
         Run {
-            places: vec![Place::default(); requests.len()],
+            request_states: vec![RequestState::default(); requests.len()],
             outcomes,
             engines: (0..d.engines)
                 .map(|e| EngineModel::new(e as u64 + 1))
@@ -183,14 +183,14 @@
             next: 0,
             now_us: 0,
             computed: HashMap::new(),
-            kept: HashSet::new(),
+            cache_store: HashSet::new(),
             rng: SmallRng::seed_from_u64(settings.seed),
             requests,
             settings,
         }
     }
 
-    pub(super) fn at(&mut self, at_us: u64, event: Event) {
+    pub(super) fn schedule(&mut self, at_us: u64, event: Event) {
         self.heap.push(Reverse((at_us, self.next)));
         self.events.insert(self.next, event);
         self.next += 1;
@@ -198,48 +198,48 @@
 
     fn schedule_all(&mut self) {
         for id in 0..self.requests.len() as u64 {
-            self.at(self.requests[id as usize].at_us, Event::Arrive(id));
+            self.schedule(self.requests[id as usize].at_us, Event::Arrive(id));
         }
         for instance in 0..self.settings.deployment.instances {
-            let offset_us = self.rng.random_range(0..REPORT_ROUND_US);
+            let offset_us = self.rng.random_range(0..REPORT_INTERVAL_US);
             self.schedule_reads(instance, offset_us);
-            self.at(offset_us % TICK_US, Event::Tick(instance));
+            self.schedule(offset_us % TICK_US, Event::Tick(instance));
         }
-        self.at(0, Event::Publish);
+        self.schedule(0, Event::Publish);
         match self.settings.pattern {
             Pattern::SlowUpstream => {
-                self.at(
-                    FAULT_US,
+                self.schedule(
+                    FAULT_START_US,
                     Event::Slow {
                         engine: 0,
                         factor: 8,
                     },
                 );
-                self.at(
-                    RECOVER_US,
+                self.schedule(
+                    FAULT_END_US,
                     Event::Slow {
                         engine: 0,
                         factor: 1,
                     },
                 );
             }
-            Pattern::EngineEmpty => {
-                self.at(FAULT_US, Event::Crash(0));
-                self.at(FAULT_US + DOWN_US, Event::Revive(0));
+            Pattern::EngineRestart => {
+                self.schedule(FAULT_START_US, Event::Crash(0));
+                self.schedule(FAULT_START_US + DOWNTIME_US, Event::Revive(0));
             }
-            Pattern::Herd => {
+            Pattern::RestartAll => {
                 for instance in 0..self.settings.deployment.instances {
-                    let at_us = FAULT_US + self.rng.random_range(0..1_000_000);
-                    self.at(at_us, Event::Restart(instance));
+                    let at_us = FAULT_START_US + self.rng.random_range(0..1_000_000);
+                    self.schedule(at_us, Event::Restart(instance));
                 }
             }
             _ => {}
         }
     }
 
-    fn go(&mut self) {
+    fn process_events(&mut self) {
         // Requests that came late still get their time.
-        let end_us = self.settings.length_us + 2 * PATIENCE_US;
+        let end_us = self.settings.length_us + 2 * FIRST_TOKEN_TIMEOUT_US;
         while let Some(Reverse((at_us, number))) = self.heap.pop() {
             if at_us > end_us {
                 return;
@@ -258,7 +258,7 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(id) => self.arrive(id),
-            Event::Reach { engine, task } => self.reach(engine, task),
+            Event::ReachEngine { engine, task } => self.reach_engine(engine, task),
             Event::Prefilled {
                 engine,
                 incarnation,
@@ -269,12 +269,12 @@
                 incarnation,
                 id,
             } => self.ended(engine, incarnation, id),
-            Event::GiveUp(id) => self.give_up(id),
+            Event::FirstTokenTimeout(id) => self.time_out(id),
             Event::Publish => {
                 for engine in &mut self.engines {
                     engine.publish();
                 }
-                self.at(self.now_us + PUBLISH_US, Event::Publish);
+                self.schedule(self.now_us + PUBLISH_US, Event::Publish);
             }
             Event::Report { instance, engine } => self.report(instance, engine),
             Event::ReadEvents { instance, engine } => self.read_events(instance, engine),
@@ -282,11 +282,11 @@
                 let now_ms = self.now_ms();
                 let actions = self.instances[instance].tick(now_ms);
                 self.act(actions);
-                self.at(self.now_us + TICK_US, Event::Tick(instance));
+                self.schedule(self.now_us + TICK_US, Event::Tick(instance));
             }
-            Event::Slow { engine, factor } => self.engines[engine].slow = factor,
+            Event::Slow { engine, factor } => self.engines[engine].slow_factor = factor,
             Event::Crash(engine) => self.crash(engine),
-            Event::Revive(engine) => self.engines[engine].up = true,
+            Event::Revive(engine) => self.engines[engine].is_up = true,
             Event::Restart(instance) => self.restart(instance),
         }
     }
@@ -297,20 +297,23 @@
             self.outcomes[id as usize].refused = true;
             return;
         }
-        let kept_blocks = self.kept_blocks(&request);
-        self.at(request.at_us + PATIENCE_US, Event::GiveUp(id));
+        let cache_store_blocks = self.cache_store_blocks(&request);
+        self.schedule(
+            request.at_us + FIRST_TOKEN_TIMEOUT_US,
+            Event::FirstTokenTimeout(id),
+        );
         let now_ms = self.now_ms();
-        let actions = self.instances[request.instance].arrive(&request, kept_blocks, now_ms);
+        let actions = self.instances[request.instance].arrive(&request, cache_store_blocks, now_ms);
         self.act(actions);
     }
 
-    fn kept_blocks(&self, request: &Request) -> usize {
+    fn cache_store_blocks(&self, request: &Request) -> usize {
         let pieces = request
             .chain
             .iter()
-            .skip(PIECE_BLOCKS - 1)
-            .step_by(PIECE_BLOCKS);
-        pieces.take_while(|b| self.kept.contains(b)).count() * PIECE_BLOCKS
+            .skip(PART_BLOCKS - 1)
+            .step_by(PART_BLOCKS);
+        pieces.take_while(|b| self.cache_store.contains(b)).count() * PART_BLOCKS
     }
 
     pub(super) fn act(&mut self, actions: Vec<Action>) {
@@ -329,11 +332,15 @@
                         import_blocks,
                     };
                     let distance_us = self.distance_us(request.instance, engine);
-                    self.places[id as usize].on = Some((engine, self.engines[engine].incarnation));
-                    self.at(self.now_us + distance_us, Event::Reach { engine, task });
+                    self.request_states[id as usize].assigned_to =
+                        Some((engine, self.engines[engine].incarnation));
+                    self.schedule(
+                        self.now_us + distance_us,
+                        Event::ReachEngine { engine, task },
+                    );
                 }
                 Action::Refuse { id } => {
-                    self.places[id as usize].over = true;
+                    self.request_states[id as usize].is_finished = true;
                     self.outcomes[id as usize].refused = true;
                 }
             }
@@ -343,7 +350,11 @@
     /// Returns the time of one way.
     pub(super) fn distance_us(&self, instance: usize, engine: usize) -> u64 {
         let d = &self.settings.deployment;
-        let near = instance % d.failure_domains == engine % d.failure_domains;
-        if near { 0 } else { d.other_domain_us / 2 }
+        let is_same_domain = instance % d.failure_domains == engine % d.failure_domains;
+        if is_same_domain {
+            0
+        } else {
+            d.cross_domain_rtt_us / 2
+        }
     }
 }
--- a/crates/standins/src/queue/workload.rs
+++ b/crates/standins/src/queue/workload.rs
@@ -11,7 +11,7 @@
 const CALLERS: u64 = 24;
 
 /// Time for which a caller keeps an address.
-const KEEP_US: u64 = 10_000_000;
+const ADDRESS_TTL_US: u64 = 10_000_000;
 
 /// Seconds of its rate that a team may use at once.
 const BURST_S: f64 = 6.0;
@@ -85,43 +85,45 @@
     fn request(&mut self, at_us: u64) -> Request {
         let d = self.deployment;
         let long = self.pattern == Pattern::LongAmongShort && self.rng.random_ratio(1, 10);
-        let inner = self.inner(at_us);
+        let inner = self.draw_inner(at_us);
         let own_blocks = if long { d.own_blocks * 8 } else { d.own_blocks };
-        let outer_digest = mix(self.team as u64, 1);
-        let inner_digest = mix(outer_digest, inner + 2);
+        let outer_digest = hash_pair(self.team as u64, 1);
+        let inner_digest = hash_pair(outer_digest, inner + 2);
         let own_digest = self.rng.random();
         let chain = (0..d.outer_blocks)
-            .map(|i| mix(outer_digest, i as u64))
-            .chain((0..d.inner_blocks).map(|i| mix(inner_digest, i as u64)))
-            .chain((0..own_blocks).map(|i| mix(own_digest, i as u64)))
+            .map(|i| hash_pair(outer_digest, i as u64))
+            .chain((0..d.inner_blocks).map(|i| hash_pair(inner_digest, i as u64)))
+            .chain((0..own_blocks).map(|i| hash_pair(own_digest, i as u64)))
             .collect();
         let mut request = Request {
             id: 0,
             team: self.team,
-            instance: self.instance(at_us),
+            instance: self.draw_instance(at_us),
             at_us,
             chain,
             shared_blocks: d.outer_blocks + d.inner_blocks,
-            answer_tokens: self.answer_tokens(long),
+            answer_tokens: self.draw_answer_tokens(long),
             in_rate: true,
         };
-        request.in_rate = self.take(request.tokens(), at_us);
+        request.in_rate = self.take_tokens(request.tokens(), at_us);
         request
     }
 
-    fn answer_tokens(&mut self, long: bool) -> u64 {
-        let least = MEAN_ANSWER_TOKENS / 2;
-        let tokens = self.rng.random_range(least..=MEAN_ANSWER_TOKENS + least);
+    fn draw_answer_tokens(&mut self, long: bool) -> u64 {
+        let min_tokens = MEAN_ANSWER_TOKENS / 2;
+        let tokens = self
+            .rng
+            .random_range(min_tokens..=MEAN_ANSWER_TOKENS + min_tokens);
         // Long answers leave the mean load as it is in the other patterns.
         if long { tokens * 8 } else { tokens }
     }
 
     /// Draws an inner prefix: the first is the most popular.
-    fn inner(&mut self, at_us: u64) -> u64 {
+    fn draw_inner(&mut self, at_us: u64) -> u64 {
         let count = self.deployment.inner_count as u64;
         let hot = match self.pattern {
             Pattern::HotKey => Some(1),
-            Pattern::Shifting => Some(at_us / 5_000_000 % count),
+            Pattern::ShiftingHotPrefix => Some(at_us / 5_000_000 % count),
             _ => None,
         };
         if let Some(hot) = hot
@@ -133,18 +135,18 @@
         (draw * draw * count as f64) as u64
     }
 
-    fn instance(&mut self, at_us: u64) -> usize {
+    fn draw_instance(&mut self, at_us: u64) -> usize {
         let instances = self.deployment.instances as u64;
         let hot = self.pattern == Pattern::HotCaller && self.team == 2;
         if hot && self.rng.random_ratio(7, 10) {
             return 0;
         }
         let caller = self.rng.random_range(0..CALLERS);
-        let epoch = mix(caller, at_us / KEEP_US + self.team as u64 * 1_000);
+        let epoch = hash_pair(caller, at_us / ADDRESS_TTL_US + self.team as u64 * 1_000);
         (epoch % instances) as usize
     }
 
-    fn take(&mut self, tokens: u64, at_us: u64) -> bool {
+    fn take_tokens(&mut self, tokens: u64, at_us: u64) -> bool {
         let rate = self.tokens_per_s();
         let filled = (at_us - self.filled_us) as f64 / 1e6 * rate;
         self.filled_us = at_us;
@@ -157,7 +159,7 @@
     }
 }
 
-fn mix(a: u64, b: u64) -> u64 {
+fn hash_pair(a: u64, b: u64) -> u64 {
     let mut z = a ^ b.wrapping_add(1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
--- a/crates/standins/src/service/stand_in.rs
+++ b/crates/standins/src/service/stand_in.rs
@@ -66,16 +66,16 @@
     let faults = state.lock().expect("state").faults.clone();
     thread::sleep(Duration::from_millis(faults.delay_ms));
     let body = String::from_utf8_lossy(&exchange.body).into_owned();
-    let lost = {
+    let is_reply_lost = {
         let mut inner = state.lock().expect("state");
         inner.headers.extend(exchange.headers.clone());
         *inner.runs.entry(body.clone()).or_default() += 1;
-        let lost = inner.faults.lose_replies > 0;
+        let is_reply_lost = inner.faults.lose_replies > 0;
         inner.faults.lose_replies = inner.faults.lose_replies.saturating_sub(1);
-        lost
+        is_reply_lost
     };
-    if lost {
-        return exchange.hang_up();
+    if is_reply_lost {
+        return exchange.close_without_response();
     }
     exchange.json(200, &json!({ "booked": body }));
 }
