--- a/crates/standins/examples/hedging.rs
+++ b/crates/standins/examples/hedging.rs
@@ -1,13 +1,14 @@
-//! Measures what sending a second copy of a slow request would bring.
+//! Measures the benefit of hedging: a second copy of a slow request.
 //!
-//! A queue model of prefills alone: 16 engines compute one at a time, a
-//! prefix is cached on one of them, each engine stalls for 2 s about once a
-//! minute. A request is sent to the engine that holds its prefix. A copy goes
-//! to the engine with the least work once the request has waited, or the
-//! request moves there and leaves its place, at once or only if its engine has
-//! fallen silent to every stream. Copies and moves are at most a
-//! tenth of the traffic. What a copy computes after the other one answered is
-//! wasted. The table goes to docs/upstreams.md.
+//! The queue model covers prefills only: 16 engines compute one prefill at a
+//! time, a prefix is cached on one of them, and each engine stalls for 2 s about
+//! once a minute. A request is sent to the engine that caches its prefix. Once
+//! the request has waited for some time, a copy is sent to the engine with the
+//! least work, or the request itself is moved there and gives up its place in
+//! the queue; the latter either unconditionally or only if all streams of its
+//! engine have stalled. Copies and moves are limited to a tenth of the traffic.
+//! What a copy computes after the other one has answered is wasted. The table
+//! goes to docs/upstreams.md.
 
 use {
     rand::{Rng, SeedableRng, rngs::SmallRng},
@@ -20,26 +21,33 @@
 const ENGINES: usize = 16;
 const REQUESTS: usize = 60_000;
 const SEEDS: u64 = 5;
+/// Prefill time of a request whose prefix is cached on its engine.
 const HIT_MS: f64 = 30.0;
+/// Prefill time of any other request.
 const MISS_MS: f64 = 400.0;
 
-/// Share of requests whose prefix is cached nowhere.
+/// Share of requests whose prefix is not cached on any engine.
 const NEW_SHARE: f64 = 0.15;
 
 const STALL_MS: f64 = 2_000.0;
+/// Mean time between two stalls of an engine.
 const STALL_EVERY_MS: f64 = 60_000.0;
 
-/// Pause between two looks at whether an engine is silent.
+/// Interval at which a waiting request checks whether its engine is stalled.
 const SILENCE_CHECK_INTERVAL_MS: f64 = 100.0;
 
-/// Copies and moves that one request pays in.
+/// Number of copies and moves that each request adds to the budget.
 const BUDGET_PER_REQUEST: f64 = 0.1;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Strategy {
+    /// Each request stays at its first engine.
     Never,
+    /// A copy is sent after the wait.
     Copy { after_ms: f64 },
+    /// The request is moved after the wait.
     Move { after_ms: f64 },
+    /// The request is moved after the wait if its engine is stalled.
     MoveIfSilent { after_ms: f64 },
 }
 
@@ -54,6 +62,7 @@
 #[derive(Debug, Clone, Default)]
 struct Request {
     at_ms: f64,
+    /// Engine that the request is sent to; it caches the prefix unless `is_new`.
     cached_on: usize,
     is_new: bool,
     first_ms: Option<f64>,
@@ -61,9 +70,11 @@
 
 #[derive(Debug, Clone, Default)]
 struct Engine {
+    /// Requests and the time that each takes.
     queue: VecDeque<(usize, f64)>,
     computing: Option<(usize, f64)>,
     busy_until_ms: f64,
+    /// End of the last stall.
     stall_end_ms: f64,
 }
 
@@ -114,6 +125,7 @@
         self.heap.push(Reverse(((at_ms * 1_000.0) as u64, number)));
     }
 
+    /// Draws an exponentially distributed time.
     fn exponential_ms(&mut self, mean_ms: f64) -> f64 {
         -mean_ms * (1.0 - self.rng.random::<f64>()).ln()
     }
@@ -192,7 +204,8 @@
         self.schedule(at_ms, Event::Done(engine));
     }
 
-    /// An engine that stalls finishes what it computes that much later.
+    /// Stalls an engine, which delays the end of its current prefill by
+    /// `STALL_MS`.
     fn stall(&mut self, engine: usize) {
         let model = &mut self.engines[engine];
         model.busy_until_ms = model.busy_until_ms.max(self.now_ms) + STALL_MS;
@@ -223,14 +236,15 @@
         self.begin(engine);
     }
 
+    /// Copies or moves a request that has waited, within the budget.
     fn hedge(&mut self, id: usize) {
         if self.requests[id].first_ms.is_some() || self.budget < 1.0 {
             return;
         }
         let cached_on = self.requests[id].cached_on;
         if let Strategy::MoveIfSilent { after_ms } = self.strategy {
-            // The streams of an engine stop with it: silence is seen
-            // `after_ms` behind the beginning of a stall, until its end.
+            // The streams of an engine stall with it: the stall is detected
+            // `after_ms` after its start, and until its end.
             let since_ms = self.engines[cached_on].stall_end_ms - STALL_MS;
             let is_silent = self.now_ms - since_ms >= after_ms && self.now_ms < since_ms + STALL_MS;
             if !is_silent {
--- a/crates/standins/examples/policy.rs
+++ b/crates/standins/examples/policy.rs
@@ -1,15 +1,15 @@
-//! Prints the table of policies: the users' five figures for both
-//! deployments, over several seeds, against plain baselines.
+//! Prints a table that compares the router's policies with simple baselines: the
+//! users' five figures for both deployments, over several seeds.
 //!
 //! `cargo run --release -p mangowalk-standins --example policy [SEEDS] [TEXT]`
-//! prints rows whose deployment, pattern or policy holds the text.
+//! prints the rows whose deployment, pattern or policy contains the text.
 
 use {
     mangowalk_standins::{Deployment, Figures, Pattern, PolicyKind, RunSettings, Spread, simulate},
     std::{env, thread},
 };
 
-/// Runs under way at once.
+/// Number of concurrent runs.
 const THREADS: usize = 4;
 
 fn main() {
@@ -57,8 +57,9 @@
     format!("{:.1} ±{:.1}", spread.mean, spread.max_deviation)
 }
 
-/// Returns what teams within their rate get beside those that flood, of what
-/// they get alone: the least of any team.
+/// Returns the tokens that a team within its rate is served while other teams
+/// exceed theirs, in percent of what it is served without them: the lowest of
+/// any team. Returns `None` for patterns without such teams.
 fn share_of_alone(settings: &RunSettings, seeds: u64, runs: &[Figures]) -> Option<Spread> {
     let flood_patterns = [
         Pattern::Overload150Percent,
--- a/crates/standins/examples/standin.rs
+++ b/crates/standins/examples/standin.rs
@@ -1,7 +1,7 @@
 //! Runs one stand-in as a process: `standin platform|service|engine ADDRESS`.
 //!
-//! An engine takes `MODEL VERSION` behind the address. `standin ports COUNT`
-//! prints addresses on loopback that no one listens on.
+//! An engine takes `MODEL VERSION` after the address. `standin ports COUNT`
+//! prints addresses on loopback at which no process listens.
 
 use {
     mangowalk_standins::{
@@ -26,7 +26,7 @@
     }
 }
 
-/// Prints addresses that differ.
+/// Prints the requested number of different free addresses.
 fn ports(args: &[String]) {
     let count: usize = args.get(1).and_then(|a| a.parse().ok()).unwrap_or(1);
     for _ in 0..count {
@@ -44,7 +44,7 @@
     EngineStandIn::start(address, settings)
 }
 
-/// Keeps the stand-in until the process is ended.
+/// Runs the stand-in until the process is killed.
 fn hold<T>(_stand_in: T) {
     loop {
         thread::park();
--- a/crates/standins/src/cache/mod.rs
+++ b/crates/standins/src/cache/mod.rs
@@ -1,4 +1,5 @@
-//! The prefix cache of an engine, shared by the stand-in and the queue model.
+//! The prefix cache of an engine, used by the engine stand-in and the queue
+//! model.
 
 mod prefix;
 
--- a/crates/standins/src/cache/prefix.rs
+++ b/crates/standins/src/cache/prefix.rs
@@ -6,22 +6,29 @@
     },
 };
 
-/// Changes kept for readers of the events.
+/// Number of changes that readers of the cache events can still read.
 const MAX_RETAINED_CHANGES: usize = 65_536;
 
-/// A prefix cache that evicts what was used longest ago, tails before heads.
+/// A prefix cache of blocks with LRU eviction.
+///
+/// Of the blocks that were last used together, those deepest in the chain are
+/// evicted first.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     capacity: usize,
+    /// Incremented by each call of `store`.
     tick: u64,
+    /// Tick of the last use and depth in the chain, by block.
     entries: HashMap<u64, (u64, usize)>,
+    /// Blocks in the order of eviction.
     order: BTreeSet<(u64, Reverse<usize>, u64)>,
     changes: VecDeque<CacheChange>,
+    /// Sequence number of the first of `changes`.
     first_sequence: u64,
 }
 
 impl PrefixCache {
-    /// Returns an empty cache for so many blocks.
+    /// Returns an empty cache that holds up to `capacity` blocks.
     pub(crate) fn new(capacity: usize) -> PrefixCache {
         PrefixCache {
             capacity,
@@ -29,13 +36,15 @@
         }
     }
 
-    /// Returns how many blocks at the chain's head are cached.
+    /// Returns the number of blocks at the start of the chain that are cached,
+    /// up to the first miss.
     pub(crate) fn hits(&self, chain: &[u64]) -> usize {
         let is_cached = |b: &&u64| self.entries.contains_key(b);
         chain.iter().take_while(is_cached).count()
     }
 
-    /// Stores or refreshes every block of the chain.
+    /// Stores every block of the chain or marks it as used, and evicts blocks
+    /// beyond the capacity.
     pub(crate) fn store(&mut self, chain: &[u64]) {
         self.tick += 1;
         for (depth, block) in chain.iter().enumerate() {
@@ -56,14 +65,15 @@
         }
     }
 
-    /// Drops every block, as a change of weights does.
+    /// Drops every block, as an engine does when its weights change.
     pub(crate) fn clear(&mut self) {
         self.entries.clear();
         self.order.clear();
         self.log(CacheChange::Cleared);
     }
 
-    /// Loses the next change: its sequence number is used up.
+    /// Drops the retained changes and skips one sequence number, so that
+    /// readers see a gap.
     pub(crate) fn drop_changes(&mut self) {
         self.first_sequence += self.changes.len() as u64 + 1;
         self.changes.clear();
@@ -77,7 +87,7 @@
         }
     }
 
-    /// Returns the changes from a sequence number on.
+    /// Returns the retained changes whose sequence number is at least `from`.
     pub(crate) fn events(&self, incarnation: u64, from: u64) -> CacheEvents {
         let skip = from.saturating_sub(self.first_sequence) as usize;
         CacheEvents {
--- a/crates/standins/src/engine/attempt.rs
+++ b/crates/standins/src/engine/attempt.rs
@@ -7,12 +7,13 @@
     std::{io::Write, sync::Arc, thread, time::Duration},
 };
 
+/// Tokens in one block of the prefix cache.
 const BLOCK_TOKENS: u64 = (BLOCK_BYTES / TOKEN_BYTES) as u64;
 
-/// Longest answer of a stand-in, whatever `max_tokens` allows.
+/// Upper bound of an answer's length, whatever `max_tokens` allows.
 const MAX_ANSWER_TOKENS: u64 = 200;
 
-/// One attempt that writes its answer.
+/// One attempt at a request, which streams its answer.
 pub(super) struct Attempt<'a> {
     pub(super) shared: &'a Arc<Shared>,
     pub(super) request: &'a GenerateRequest,
@@ -21,6 +22,8 @@
 }
 
 impl Attempt<'_> {
+    /// Streams the rest of the answer as server-sent events, subject to the
+    /// injected faults.
     pub(super) fn write(&self, writer: &mut impl Write) {
         let tokens = u64::from(self.request.max_tokens).min(MAX_ANSWER_TOKENS);
         let first = self.request.generated.len() as u64;
@@ -61,7 +64,8 @@
         let _ = writer.write(b"");
     }
 
-    /// Waits for the time of one token, and tells whether the run goes on.
+    /// Waits for the time of one token and applies faults that are due after
+    /// `written` tokens. Returns whether the attempt continues.
     fn wait_for_token(&self, written: u64) -> bool {
         let (faults, is_running) = {
             let inner = self.shared.lock();
@@ -91,7 +95,8 @@
         self.shared.lock().incarnation == self.incarnation
     }
 
-    /// Says nothing until the attempt is cancelled or the fault is lifted.
+    /// Blocks until the attempt is cancelled, the engine crashes or the fault is
+    /// cleared. Returns whether the attempt continues.
     fn wait_while_stalled(&self) -> bool {
         loop {
             thread::sleep(Duration::from_millis(20));
--- a/crates/standins/src/engine/faults.rs
+++ b/crates/standins/src/engine/faults.rs
@@ -1,36 +1,37 @@
 use serde::{Deserialize, Serialize};
 
-/// How an engine fails.
+/// Faults injected into an engine, all off by default.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Each attempt crashes the engine once it wrote this many tokens.
+    /// Each attempt crashes the engine after it has written this many tokens.
     pub crash_after_tokens: Option<u64>,
-    /// A prompt that holds this text crashes the engine.
+    /// A prompt that contains this text crashes the engine.
     pub crash_on: Option<String>,
-    /// Every attempt stops after this many tokens and says nothing more.
+    /// Every attempt stalls after this many tokens, with its stream open.
     pub freeze_after_tokens: Option<u64>,
-    /// Each token is longer by so many bytes.
+    /// Number of bytes of padding appended to each token.
     pub pad_bytes: usize,
-    /// Every attempt says nothing from now on.
+    /// Every attempt stalls at its next token, with its stream open.
     pub stall: bool,
-    /// Every attempt ends after this many tokens as if it were complete, with
-    /// no final event.
+    /// Every attempt ends its response body after this many tokens without
+    /// the final event.
     pub cut_after_tokens: Option<u64>,
-    /// Every attempt fails with an event before its first token, and states
-    /// whether nothing ran.
+    /// Every attempt sends a failure event in place of tokens; the value is
+    /// the event's `not_run`, which states that nothing ran.
     pub fail_not_run: Option<bool>,
-    /// The token at this position is left out.
+    /// Position of a token that is left out.
     pub skip_token: Option<u64>,
-    /// Every attempt is refused with this status before it runs.
+    /// HTTP status with which every attempt is refused before it runs.
     pub refuse_status: Option<u16>,
-    /// Before each token comes a foreign one, with the same position and the
+    /// Each token is preceded by one of the same position that carries the
     /// number of another attempt.
     pub cross_answers: bool,
-    /// This many cache events are lost out of the next ones.
+    /// Number of further reads of cache events at which events are lost: the
+    /// retained ones are dropped and a sequence number is skipped.
     pub lose_events: u32,
-    /// Time between two tokens is multiplied by this, 0 counts as 1.
+    /// Factor on the time of prefills and tokens; 0 counts as 1.
     pub slow_factor: u64,
-    /// Every load of weights is refused with this reason.
+    /// Reason with which every order to load weights is refused.
     pub refuse_loads: Option<String>,
 }
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -1,9 +1,10 @@
-//! A stand-in of a model engine: batches, a prefix cache with eviction,
-//! weights that load, and crashes.
+//! A stand-in for a model engine: slots, a prefix cache with eviction, loads
+//! of weights, and crashes.
 //!
 //! `POST /generate`, `POST /cancel`, `GET /state`, `GET /load`,
 //! `GET /events?from=SEQUENCE`, `POST /order`; `POST /faults` sets
-//! [`EngineFaults`], `POST /crash` crashes and comes back empty.
+//! [`EngineFaults`], `POST /crash` crashes the engine and
+//! restarts it with an empty cache.
 
 mod answer;
 mod attempt;
--- a/crates/standins/src/engine/settings.rs
+++ b/crates/standins/src/engine/settings.rs
@@ -1,21 +1,21 @@
-/// How an engine behaves.
+/// Behaviour of an engine without faults.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    /// Model served at start.
+    /// Model served after a start.
     pub model: String,
-    /// Weights version served at start.
+    /// Weights version served after a start.
     pub version: String,
-    /// Requests that run at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Blocks that the cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Time to compute one missed block, in microseconds.
+    /// Time to compute one block that is not cached, in microseconds.
     pub miss_us: u64,
-    /// Time between two tokens, in microseconds.
+    /// Time between two tokens of an answer, in microseconds.
     pub token_us: u64,
     /// Time to load weights, in milliseconds.
     pub load_ms: u64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an older fencing number than the last are refused.
     pub checks_fencing: bool,
 }
 
--- a/crates/standins/src/engine/stand_in.rs
+++ b/crates/standins/src/engine/stand_in.rs
@@ -23,7 +23,7 @@
 
 static NEXT_INCARNATION: AtomicU64 = AtomicU64::new(1);
 
-/// An engine on threads of this process.
+/// An engine that runs on threads of this process.
 pub struct EngineStandIn {
     shared: Arc<Shared>,
 }
@@ -33,20 +33,25 @@
     address: Mutex<SocketAddr>,
     server: Mutex<Option<Server>>,
     inner: Mutex<Inner>,
+    /// Notified when a slot is released and after a crash.
     slot_freed: Condvar,
 }
 
 pub(super) struct Inner {
+    /// Changes with each start; 0 while the engine is crashed.
     pub(super) incarnation: u64,
     model: String,
     pub(super) version: String,
     loading: bool,
+    /// Highest fencing number of an order.
     fencing: u64,
     running: u32,
     waiting: u32,
     cache: PrefixCache,
     pub(super) faults: EngineFaults,
+    /// Cancelled requests and the numbers of their attempts.
     pub(super) cancelled: HashSet<(String, u32)>,
+    /// Number of starts by prompt.
     prompts: BTreeMap<String, u64>,
     headers: Vec<(String, String)>,
     orders: Vec<Order>,
@@ -55,7 +60,7 @@
 }
 
 impl EngineStandIn {
-    /// Starts an engine; port 0 lets the system choose.
+    /// Starts an engine at an address; port 0 lets the system choose a port.
     pub fn start(bind: SocketAddr, settings: EngineSettings) -> EngineStandIn {
         let inner = Inner {
             incarnation: new_incarnation(),
@@ -85,64 +90,67 @@
         EngineStandIn { shared }
     }
 
-    /// Returns the address listened on.
+    /// Returns the address at which the engine listens.
     pub fn address(&self) -> SocketAddr {
         *self.shared.address.lock().expect("address")
     }
 
-    /// Sets how the engine fails from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.shared.lock().faults = faults;
     }
 
-    /// Crashes the engine: it stops to listen and cuts every stream.
+    /// Crashes the engine: it stops listening and cuts off every stream.
     pub fn crash(&self) {
         self.shared.crash();
     }
 
-    /// Starts a crashed engine again, empty.
+    /// Restarts a crashed engine at the same address, with its first weights
+    /// and an empty cache.
     pub fn restart(&self) {
         self.shared.clone().restart();
     }
 
-    /// Returns what `GET /state` would answer.
+    /// Returns the response body of `GET /state`.
     pub fn state(&self) -> EngineState {
         self.shared.state()
     }
 
-    /// Returns how often each prompt was started.
+    /// Returns how often each prompt got a slot.
     pub fn prompts(&self) -> BTreeMap<String, u64> {
         self.shared.lock().prompts.clone()
     }
 
-    /// Returns every header that any router sent.
+    /// Returns the headers of every attempt, names in lower case.
     pub fn headers(&self) -> Vec<(String, String)> {
         self.shared.lock().headers.clone()
     }
 
-    /// Returns the orders that were followed.
+    /// Returns the orders that were accepted, in the order of their arrival.
     pub fn orders(&self) -> Vec<Order> {
         self.shared.lock().orders.clone()
     }
 
-    /// Returns how often the engine crashed.
+    /// Returns the number of crashes since the stand-in was created.
     pub fn crashes(&self) -> u64 {
         self.shared.lock().crashes
     }
 
-    /// Returns how many attempts came, those refused included.
+    /// Returns the number of attempts received, including those refused.
     pub fn attempts(&self) -> u64 {
         self.shared.lock().attempts
     }
 
-    /// Returns the answer that the engine gives to a prompt.
+    /// Returns the answer of `tokens` tokens that every engine gives to a
+    /// prompt.
     pub fn answer_to(prompt: &str, tokens: u64) -> String {
         (0..tokens).map(|i| answer::token(prompt, i)).collect()
     }
 }
 
 fn new_incarnation() -> u64 {
-    // Processes of one demo must not draw the same numbers.
+    // Includes the process ID so that engines in different processes of a demo
+    // have different incarnations.
     let process = u64::from(std::process::id()) << 20;
     process + NEXT_INCARNATION.fetch_add(1, Ordering::Relaxed)
 }
@@ -151,7 +159,7 @@
     pub(super) fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner
             .lock()
-            .expect("no handler panics while it holds the state")
+            .expect("no handler panics while it holds the lock")
     }
 
     fn listen(self: Arc<Self>) {
@@ -255,6 +263,7 @@
         exchange.json(200, &reply);
     }
 
+    /// Executes an order; a load of weights goes on in the background.
     fn execute_order(self: Arc<Self>, order: Order) -> OrderReply {
         let mut inner = self.lock();
         if self.settings.checks_fencing && order.fencing < inner.fencing {
@@ -321,8 +330,9 @@
         self.release_slot(incarnation);
     }
 
-    /// Waits for a slot, computes what is missed, and returns the blocks that
-    /// were cached; none if the engine crashed meanwhile.
+    /// Waits for a slot and computes the blocks that are not cached. Returns
+    /// the number of blocks that were cached, `None` if the engine crashed
+    /// meanwhile.
     fn admit(&self, request: &GenerateRequest, incarnation: u64) -> Option<usize> {
         let mut inner = self.lock();
         inner.waiting += 1;
--- a/crates/standins/src/fleet/address.rs
+++ b/crates/standins/src/fleet/address.rs
@@ -8,23 +8,29 @@
     },
 };
 
-/// Lowest port that a test uses.
+/// Lowest port that is given to tests.
 const MIN_PORT: u32 = 10_240;
 
-/// Lowest port of outgoing connections where the system does not say.
+/// Lowest ephemeral port where the system's range can't be read.
 const DEFAULT_EPHEMERAL_PORT: u32 = 32_768;
 
-/// Ports between the first ports of two test processes.
+/// Distance between the first ports of test processes with successive IDs.
 const PROCESS_STRIDE: u32 = 97;
 
+/// Number of ports that this process has tried.
 static USED: AtomicU32 = AtomicU32::new(0);
 
-/// Returns an address on loopback that no one listens on.
+/// Returns an address on loopback at which no process listens.
 ///
-/// The port lies below those that the system gives to outgoing connections.
-/// A port taken from that range and released may be given to a connection of
-/// another test before the router binds it, and after a kill before the router
-/// binds it again; the test would then fail without a fault.
+/// The port lies below the ephemeral range, from which the system takes ports
+/// for outgoing connections. A free port of that range could be given to a
+/// connection of another test before the router binds it, or between a kill of
+/// the router and its restart; the test would then fail without a fault of the
+/// router.
+///
+/// # Panics
+///
+/// Panics if no port below the ephemeral range is free.
 pub fn free_address() -> SocketAddr {
     let ports = min_ephemeral_port().saturating_sub(MIN_PORT).max(1);
     let first = process::id().wrapping_mul(PROCESS_STRIDE);
@@ -36,21 +42,21 @@
             return address;
         }
     }
-    panic!("no free port on loopback; end processes that listen there")
+    panic!("no free port on loopback; stop processes that listen there")
 }
 
-/// Binds an address for a moment, without listening on it.
+/// Binds an address and closes the socket, without listening on it.
 ///
-/// A process that another test starts meanwhile holds a copy of every socket
-/// until it runs its program. Were this one to listen, the address would stay in
-/// use for that time, and the router that is to have it would not start.
+/// A child process that another thread starts meanwhile holds a copy of every
+/// socket until it executes its program. If this socket listened, the address
+/// would stay in use until then and the router could not bind it.
 fn try_bind(address: SocketAddr) -> io::Result<()> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())
 }
 
-/// Returns the lowest port that the system gives to outgoing connections.
+/// Returns the lowest port of the system's ephemeral range.
 fn min_ephemeral_port() -> u32 {
     fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range")
         .ok()
--- a/crates/standins/src/fleet/answer.rs
+++ b/crates/standins/src/fleet/answer.rs
@@ -3,26 +3,26 @@
     std::{io::Read, net::SocketAddr, time::Instant},
 };
 
-/// Longest time that a caller of a test waits, in seconds.
+/// Timeout of a request that a test sends.
 const CALLER_TIMEOUT_S: u64 = 60;
 
-/// What a caller received.
+/// An HTTP response as a caller received it.
 #[derive(Debug, Clone, Default)]
 pub struct Answer {
-    /// HTTP status, 0 if no answer came.
+    /// HTTP status, 0 if no response was received.
     pub status: u16,
     /// Headers, names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Body as text.
+    /// Body as text, as far as it was received.
     pub body: String,
-    /// Time to the first byte of the body, in milliseconds.
+    /// Time to the first byte of the body, in milliseconds; 0 if there is none.
     pub first_byte_ms: u64,
-    /// Whether the body ended as the protocol wants.
+    /// Whether the body was received completely, by the rules of HTTP.
     pub ended: bool,
 }
 
 impl Answer {
-    /// Sends a JSON body and reads the answer.
+    /// Sends a JSON body with POST and reads the response.
     pub fn post(address: SocketAddr, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
         let request = minreq::post(format!("http://{address}{path}"))
             .with_header("Content-Type", "application/json")
@@ -30,7 +30,7 @@
         Answer::send(request, headers)
     }
 
-    /// Reads a path.
+    /// Sends a GET request and reads the response.
     pub fn get(address: SocketAddr, path: &str, headers: &[(&str, &str)]) -> Answer {
         Answer::send(minreq::get(format!("http://{address}{path}")), headers)
     }
@@ -46,7 +46,8 @@
         let Ok(mut response) = request.send_lazy() else {
             return Answer::default();
         };
-        // What `minreq` makes of a connection that closed without an answer.
+        // `minreq` reports a connection that closed without a response with
+        // this reason phrase.
         if response.reason_phrase == "Server did not provide a status line" {
             return Answer::default();
         }
@@ -70,7 +71,7 @@
         answer
     }
 
-    /// Returns a header's value.
+    /// Returns the value of a header; `name` is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -78,12 +79,12 @@
             .map(|(_, v)| v.as_str())
     }
 
-    /// Returns the body as JSON, null if it is none.
+    /// Returns the body as JSON, null if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
 
-    /// Returns the events of a stream, the closing marker left out.
+    /// Returns the events of a stream without the final `[DONE]`.
     pub fn events(&self) -> Vec<Value> {
         self.body
             .lines()
@@ -92,12 +93,12 @@
             .collect()
     }
 
-    /// Returns whether the stream's closing marker came.
+    /// Returns whether the stream contains the final `[DONE]`.
     pub fn is_done(&self) -> bool {
         self.body.contains("data: [DONE]")
     }
 
-    /// Returns the text that a stream brought.
+    /// Returns the concatenated text of a streamed chat completion.
     pub fn streamed_text(&self) -> String {
         self.events()
             .iter()
@@ -109,7 +110,8 @@
             .collect()
     }
 
-    /// Returns the text of an answer that was not streamed.
+    /// Returns the text of a chat completion that was not streamed, empty if
+    /// there is none.
     pub fn text(&self) -> String {
         let body = self.json();
         body["choices"][0]["message"]["content"]
--- a/crates/standins/src/fleet/eventually.rs
+++ b/crates/standins/src/fleet/eventually.rs
@@ -1,14 +1,14 @@
 use std::{thread, time::Duration};
 
-/// Looks before a test gives up.
+/// Checks before a test fails, over at least 30 s.
 const MAX_CHECKS: u32 = 600;
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Looks again and again until the check holds.
+/// Repeats the check every 50 ms until it holds. `what` names the condition.
 ///
 /// # Panics
 ///
-/// Panics with what was waited for if the check never holds.
+/// Panics with `what` if the check has not held after the last repetition.
 pub fn eventually(what: &str, mut check: impl FnMut() -> bool) {
     for _ in 0..MAX_CHECKS {
         if check() {
@@ -16,5 +16,5 @@
         }
         thread::sleep(CHECK_INTERVAL);
     }
-    panic!("this did not come about: {what}");
+    panic!("the condition was not met in time: {what}");
 }
--- a/crates/standins/src/fleet/mod.rs
+++ b/crates/standins/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A small fleet for tests: stand-ins on threads, routers as processes.
+//! A small fleet for tests: stand-ins on threads of the test, routers as
+//! processes.
 
 mod address;
 mod answer;
--- a/crates/standins/src/fleet/raw_caller.rs
+++ b/crates/standins/src/fleet/raw_caller.rs
@@ -4,17 +4,22 @@
     time::Duration,
 };
 
-/// Longest time that a raw caller waits for bytes.
+/// Timeout of one read from the connection.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A caller that writes and reads bytes as it likes.
+/// A TCP client that sends and receives arbitrary bytes, such as malformed or
+/// partial requests.
 pub struct RawCaller {
     stream: TcpStream,
     received: Vec<u8>,
 }
 
 impl RawCaller {
-    /// Connects.
+    /// Connects to a router.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the router does not listen.
     pub fn connect(address: SocketAddr) -> RawCaller {
         let stream = TcpStream::connect(address).expect("a router that listens");
         stream
@@ -26,12 +31,14 @@
         }
     }
 
-    /// Sends bytes. A router that closed the connection is no fault here.
+    /// Sends bytes, and returns whether that succeeded. It fails if the router
+    /// has closed the connection, which a test may expect.
     pub fn send(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).is_ok()
     }
 
-    /// Reads until the text was received, and tells whether it was.
+    /// Reads until the text is received, the connection ends or a read times
+    /// out. Returns whether the text was received.
     pub fn read_until(&mut self, text: &str) -> bool {
         let mut part = [0; 4_096];
         while !self.text().contains(text) {
@@ -43,13 +50,14 @@
         true
     }
 
-    /// Reads until the router closes the connection, or nothing more comes.
+    /// Reads until the router closes the connection or a read times out, and
+    /// returns everything received.
     pub fn read_to_end(&mut self) -> String {
         let _ = self.stream.read_to_end(&mut self.received);
         self.text()
     }
 
-    /// Returns what was received so far.
+    /// Returns everything received so far.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.received).into_owned()
     }
--- a/crates/standins/src/fleet/router.rs
+++ b/crates/standins/src/fleet/router.rs
@@ -14,11 +14,11 @@
     },
 };
 
-/// Looks at a starting router before the test gives up.
+/// Readiness checks before a test fails, over at least 10 s.
 const MAX_READY_CHECKS: u32 = 500;
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A router as a process of its own.
+/// A router that runs as a process of its own. Dropping it kills the process.
 pub struct RouterProcess {
     program: String,
     args: Vec<String>,
@@ -29,7 +29,8 @@
 }
 
 impl RouterProcess {
-    /// Starts a router on free ports, with more arguments behind the usual.
+    /// Starts a router on free ports, with `extra_args` after the default
+    /// arguments.
     pub fn start(program: &str, platform: SocketAddr, extra_args: &[&str]) -> RouterProcess {
         let address = free_address();
         let peer_address = free_address();
@@ -54,17 +55,18 @@
         router
     }
 
-    /// Returns the address towards callers.
+    /// Returns the address at which callers reach the router.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the address towards peers.
+    /// Returns the address at which peers reach the router.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Starts the process again with the same arguments.
+    /// Starts a new process with the same arguments and addresses. Does not end
+    /// one that still runs.
     pub fn restart(&mut self) {
         let mut child = Command::new(&self.program)
             .args(&self.args)
@@ -79,12 +81,16 @@
         self.child = Some(child);
     }
 
-    /// Returns the lines that the process has logged so far.
+    /// Returns the lines that the router has logged so far, over all restarts.
     pub fn log(&self) -> String {
         self.log.lock().expect("the log").clone()
     }
 
-    /// Waits until the router says that it is ready.
+    /// Waits until `/ready` returns 200.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the router does not become ready in time.
     pub fn wait_ready(&self) {
         for _ in 0..MAX_READY_CHECKS {
             if Answer::get(self.address, "/ready", &[]).status == 200 {
@@ -92,7 +98,10 @@
             }
             thread::sleep(READY_CHECK_INTERVAL);
         }
-        panic!("the router at {} did not become ready", self.address);
+        panic!(
+            "the router at {} did not become ready in time; see its log",
+            self.address
+        );
     }
 
     /// Kills the process with SIGKILL.
@@ -108,22 +117,22 @@
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Asks the process to drain, with SIGTERM.
+    /// Sends SIGTERM, on which the router drains and stops.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Waits until the process has ended.
+    /// Waits until the process has ended. Returns `None` if there is none.
     pub fn wait(&mut self) -> Option<ExitStatus> {
         self.child.take().and_then(|mut child| child.wait().ok())
     }
 
-    /// Returns the process number.
+    /// Returns the process ID, `None` if the process was killed or waited for.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
@@ -135,7 +144,8 @@
     }
 }
 
-/// Keeps what the process logs, and shows it with the test's own output.
+/// Appends the process's log lines to `log` and prints them to the test's own
+/// standard error.
 fn collect_log(stderr: ChildStderr, log: &Mutex<String>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         eprintln!("{line}");
--- a/crates/standins/src/fleet/setup.rs
+++ b/crates/standins/src/fleet/setup.rs
@@ -6,14 +6,15 @@
     std::{thread, time::Duration},
 };
 
-/// Part of the burst that a fleet holds before tests begin, as a divisor.
+/// A fleet is ready for a test once a team's remaining tokens are at least its
+/// burst divided by this.
 const BURST_DIVISOR: u64 = 50;
 
-/// Looks at whether a new fleet serves.
+/// Requests that a new fleet is sent before a test fails, 50 ms apart.
 const MAX_SERVED_CHECKS: u32 = 200;
 const SERVED_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a test's fleet is made of.
+/// Size and settings of a test's fleet.
 #[derive(Debug, Clone)]
 pub struct FleetSettings {
     /// Path of the router's program.
@@ -22,13 +23,13 @@
     pub routers: usize,
     /// Number of engines.
     pub engines: usize,
-    /// How each engine behaves.
+    /// Settings of each engine.
     pub engine: EngineSettings,
-    /// Arguments of each router, behind the usual ones.
+    /// Arguments of each router, after the default ones.
     pub router_args: Vec<String>,
-    /// Rate of the team `gallery`.
+    /// Rate of the team `gallery`, in tokens per second.
     pub tokens_per_s: u64,
-    /// Burst of the team `gallery`.
+    /// Burst of the team `gallery`, in tokens.
     pub burst_tokens: u64,
 }
 
@@ -46,23 +47,23 @@
     }
 }
 
-/// Stand-ins and routers of one test. Dropping it ends every process.
+/// Stand-ins and routers of one test. Dropping it kills every router process.
 pub struct Fleet {
-    /// The platform.
+    /// Platform that holds the records of the fleet.
     pub platform: PlatformStandIn,
-    /// Engines, named `engine-0` and on.
+    /// Engines, named `engine-0`, `engine-1` and so on.
     pub engines: Vec<EngineStandIn>,
-    /// The service `orders`, whose calls are not repeatable.
+    /// Service `orders`, whose calls are not repeatable.
     pub service: ServiceStandIn,
-    /// Routers.
+    /// Routers, all in failure domain `a` unless `router_args` says otherwise.
     pub routers: Vec<RouterProcess>,
 }
 
 impl Fleet {
-    /// Key of the team `gallery`.
+    /// API key of the team `gallery`.
     pub const KEY: &str = "mw-test-key-gallery";
 
-    /// Starts everything and waits until each router is ready.
+    /// Starts the stand-ins and routers, and waits until each router is ready.
     pub fn start(settings: &FleetSettings) -> Fleet {
         let platform = PlatformStandIn::start(free_address());
         let engines: Vec<EngineStandIn> = (0..settings.engines)
@@ -86,6 +87,7 @@
         fleet
     }
 
+    /// Writes the records of the team, the model and the upstreams.
     fn write_records(&self, settings: &FleetSettings) {
         let rate = json!({
             "schema": 1,
@@ -120,7 +122,7 @@
         self.platform.put("upstream", "orders-0", service);
     }
 
-    /// Sends a chat request of the team `gallery` to a router.
+    /// Sends a chat request of the team `gallery` to the router with this index.
     pub fn chat(&self, router: usize, prompt: &str, max_tokens: u32, stream: bool) -> Answer {
         let body = json!({
             "model": self.engines.first().map_or_else(String::new, |e| e.state().model),
@@ -137,10 +139,16 @@
         )
     }
 
-    /// Sends requests until one is served and the router holds tokens for
-    /// many more. A new instance takes its slots step by step, so it mints at
-    /// a part of the rate at first, and a test that sends at once would meet
-    /// the rate in place of what it tests.
+    /// Sends requests to the first router until one is served and the team has
+    /// tokens for many more.
+    ///
+    /// A new instance takes over its slots step by step, so it refills the
+    /// team's bucket at a part of the rate at first. A test that sends requests
+    /// immediately would be limited by the rate instead of testing its subject.
+    ///
+    /// # Panics
+    ///
+    /// Panics if this does not happen in time.
     pub fn wait_until_served(&self) {
         for _ in 0..MAX_SERVED_CHECKS {
             let answer = self.chat(0, "warm", 1, false);
@@ -152,10 +160,10 @@
             }
             thread::sleep(SERVED_CHECK_INTERVAL);
         }
-        panic!("the fleet serves nobody");
+        panic!("the first router served no request, or the team's bucket did not fill, in time");
     }
 
-    /// Returns the answer that `chat` must bring.
+    /// Returns the text of the answer that [`Fleet::chat`] must return.
     pub fn expected(prompt: &str, max_tokens: u64) -> String {
         let prompt = format!("<|user|>\n{prompt}\n<|assistant|>\n");
         EngineStandIn::answer_to(&prompt, max_tokens)
--- a/crates/standins/src/http/mod.rs
+++ b/crates/standins/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The little HTTP that every stand-in shares.
+//! The HTTP server that every stand-in uses.
 
 mod server;
 
--- a/crates/standins/src/http/server.rs
+++ b/crates/standins/src/http/server.rs
@@ -11,18 +11,20 @@
     tiny_http::{Header, Request, Response},
 };
 
+/// Attempts to bind a port that is still in use, over about 2 s.
 const MAX_BIND_ATTEMPTS: u32 = 100;
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A server that handles each request on a thread of its own, and that can be
-/// stopped and started again on the same port.
+/// An HTTP server that handles each request on a thread of its own.
+///
+/// Dropping it stops it; another one can then be started on the same port.
 pub(crate) struct Server {
     address: SocketAddr,
     inner: Arc<tiny_http::Server>,
 }
 
 impl Server {
-    /// Starts to listen; port 0 lets the system choose.
+    /// Starts a server at an address; port 0 lets the system choose a port.
     pub(crate) fn start(
         bind: SocketAddr,
         handler: impl Fn(Exchange) + Send + Sync + 'static,
@@ -41,14 +43,20 @@
         Server { address, inner }
     }
 
-    /// Returns the address listened on.
+    /// Returns the address at which the server listens.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// Listens, waiting a while for a server on the same port to go: a crashed
-/// engine that comes back would otherwise meet its own last listener.
+/// Binds a listener, and retries while the port is in use.
+///
+/// The listener of a crashed engine may still be open when the engine restarts
+/// on the same port.
+///
+/// # Panics
+///
+/// Panics if the port is still in use after the last attempt.
 fn bind_with_retries(bind: SocketAddr) -> TcpListener {
     for _ in 0..MAX_BIND_ATTEMPTS {
         if let Ok(listener) = TcpListener::bind(bind) {
@@ -56,7 +64,7 @@
         }
         thread::sleep(BIND_RETRY_INTERVAL);
     }
-    panic!("{bind} stays in use; choose another port")
+    panic!("{bind} is still in use; choose another port")
 }
 
 impl Drop for Server {
@@ -65,9 +73,9 @@
     }
 }
 
-/// One request and its way to answer.
+/// One request and the means to respond to it.
 pub(crate) struct Exchange {
-    /// Method, in capitals.
+    /// Method, in upper case.
     pub(crate) method: String,
     /// Path without the query.
     pub(crate) path: String,
@@ -75,7 +83,7 @@
     pub(crate) query: HashMap<String, String>,
     /// Headers, names in lower case.
     pub(crate) headers: HashMap<String, String>,
-    /// Body.
+    /// Body, up to the first read error.
     pub(crate) body: Vec<u8>,
     request: Request,
 }
@@ -103,7 +111,8 @@
         }
     }
 
-    /// Returns a number of the query, or 0.
+    /// Returns a query parameter as a number, 0 if it is missing or not a
+    /// number.
     pub(crate) fn query_number(&self, name: &str) -> u64 {
         self.query
             .get(name)
@@ -111,7 +120,7 @@
             .unwrap_or(0)
     }
 
-    /// Answers with JSON.
+    /// Sends a JSON response.
     pub(crate) fn json(self, status: u16, body: &impl Serialize) {
         let text = serde_json::to_string(body).expect("serializable");
         let header = Header::from_bytes("Content-Type", "application/json").expect("a header");
@@ -121,13 +130,13 @@
         let _ = self.request.respond(response);
     }
 
-    /// Closes the connection without an answer. The client must have sent
+    /// Closes the connection without a response. The client must have sent
     /// `Connection: close`.
     pub(crate) fn close_without_response(self) {
         drop(self.request.into_writer());
     }
 
-    /// Starts a streamed answer and returns where to write its lines.
+    /// Starts a streamed response and returns the writer of its body.
     pub(crate) fn stream(self) -> impl Write + Send {
         let mut writer = self.request.into_writer();
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\
@@ -138,8 +147,10 @@
     }
 }
 
-/// Writes each call's bytes as one chunk. The end marker is written only by
-/// an empty write, so that a crash can leave the body cut.
+/// Writes the bytes of each call as one chunk of a chunked body.
+///
+/// Only an empty write sends the final chunk, so that a crash leaves the body
+/// incomplete.
 struct ChunkWriter {
     writer: Box<dyn Write + Send>,
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,9 @@
-//! Stand-ins for the platform, engines and services, for tests and the demo.
+//! Stand-ins for the platform, engines and services, for tests and the demo,
+//! and a queue model that compares placement and admission policies.
 //!
-//! Each runs on threads of the calling process and can be made to fail the
-//! way the real one does. None is part of a shipped program.
+//! Each stand-in runs on threads of the calling process. Faults can be
+//! injected that the real platform, engine or service may show. None of them
+//! is part of a shipped program.
 
 mod cache;
 mod engine;
--- a/crates/standins/src/platform/faults.rs
+++ b/crates/standins/src/platform/faults.rs
@@ -1,28 +1,29 @@
 use serde::{Deserialize, Serialize};
 
-/// How the platform fails.
+/// Faults injected into the platform, all off by default.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlatformFaults {
-    /// Every call is cut off before it takes effect.
+    /// Closes the connection of every call before the call takes effect.
     pub down: bool,
-    /// Each call waits this long first.
+    /// Delay before each call is handled, in milliseconds.
     pub delay_ms: u64,
-    /// Replies to this many writes are lost after they took effect.
+    /// Number of further writes that take effect but whose response is dropped.
     pub lose_replies: u32,
-    /// Only replies to writes of this kind are lost; of every kind if none is
-    /// given.
+    /// Kind of objects to which `lose_replies` is limited; `None` means every
+    /// kind.
     pub lose_replies_of: Option<String>,
-    /// Reads of single objects get no answer.
+    /// Drops the responses to reads of single objects.
     pub lose_reads: bool,
-    /// Lists and watches show the state of this many revisions ago.
+    /// Number of revisions by which lists and watches lag behind.
     pub lag_revisions: u64,
-    /// Watches stay silent.
+    /// Watches return no changes.
     pub mute_watches: bool,
 }
 
 impl PlatformFaults {
-    /// Returns whether the reply to a write of a kind is lost, and counts it.
+    /// Returns whether to drop the response to a write of this kind, and
+    /// decrements `lose_replies` if so.
     pub(super) fn loses_reply(&mut self, kind: &str) -> bool {
         let is_other_kind = self.lose_replies_of.as_ref().is_some_and(|k| k != kind);
         if is_other_kind || self.lose_replies == 0 {
--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,9 +1,10 @@
-//! A stand-in of the platform's object API.
+//! A stand-in for the platform's object API.
 //!
 //! `GET|PUT|DELETE /objects/KIND/NAME` (`?absent=1` or `?version=N` for the
 //! condition), `GET /list?kinds=A,B`, `GET /watch?kinds=A,B&after=REVISION&wait_ms=N`.
-//! A write answers `{"version": N}`; a condition that does not hold answers
-//! 409 with the version held. `POST /faults` sets [`PlatformFaults`].
+//! A write returns `{"version": N}`; if its condition does not hold, it
+//! returns 409 with the current version. `POST /faults` sets
+//! [`PlatformFaults`], and `/calls` returns the number of calls by operation.
 
 mod faults;
 mod stand_in;
--- a/crates/standins/src/platform/stand_in.rs
+++ b/crates/standins/src/platform/stand_in.rs
@@ -12,10 +12,10 @@
     },
 };
 
-/// Longest time that a watch waits, in milliseconds.
+/// Upper bound of a watch's `wait_ms`.
 const MAX_WAIT_MS: u64 = 30_000;
 
-/// A platform on threads of this process.
+/// A platform that runs on threads of this process.
 pub struct PlatformStandIn {
     server: Server,
     silent_servers: Mutex<Vec<Server>>,
@@ -25,6 +25,7 @@
 #[derive(Default)]
 struct Shared {
     inner: Mutex<Inner>,
+    /// Notified after each write and each change of the faults.
     written: Condvar,
 }
 
@@ -36,7 +37,7 @@
 }
 
 impl PlatformStandIn {
-    /// Starts the platform; port 0 lets the system choose.
+    /// Starts the platform at an address; port 0 lets the system choose a port.
     pub fn start(bind: SocketAddr) -> PlatformStandIn {
         let shared = Arc::new(Shared::default());
         let handler = shared.clone();
@@ -48,8 +49,8 @@
         }
     }
 
-    /// Returns a further address of the platform, at which watches stay
-    /// silent for ever.
+    /// Starts a further listener of the platform whose watches never return a
+    /// change, and returns its address.
     pub fn silent_address(&self) -> SocketAddr {
         let handler = self.shared.clone();
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
@@ -66,18 +67,19 @@
         address
     }
 
-    /// Returns the address listened on.
+    /// Returns the address at which the platform listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets how the platform fails from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.shared.lock().faults = faults;
         self.shared.written.notify_all();
     }
 
-    /// Writes an object as an operator would, and returns its version.
+    /// Writes an object unconditionally, as an operator would, and returns its
+    /// new version.
     pub fn put(&self, kind: &str, name: &str, body: Value) -> u64 {
         let key = ObjectKey::new(kind, name);
         let version = self
@@ -89,28 +91,28 @@
         version.unwrap_or_default()
     }
 
-    /// Deletes an object as an operator would.
+    /// Deletes an object unconditionally, as an operator would.
     pub fn delete(&self, kind: &str, name: &str) {
         let key = ObjectKey::new(kind, name);
         let _ = self.shared.lock().state.write(&key, Expect::Any, None);
         self.shared.written.notify_all();
     }
 
-    /// Reads an object.
+    /// Returns an object, `None` if it does not exist. Faults don't apply.
     pub fn get(&self, kind: &str, name: &str) -> Option<Object> {
         let key = ObjectKey::new(kind, name);
         self.shared.lock().state.get(&key).cloned()
     }
 
-    /// Reads every object of a kind.
+    /// Returns every object of a kind. Faults don't apply.
     pub fn list(&self, kind: &str) -> Vec<Object> {
         let inner = self.shared.lock();
         let revision = inner.state.revision();
         inner.state.list(&[kind], revision).objects
     }
 
-    /// Returns the number of calls by operation: `get`, `put`, `delete`,
-    /// `list`, `watch`.
+    /// Returns the number of calls over HTTP by operation: `get`, `put`,
+    /// `delete`, `list`, `watch`.
     pub fn calls(&self) -> BTreeMap<String, u64> {
         self.shared.lock().calls.clone()
     }
@@ -120,7 +122,7 @@
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner
             .lock()
-            .expect("no handler panics while it holds the state")
+            .expect("no handler panics while it holds the lock")
     }
 
     fn handle(&self, exchange: Exchange) {
@@ -251,7 +253,7 @@
 }
 
 impl Inner {
-    /// Returns the revision that lists and watches show.
+    /// Returns the latest revision that lists and watches return.
     fn visible_revision(&self) -> u64 {
         self.state
             .revision()
--- a/crates/standins/src/platform/state.rs
+++ b/crates/standins/src/platform/state.rs
@@ -4,10 +4,11 @@
     std::collections::BTreeMap,
 };
 
-/// The objects and the log of writes.
+/// The stored objects and the log of all writes.
 #[derive(Debug, Default)]
 pub(super) struct State {
     objects: BTreeMap<ObjectKey, Object>,
+    /// Version of the deletion of each deleted object.
     tombstones: BTreeMap<ObjectKey, u64>,
     log: Vec<Change>,
     revision: u64,
@@ -22,7 +23,13 @@
         self.objects.get(key)
     }
 
-    /// Writes or deletes, and returns the version held on a conflict.
+    /// Writes an object, or deletes it if `body` is `None`, and returns the new
+    /// version.
+    ///
+    /// # Errors
+    ///
+    /// Returns the current version, 0 if the object does not exist, if
+    /// `expect` does not match it.
     pub(super) fn write(
         &mut self,
         key: &ObjectKey,
@@ -68,7 +75,7 @@
         }
     }
 
-    /// Lists what was there at a revision.
+    /// Returns the objects of some kinds as they were at a revision.
     pub(super) fn list(&self, kinds: &[&str], revision: u64) -> ListReply {
         let mut objects = BTreeMap::new();
         for change in &self.log {
@@ -89,7 +96,8 @@
         ListReply { revision, objects }
     }
 
-    /// Returns the changes after one revision and up to another.
+    /// Returns the changes to objects of some kinds with versions above
+    /// `after` and at most `up_to`.
     pub(super) fn changes(&self, kinds: &[&str], after: u64, up_to: u64) -> WatchReply {
         let changes = self
             .log
--- a/crates/standins/src/queue/baseline.rs
+++ b/crates/standins/src/queue/baseline.rs
@@ -9,12 +9,15 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// One engine as a baseline sees it.
+/// An engine's load as known to a baseline policy.
 #[derive(Debug, Clone, Default)]
 struct EngineView {
     is_up: bool,
+    /// Running and waiting requests by the last report.
     reported: u32,
+    /// Requests sent minus requests ended since the last report.
     since_report: i32,
+    /// Open requests of this instance.
     open_requests: u32,
 }
 
@@ -26,11 +29,13 @@
     }
 }
 
-/// One instance with a plain policy.
+/// One instance with a baseline policy.
 pub(super) struct Baseline {
     kind: PolicyKind,
     engines: Vec<EngineView>,
     instances: u32,
+    /// Incremented per request; where round robin and ties between equally loaded
+    /// engines start.
     next_engine: usize,
     queues: Vec<VecDeque<(u64, usize)>>,
     team_running: [u32; TEAM_SHARES.len()],
@@ -68,6 +73,7 @@
         }
     }
 
+    /// Returns the engine with the least load, preferring engines that are up.
     fn least_loaded(&self) -> usize {
         let first = self.next_engine;
         let count = self.engines.len();
@@ -77,6 +83,8 @@
             .unwrap_or_default()
     }
 
+    /// Returns the engine given by the hash of the shared prefix, or the next one
+    /// that is up.
     fn engine_by_hash(&self, request: &Request) -> usize {
         let key = request.chain[request.shared_blocks - 1];
         let count = self.engines.len();
@@ -100,6 +108,7 @@
         matches!(self.kind, PolicyKind::Fifo | PolicyKind::StaticShares)
     }
 
+    /// Returns whether a team may use one more slot.
     fn has_share(&self, team: usize) -> bool {
         if self.kind == PolicyKind::Fifo {
             return true;
@@ -108,7 +117,8 @@
         f64::from(self.team_running[team]) < (slots * TEAM_SHARES[team]).max(1.0)
     }
 
-    /// Sends what has room: in the order of arrival, or within team shares.
+    /// Sends queued requests while an engine has a free slot: in the order of
+    /// arrival, of teams within their shares only.
     fn drain(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         loop {
--- a/crates/standins/src/queue/deployment.rs
+++ b/crates/standins/src/queue/deployment.rs
@@ -1,32 +1,33 @@
 use mangowalk_core::admission::AdmissionProfile;
 
-/// One of the users' deployments, at the sizes of today.
+/// Size and traffic of one of the users' deployments.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
-    /// Name for the table.
+    /// Name in the printed table.
     pub name: &'static str,
-    /// Engines that serve the assistant.
+    /// Number of engines that serve the assistant model.
     pub engines: usize,
-    /// Entry instances.
+    /// Number of router instances.
     pub instances: usize,
-    /// Failure domains.
+    /// Number of failure domains, over which engines and instances are spread.
     pub failure_domains: usize,
-    /// Distance between two failure domains, there and back.
+    /// Round-trip time between two failure domains, in microseconds.
     pub cross_domain_rtt_us: u64,
-    /// What counts most.
+    /// Objective that the router's admission favours.
     pub favour: AdmissionProfile,
-    /// Blocks of the level that a whole team shares.
+    /// Blocks of the outer prefix, which all requests of a team share.
     pub outer_blocks: usize,
-    /// Blocks of the level below: a course, or a customer's history.
+    /// Blocks of an inner prefix, such as a course or a customer's history.
     pub inner_blocks: usize,
     /// Number of inner prefixes of each team.
     pub inner_count: usize,
-    /// Blocks of what is new in each request.
+    /// Blocks that are unique to each request.
     pub own_blocks: usize,
 }
 
 impl Deployment {
-    /// Calloway & Daughters: shop notes, customer history, question.
+    /// Calloway & Daughters. Prompts consist of shop notes, customer history and
+    /// question.
     pub fn calloway() -> Deployment {
         Deployment {
             name: "Calloway",
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Atlas Jamal Formation: handbook, course, applicant.
+    /// Atlas Jamal Formation. Prompts consist of handbook, course and applicant.
     pub fn atlas_jamal() -> Deployment {
         Deployment {
             name: "Atlas Jamal",
@@ -59,37 +60,38 @@
     }
 }
 
-/// Share of the capacity that each of the five teams may use: a few large.
+/// Share of the capacity that each of the five teams may use.
 pub(super) const TEAM_SHARES: [f64; 5] = [0.40, 0.30, 0.15, 0.10, 0.05];
 
-/// Slots of an engine.
+/// Number of slots of an engine.
 pub(super) const SLOTS: u32 = 16;
 
-/// Time to compute a missed block of 64 tokens: 32,000 tokens a second.
+/// Time to compute a block of 64 tokens that is not cached: 32,000 tokens per
+/// second.
 pub(super) const MISS_US: u64 = 2_000;
 
-/// Time to import a block of a kept piece.
+/// Time to import a block from the KV cache store.
 pub(super) const IMPORT_US: u64 = 400;
 
-/// Time of a block that is found.
+/// Prefill time of a block that is cached.
 pub(super) const HIT_US: u64 = 10;
 
 /// Time between two tokens of an answer.
 pub(super) const TOKEN_US: u64 = 12_000;
 
-/// Mean tokens of an answer.
+/// Mean length of an answer, in tokens.
 pub(super) const MEAN_ANSWER_TOKENS: u64 = 100;
 
-/// Blocks that an engine's cache holds. At the load of the steady pattern it
-/// turns over within seconds.
+/// Capacity of an engine's prefix cache, in blocks. Under the steady pattern its
+/// content is replaced within seconds.
 pub(super) const CACHE_BLOCKS: usize = 1_600;
 
-/// Time that a caller waits for the first token.
+/// Time after which a caller without a first token disconnects.
 pub(super) const FIRST_TOKEN_TIMEOUT_US: u64 = 10_000_000;
 
 impl Deployment {
-    /// Returns the requests a second that all slots can take if every prefix
-    /// but each request's own blocks is found.
+    /// Returns the requests per second that all slots can serve if only the own
+    /// blocks of each request have to be computed.
     pub(super) fn capacity_per_s(&self) -> f64 {
         let prefill_us = self.own_blocks as u64 * MISS_US;
         let service_us = MEAN_ANSWER_TOKENS * TOKEN_US + prefill_us;
--- a/crates/standins/src/queue/engine.rs
+++ b/crates/standins/src/queue/engine.rs
@@ -5,16 +5,17 @@
     std::{collections::VecDeque, sync::Arc},
 };
 
-/// A request on an engine.
+/// A request at an engine.
 #[derive(Debug, Clone)]
 pub(super) struct Task {
     pub(super) id: u64,
     pub(super) chain: Arc<[u64]>,
     pub(super) answer_tokens: u64,
+    /// Blocks that the engine may import from the KV cache store.
     pub(super) import_blocks: usize,
 }
 
-/// A prefill that began.
+/// A prefill that has started.
 #[derive(Debug, Clone)]
 pub(super) struct Prefill {
     pub(super) task: Task,
@@ -22,7 +23,8 @@
     pub(super) takes_us: u64,
 }
 
-/// One engine: slots of a continuous batch, and one prefill at a time.
+/// One engine with the slots of a continuous batch that computes one prefill at a
+/// time.
 #[derive(Debug)]
 pub(super) struct EngineModel {
     pub(super) incarnation: u64,
@@ -30,9 +32,13 @@
     pub(super) slow_factor: u64,
     pub(super) cache: PrefixCache,
     running: u32,
+    /// Tasks without a slot.
     waiting: VecDeque<Task>,
+    /// Tasks with a slot whose prefill has not started.
     prefills: VecDeque<Task>,
+    /// Whether a prefill is running.
     computing: bool,
+    /// Load that readers of the state see.
     published: LoadReport,
 }
 
@@ -55,13 +61,14 @@
         }
     }
 
-    /// Takes a task, and begins its prefill if nothing is in the way.
+    /// Queues a task. Returns the prefill that starts, if any.
     pub(super) fn enqueue(&mut self, task: Task) -> Option<Prefill> {
         self.waiting.push_back(task);
         self.advance()
     }
 
-    /// Moves waiting tasks into free slots, and begins a prefill.
+    /// Moves waiting tasks into free slots and starts a prefill unless one is
+    /// running.
     fn advance(&mut self) -> Option<Prefill> {
         while self.running < SLOTS {
             let Some(task) = self.waiting.pop_front() else {
@@ -88,7 +95,8 @@
         })
     }
 
-    /// Ends a prefill. Returns the next one, and the time of the answer.
+    /// Ends a prefill. Returns the next one and the time that the answer takes,
+    /// in microseconds.
     pub(super) fn prefilled(&mut self, task: &Task) -> (Option<Prefill>, u64) {
         self.cache.store(&task.chain);
         self.computing = false;
@@ -96,20 +104,20 @@
         (self.advance(), answer_us)
     }
 
-    /// Frees a slot.
+    /// Frees a slot. Returns the prefill that starts, if any.
     pub(super) fn ended(&mut self) -> Option<Prefill> {
         self.running -= 1;
         self.advance()
     }
 
-    /// Drops a task that still waits. Returns whether it did.
+    /// Removes a task that has no slot yet. Returns whether there was one.
     pub(super) fn remove_waiting(&mut self, id: u64) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|t| t.id != id);
         before > self.waiting.len()
     }
 
-    /// Publishes the load; readers see it until the next time.
+    /// Publishes the load, which readers see until the next call.
     pub(super) fn publish(&mut self) {
         self.published = LoadReport {
             running: self.running - self.prefills.len() as u32,
@@ -118,6 +126,7 @@
         };
     }
 
+    /// Returns the state as a report shows it, `None` while the engine is down.
     pub(super) fn state(&self) -> Option<EngineState> {
         self.is_up.then(|| EngineState {
             incarnation: self.incarnation,
@@ -129,5 +138,7 @@
     }
 }
 
+/// Model that every engine of the queue model serves.
 pub(super) const MODEL: &str = "assistant";
+/// Weights version of [`MODEL`].
 pub(super) const VERSION: &str = "v1";
--- a/crates/standins/src/queue/engine_events.rs
+++ b/crates/standins/src/queue/engine_events.rs
@@ -3,11 +3,12 @@
     run::{Event, PART_BLOCKS, Run},
 };
 
-/// Time within which a block that is computed again counts as wasted.
+/// A block that was computed less than this time ago counts as recomputed.
 const RECOMPUTATION_WINDOW_US: u64 = 30_000_000;
 
-/// What engines do with requests.
+/// Progress of requests at engines.
 impl Run {
+    /// Queues a request at the engine that it has reached.
     pub(super) fn reach_engine(&mut self, engine: usize, task: Task) {
         if !self.engines[engine].is_up {
             return self.reroute(task.id, engine);
@@ -16,6 +17,7 @@
         self.begin_prefill(engine, prefill);
     }
 
+    /// Records hits and recomputed blocks of a prefill and schedules its end.
     pub(super) fn begin_prefill(&mut self, engine: usize, prefill: Option<Prefill>) {
         let Some(prefill) = prefill else { return };
         let chain = &prefill.task.chain;
@@ -40,6 +42,9 @@
         self.schedule(self.now_us + prefill.takes_us, event);
     }
 
+    /// Ends a prefill: records the first token and schedules the end of the
+    /// answer. A part whose last block had been computed before goes to the KV
+    /// cache store.
     pub(super) fn prefilled(&mut self, engine: usize, incarnation: u64, task: &Task) {
         if self.engines[engine].incarnation != incarnation {
             return;
@@ -71,6 +76,7 @@
         self.instances[instance].first_token(task.id, now_ms);
     }
 
+    /// Ends an answer and frees its slot.
     pub(super) fn ended(&mut self, engine: usize, incarnation: u64, id: u64) {
         if self.engines[engine].incarnation != incarnation {
             return;
@@ -85,6 +91,8 @@
         self.release(id, engine, Some(cached));
     }
 
+    /// Tells the instance that a request has ended at an engine; `cached_blocks`
+    /// is `None` if it did not complete.
     pub(super) fn release(&mut self, id: u64, engine: usize, cached_blocks: Option<usize>) {
         self.request_states[id as usize].assigned_to = None;
         let instance = self.requests[id as usize].instance;
--- a/crates/standins/src/queue/faults.rs
+++ b/crates/standins/src/queue/faults.rs
@@ -7,8 +7,10 @@
     rand::Rng,
 };
 
-/// What fails, and callers who leave.
+/// Crashes, restarts and timeouts of callers.
 impl Run {
+    /// Removes a request without a first token from its queue. One that is being
+    /// computed goes on.
     pub(super) fn time_out(&mut self, id: u64) {
         let request_state = self.request_states[id as usize].clone();
         if request_state.is_finished || self.outcomes[id as usize].first_token_us.is_some() {
@@ -25,6 +27,7 @@
         }
     }
 
+    /// Sends a request whose engine crashed to another engine.
     pub(super) fn reroute(&mut self, id: u64, failed_engine: usize) {
         self.release(id, failed_engine, None);
         let request = self.requests[id as usize].clone();
@@ -33,6 +36,7 @@
         self.act(actions);
     }
 
+    /// Replaces an engine by an empty one that is down, and reroutes its requests.
     pub(super) fn crash(&mut self, engine: usize) {
         let incarnation = self.engines[engine].incarnation;
         self.engines[engine] = EngineModel::new(incarnation + 1_000);
@@ -47,8 +51,8 @@
         }
     }
 
-    /// Replaces an instance. Callers whose first token had not come send
-    /// their request again within a second.
+    /// Replaces an instance by a new one without state. Callers that had not
+    /// received a first token retry within 1 s.
     pub(super) fn restart(&mut self, instance: usize) {
         let seed = self.rng.random();
         self.instances[instance] = new_policy(&self.settings, instance, seed);
--- a/crates/standins/src/queue/figures.rs
+++ b/crates/standins/src/queue/figures.rs
@@ -1,38 +1,43 @@
 use super::deployment::{FIRST_TOKEN_TIMEOUT_US, TEAM_SHARES};
 
-/// What became of one request.
+/// Result of one request.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Outcome {
     pub(super) team: usize,
     pub(super) tokens: u64,
     pub(super) in_rate: bool,
+    /// Whether the request arrived after the warm-up.
     pub(super) measured: bool,
     pub(super) blocks: usize,
     pub(super) hit_blocks: usize,
     pub(super) recomputed_blocks: usize,
-    /// Time to first token; none if it was refused or its caller left.
+    /// Time to first token, `None` if the request was refused or its caller
+    /// disconnected.
     pub(super) first_token_us: Option<u64>,
     pub(super) refused: bool,
 }
 
-/// The users' five figures of one run.
+/// The users' five figures and the served tokens of one run, over requests after
+/// the warm-up.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Figures {
-    /// Blocks found, in percent of all prompt blocks that ran.
+    /// Cached blocks, in percent of the prompt blocks of all requests that were
+    /// served.
     pub hit_percent: f64,
-    /// 99th percentile of the time to first token. A caller who left counts
-    /// with the time that it waited; a refused one does not count.
+    /// 99th percentile of the time to first token, in milliseconds. A caller that
+    /// disconnected counts with the time that it waited; a refused request does
+    /// not count.
     pub p99_ms: f64,
-    /// Blocks computed although computed before within half a minute, in
-    /// percent of all prompt blocks that ran.
+    /// Blocks computed although they had been computed in the 30 s before, in
+    /// percent of the prompt blocks of all requests that were served.
     pub recomputed_percent: f64,
-    /// Tokens served of tokens asked for within the rate, in percent, of the
-    /// team with the least.
+    /// Tokens served in percent of tokens requested within the rate, of the team
+    /// with the lowest value.
     pub worst_team_percent: f64,
-    /// Requests within their team's rate that were refused or given up, in
-    /// percent of those within the rate.
+    /// Requests that were refused or whose caller disconnected, in percent of all
+    /// requests within their team's rate.
     pub refused_percent: f64,
-    /// Tokens served of each team.
+    /// Tokens served within the rate, by team.
     pub served_tokens: [u64; TEAM_SHARES.len()],
 }
 
@@ -96,17 +101,17 @@
         .fold(100.0, f64::min)
 }
 
-/// Mean of a figure over several seeds, and the widest difference from it.
+/// Mean of a figure over several seeds and the largest deviation from it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Spread {
-    /// Mean.
+    /// Mean over all values, 0 if there are none.
     pub mean: f64,
-    /// Widest difference from the mean.
+    /// Largest absolute deviation from the mean.
     pub max_deviation: f64,
 }
 
 impl Spread {
-    /// Returns the spread of values.
+    /// Returns the mean and the largest deviation of the values.
     pub fn of(values: impl Iterator<Item = f64> + Clone) -> Spread {
         let count = values.clone().count().max(1);
         let mean = values.clone().sum::<f64>() / count as f64;
--- a/crates/standins/src/queue/mangowalk.rs
+++ b/crates/standins/src/queue/mangowalk.rs
@@ -14,10 +14,12 @@
     std::collections::{HashMap, HashSet},
 };
 
-/// One instance of the router: its decisions as they run in production.
+/// One instance that decides with the router's own dispatcher and placement.
 pub(super) struct Mangowalk {
     dispatcher: Dispatcher,
+    /// Placement of each request that was sent.
     choices: HashMap<u64, Choice>,
+    /// Requests in the queue.
     waiting: HashSet<u64>,
 }
 
@@ -69,8 +71,9 @@
         }
     }
 
+    /// Turns decisions of the dispatcher into actions of the model.
     fn act(&mut self, decisions: Vec<Decision>) -> Vec<Action> {
-        decisions.into_iter().map(|v| self.action(v)).collect()
+        decisions.into_iter().map(|d| self.action(d)).collect()
     }
 
     fn action(&mut self, decision: Decision) -> Action {
--- a/crates/standins/src/queue/mod.rs
+++ b/crates/standins/src/queue/mod.rs
@@ -1,9 +1,10 @@
-//! A queue model of each upstream, driven in simulated time by the router's
-//! own decisions and by plain baselines.
+//! A queue model of the engines, which compares the router's own decisions
+//! with simple baseline policies in simulated time.
 //!
-//! It models what the decisions weigh and nothing more: slots of a continuous
-//! batch, one prefill at a time, a prefix cache that evicts, reports and cache
-//! events that lag. Figures for real engines need a measurement of these.
+//! It models only what the decisions depend on: slots of a continuous batch,
+//! one prefill at a time, a prefix cache with eviction, and reports and cache
+//! events that lag. Figures that hold for real engines require measurements on
+//! them.
 
 mod baseline;
 mod deployment;
--- a/crates/standins/src/queue/policy.rs
+++ b/crates/standins/src/queue/policy.rs
@@ -4,7 +4,7 @@
     mangowalk_core::engine::{CacheEvents, EngineState},
 };
 
-/// The policies that are compared.
+/// Policies that the model compares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum PolicyKind {
     /// The router's own decisions.
@@ -13,19 +13,21 @@
     /// The router's own decisions without cache events, as in a large fleet.
     #[display("mangowalk, no events")]
     NoEvents,
-    /// The router's own decisions with the store of kept pieces.
+    /// The router's own decisions with import from the KV cache store.
     #[display("mangowalk, import")]
     Import,
-    /// One engine after the other.
+    /// Engines in turn.
     #[display("round robin")]
     RoundRobin,
-    /// The engine with the least load, by lagging reports and own requests.
+    /// The engine with the least load, by lagging reports and the instance's own
+    /// requests.
     #[display("least loaded")]
     LeastLoaded,
-    /// A hash of the two shared levels, which it is told.
+    /// The engine given by a hash of the shared prefix, whose length the policy
+    /// knows from the workload.
     #[display("prefix hash")]
     PrefixHash,
-    /// One queue for all teams, in the order of arrival.
+    /// One queue for all teams in the order of arrival.
     #[display("one FIFO queue")]
     Fifo,
     /// A fixed share of all slots for each team.
@@ -34,7 +36,7 @@
 }
 
 impl PolicyKind {
-    /// Every policy, in the order of the table.
+    /// Every policy, in the order of the printed table.
     pub const ALL: [PolicyKind; 8] = [
         PolicyKind::Mangowalk,
         PolicyKind::NoEvents,
@@ -47,26 +49,34 @@
     ];
 }
 
-/// What an instance does with a request.
+/// What an instance does with a request that it received.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Action {
-    /// Sends it to an engine.
+    /// Sends the request to an engine, which imports `import_blocks` blocks from
+    /// the KV cache store.
     Send {
         id: u64,
         engine: usize,
         import_blocks: usize,
     },
-    /// Refuses it.
+    /// Refuses the request.
     Refuse { id: u64 },
 }
 
-/// How one instance decides.
+/// Decisions of one instance. Methods that return actions may also return those
+/// of requests that were queued.
 pub(super) trait Policy {
+    /// Takes a new request, of which the KV cache store holds
+    /// `cache_store_blocks` blocks.
     fn arrive(&mut self, request: &Request, cache_store_blocks: usize, now_ms: u64) -> Vec<Action>;
-    /// Places a request whose engine died.
+    /// Sends a request whose engine crashed to another engine.
     fn reroute(&mut self, request: &Request, failed_engine: usize, now_ms: u64) -> Vec<Action>;
+    /// Takes the report of an engine, `None` if it did not respond.
     fn report(&mut self, engine: usize, state: Option<&EngineState>, now_ms: u64) -> Vec<Action>;
+    /// Records that a request's first token has arrived.
     fn first_token(&mut self, id: u64, now_ms: u64);
+    /// Records that a request has ended at an engine; `cached_blocks` is `None`
+    /// if it did not complete.
     fn ended(
         &mut self,
         id: u64,
@@ -74,11 +84,16 @@
         cached_blocks: Option<usize>,
         now_ms: u64,
     ) -> Vec<Action>;
-    /// Takes out a request whose caller has gone. Returns whether it waited.
+    /// Removes a request whose caller has disconnected from the queue. Returns
+    /// whether it was queued.
     fn cancel(&mut self, id: u64) -> bool;
+    /// Sends or refuses queued requests.
     fn tick(&mut self, now_ms: u64) -> Vec<Action>;
+    /// Returns the sequence number from which to read an engine's cache events,
+    /// `None` if the policy does not read them.
     fn events_from(&self, _engine: usize) -> Option<u64> {
         None
     }
+    /// Takes the cache events read from an engine.
     fn cache_events(&mut self, _engine: usize, _events: &CacheEvents) {}
 }
--- a/crates/standins/src/queue/polling.rs
+++ b/crates/standins/src/queue/polling.rs
@@ -1,16 +1,18 @@
 use super::run::{Event, Run};
 
-/// Engines whose state, or whose events, an instance reads in one round; as
-/// in the running router.
+/// Number of engines whose state, or whose cache events, an instance reads in
+/// one round, as in the router.
 pub(super) const ENGINES_PER_ROUND: usize = 8;
 
-/// Time between two rounds of reports.
+/// Time between two rounds of reading states.
 pub(super) const REPORT_INTERVAL_US: u64 = 250_000;
 
+/// Time between two rounds of reading cache events.
 const EVENTS_INTERVAL_US: u64 = 200_000;
 
-/// What instances read of engines.
+/// Reads of engine states and cache events by instances.
 impl Run {
+    /// Schedules the first reads of an instance.
     pub(super) fn schedule_reads(&mut self, instance: usize, from_us: u64) {
         for engine in 0..self.settings.deployment.engines {
             let round = (engine / ENGINES_PER_ROUND) as u64;
@@ -21,6 +23,7 @@
         }
     }
 
+    /// Reads the state of an engine and schedules the next read.
     pub(super) fn report(&mut self, instance: usize, engine: usize) {
         let state = self.engines[engine].state();
         let now_ms = self.now_ms();
@@ -31,6 +34,8 @@
         self.schedule(at_us, Event::Report { instance, engine });
     }
 
+    /// Reads the cache events of an engine and schedules the next read. Stops if
+    /// the policy does not read them.
     pub(super) fn read_events(&mut self, instance: usize, engine: usize) {
         let Some(from) = self.instances[instance].events_from(engine) else {
             return;
--- a/crates/standins/src/queue/run.rs
+++ b/crates/standins/src/queue/run.rs
@@ -18,37 +18,39 @@
     },
 };
 
-/// Time between two publications of an engine's load.
+/// Interval at which engines publish their load.
 const PUBLISH_US: u64 = 250_000;
 
-/// Time between two looks at the queue.
+/// Interval at which an instance checks its queue.
 const TICK_US: u64 = 50_000;
 
-/// Blocks in a kept piece: 4,096 tokens.
+/// Blocks in a part of the KV cache store: 4,096 tokens.
 pub(super) const PART_BLOCKS: usize = 64;
 
-/// When faults set in, and when a slow engine recovers.
+/// Time at which faults start.
 const FAULT_START_US: u64 = 16_000_000;
+/// Time at which a slow engine recovers.
 const FAULT_END_US: u64 = 31_000_000;
+/// Time between the crash and the restart of an engine.
 const DOWNTIME_US: u64 = 1_000_000;
 
-/// One run.
+/// Settings of one simulated run.
 #[derive(Debug, Clone)]
 pub struct RunSettings {
-    /// Deployment.
+    /// Deployment whose size and traffic are simulated.
     pub deployment: Deployment,
     /// Pattern of load and faults.
     pub pattern: Pattern,
-    /// Policy.
+    /// Policy of every instance.
     pub policy: PolicyKind,
-    /// Seed of everything random.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Time at the start that is not measured.
+    /// Requests that arrive before this time don't count, in microseconds.
     pub warm_up_us: u64,
-    /// Time over which requests come.
+    /// Time during which requests arrive, in microseconds.
     pub length_us: u64,
-    /// Whether teams that send more than their rate send nothing instead, to
-    /// tell what the others get alone.
+    /// Whether teams that would exceed their rate send nothing instead. Such a
+    /// run shows what the other teams get alone.
     pub without_flood: bool,
 }
 
@@ -66,10 +68,11 @@
     }
 }
 
-/// What happens next.
+/// Event of the simulation. Requests and instances are given by index.
 #[derive(Debug)]
 pub(super) enum Event {
     Arrive(u64),
+    /// A request arrives at its engine.
     ReachEngine {
         engine: usize,
         task: Task,
@@ -85,6 +88,7 @@
         id: u64,
     },
     FirstTokenTimeout(u64),
+    /// Every engine publishes its load.
     Publish,
     Report {
         instance: usize,
@@ -99,19 +103,23 @@
         engine: usize,
         factor: u64,
     },
+    /// An engine crashes.
     Crash(usize),
+    /// A crashed engine is up again.
     Revive(usize),
+    /// An instance restarts.
     Restart(usize),
 }
 
-/// Where a request is now.
+/// Progress of a request.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RequestState {
+    /// Index and incarnation of the engine that the request was sent to.
     pub(super) assigned_to: Option<(usize, u64)>,
     pub(super) is_finished: bool,
 }
 
-/// One run under way.
+/// State of one run.
 pub(super) struct Run {
     pub(super) settings: RunSettings,
     pub(super) requests: Vec<Request>,
@@ -119,16 +127,19 @@
     pub(super) outcomes: Vec<Outcome>,
     pub(super) engines: Vec<EngineModel>,
     pub(super) instances: Vec<Box<dyn Policy>>,
+    /// Times and numbers of pending events, the next one on top.
     pub(super) heap: BinaryHeap<Reverse<(u64, u64)>>,
     pub(super) events: HashMap<u64, Event>,
     pub(super) next: u64,
     pub(super) now_us: u64,
+    /// Time at which each block was last computed.
     pub(super) computed: HashMap<u64, u64>,
+    /// Last blocks of the parts in the KV cache store.
     pub(super) cache_store: HashSet<u64>,
     pub(super) rng: SmallRng,
 }
 
-/// Runs one policy on one workload and returns what its callers got.
+/// Simulates one run and returns the figures of its requests.
 pub fn simulate(settings: &RunSettings) -> Figures {
     let mut run = Run::new(settings.clone());
     run.schedule_all();
@@ -136,6 +147,7 @@
     Figures::of(&run.outcomes)
 }
 
+/// Returns the policy of one instance without any state.
 pub(super) fn new_policy(settings: &RunSettings, instance: usize, seed: u64) -> Box<dyn Policy> {
     let (deployment, kind) = (&settings.deployment, settings.policy);
     match kind {
@@ -190,12 +202,15 @@
         }
     }
 
+    /// Schedules an event. Events at the same time are handled in the order in
+    /// which they were scheduled.
     pub(super) fn schedule(&mut self, at_us: u64, event: Event) {
         self.heap.push(Reverse((at_us, self.next)));
         self.events.insert(self.next, event);
         self.next += 1;
     }
 
+    /// Schedules arrivals, periodic work and the faults of the pattern.
     fn schedule_all(&mut self) {
         for id in 0..self.requests.len() as u64 {
             self.schedule(self.requests[id as usize].at_us, Event::Arrive(id));
@@ -238,7 +253,7 @@
     }
 
     fn process_events(&mut self) {
-        // Requests that came late still get their time.
+        // Continues after the last arrivals, so that they too can be served.
         let end_us = self.settings.length_us + 2 * FIRST_TOKEN_TIMEOUT_US;
         while let Some(Reverse((at_us, number))) = self.heap.pop() {
             if at_us > end_us {
@@ -291,6 +306,8 @@
         }
     }
 
+    /// Refuses a request beyond its team's rate, and gives any other one to its
+    /// instance.
     fn arrive(&mut self, id: u64) {
         let request = self.requests[id as usize].clone();
         if self.settings.pattern.is_limited() && !request.in_rate {
@@ -307,15 +324,18 @@
         self.act(actions);
     }
 
+    /// Returns the number of blocks at the start of the prompt that the KV cache
+    /// store holds.
     fn cache_store_blocks(&self, request: &Request) -> usize {
-        let pieces = request
+        let parts = request
             .chain
             .iter()
             .skip(PART_BLOCKS - 1)
             .step_by(PART_BLOCKS);
-        pieces.take_while(|b| self.cache_store.contains(b)).count() * PART_BLOCKS
+        parts.take_while(|b| self.cache_store.contains(b)).count() * PART_BLOCKS
     }
 
+    /// Carries out the decisions of an instance.
     pub(super) fn act(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -347,7 +367,8 @@
         }
     }
 
-    /// Returns the time of one way.
+    /// Returns the one-way delay between an instance and an engine, in
+    /// microseconds.
     pub(super) fn distance_us(&self, instance: usize, engine: usize) -> u64 {
         let d = &self.settings.deployment;
         let is_same_domain = instance % d.failure_domains == engine % d.failure_domains;
--- a/crates/standins/src/queue/workload.rs
+++ b/crates/standins/src/queue/workload.rs
@@ -7,16 +7,17 @@
     rand::{Rng, SeedableRng, rngs::SmallRng},
 };
 
-/// Callers of each team. A caller keeps an instance's address for a while.
+/// Number of callers of each team.
 const CALLERS: u64 = 24;
 
-/// Time for which a caller keeps an address.
+/// Time for which a caller uses the same instance.
 const ADDRESS_TTL_US: u64 = 10_000_000;
 
-/// Seconds of its rate that a team may use at once.
+/// Burst of a team, in seconds of its rate.
 const BURST_S: f64 = 6.0;
 
-/// Returns the requests of one run in the order of their arrival.
+/// Returns the requests of one run in the order of arrival, with their positions
+/// as IDs.
 pub(super) fn workload(
     deployment: &Deployment,
     pattern: Pattern,
@@ -33,12 +34,13 @@
     requests
 }
 
-/// One team's callers.
+/// Generator of one team's requests.
 struct Team<'a> {
     deployment: &'a Deployment,
     pattern: Pattern,
     team: usize,
     rng: SmallRng,
+    /// Tokens in the team's token bucket at `filled_us`.
     bucket_tokens: f64,
     filled_us: u64,
 }
@@ -57,7 +59,8 @@
         team
     }
 
-    /// Returns the team's rate: its share of the capacity.
+    /// Returns the team's rate in tokens per second: its share of the capacity
+    /// at the mean size of a request.
     fn tokens_per_s(&self) -> f64 {
         let d = self.deployment;
         let blocks = d.outer_blocks + d.inner_blocks + d.own_blocks;
@@ -65,6 +68,7 @@
         TEAM_SHARES[self.team] * d.capacity_per_s() * tokens
     }
 
+    /// Generates requests with exponentially distributed intervals.
     fn requests(&mut self, length_us: u64) -> Vec<Request> {
         let mut requests = Vec::new();
         let mut at_us = 0;
@@ -114,11 +118,11 @@
         let tokens = self
             .rng
             .random_range(min_tokens..=MEAN_ANSWER_TOKENS + min_tokens);
-        // Long answers leave the mean load as it is in the other patterns.
+        // Long answers don't change the arrival rate of the pattern.
         if long { tokens * 8 } else { tokens }
     }
 
-    /// Draws an inner prefix: the first is the most popular.
+    /// Draws an inner prefix; those with lower numbers are more frequent.
     fn draw_inner(&mut self, at_us: u64) -> u64 {
         let count = self.deployment.inner_count as u64;
         let hot = match self.pattern {
@@ -135,6 +139,7 @@
         (draw * draw * count as f64) as u64
     }
 
+    /// Draws a caller and returns the instance that it uses at this time.
     fn draw_instance(&mut self, at_us: u64) -> usize {
         let instances = self.deployment.instances as u64;
         let hot = self.pattern == Pattern::HotCaller && self.team == 2;
@@ -146,6 +151,8 @@
         (epoch % instances) as usize
     }
 
+    /// Refills the token bucket and takes tokens from it. Returns whether there
+    /// were enough.
     fn take_tokens(&mut self, tokens: u64, at_us: u64) -> bool {
         let rate = self.tokens_per_s();
         let filled = (at_us - self.filled_us) as f64 / 1e6 * rate;
@@ -159,6 +166,7 @@
     }
 }
 
+/// Hashes two numbers with the finalizer of SplitMix64.
 fn hash_pair(a: u64, b: u64) -> u64 {
     let mut z = a ^ b.wrapping_add(1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/standins/src/service/mod.rs
+++ b/crates/standins/src/service/mod.rs
@@ -1,4 +1,5 @@
-//! A stand-in of a plain service: it books, and counts what it ran.
+//! A stand-in for a service that accepts bookings and counts how often each
+//! ran.
 
 mod stand_in;
 
--- a/crates/standins/src/service/stand_in.rs
+++ b/crates/standins/src/service/stand_in.rs
@@ -10,16 +10,16 @@
     },
 };
 
-/// How the service fails.
+/// Faults injected into the service, all off by default.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceFaults {
-    /// Each call waits this long first.
+    /// Delay before each call runs, in milliseconds.
     pub delay_ms: u64,
-    /// Replies to this many calls are lost after they ran.
+    /// Number of further calls that run but whose response is dropped.
     pub lose_replies: u32,
 }
 
-/// A plain service on threads of this process.
+/// A service that runs on threads of this process.
 pub struct ServiceStandIn {
     server: Server,
     inner: Arc<Mutex<Inner>>,
@@ -33,7 +33,7 @@
 }
 
 impl ServiceStandIn {
-    /// Starts the service; port 0 lets the system choose.
+    /// Starts the service at an address; port 0 lets the system choose a port.
     pub fn start(bind: SocketAddr) -> ServiceStandIn {
         let inner = Arc::new(Mutex::new(Inner::default()));
         let state = inner.clone();
@@ -41,22 +41,22 @@
         ServiceStandIn { server, inner }
     }
 
-    /// Returns the address listened on.
+    /// Returns the address at which the service listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets how the service fails from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.inner.lock().expect("state").faults = faults;
     }
 
-    /// Returns how often each body was run.
+    /// Returns how often each request body was run.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         self.inner.lock().expect("state").runs.clone()
     }
 
-    /// Returns every header that any caller sent.
+    /// Returns the headers of every call, names in lower case.
     pub fn headers(&self) -> Vec<(String, String)> {
         self.inner.lock().expect("state").headers.clone()
     }
