--- a/crates/standins/src/queue/deployment.rs
+++ b/crates/standins/src/queue/deployment.rs
@@ -60,7 +60,8 @@
     }
 }
 
-/// Share of the capacity that each of the five teams may use.
+/// Share of the capacity that each of the five teams may use; the first two are
+/// large.
 pub(super) const TEAM_SHARES: [f64; 5] = [0.40, 0.30, 0.15, 0.10, 0.05];
 
 /// Number of slots of an engine.
--- a/crates/standins/src/queue/engine_events.rs
+++ b/crates/standins/src/queue/engine_events.rs
@@ -3,7 +3,8 @@
     run::{Event, PART_BLOCKS, Run},
 };
 
-/// A block that was computed less than this time ago counts as recomputed.
+/// A block that was computed less than this time ago counts as recomputed, which
+/// is wasted work.
 const RECOMPUTATION_WINDOW_US: u64 = 30_000_000;
 
 /// Progress of requests at engines.
@@ -91,7 +92,7 @@
         self.release(id, engine, Some(cached));
     }
 
-    /// Tells the instance that a request has ended at an engine; `cached_blocks`
+    /// Reports to the instance that a request has ended at an engine; `cached_blocks`
     /// is `None` if it did not complete.
     pub(super) fn release(&mut self, id: u64, engine: usize, cached_blocks: Option<usize>) {
         self.request_states[id as usize].assigned_to = None;
