--- a/crates/mangowalk/tests/client/fleet.rs
+++ b/crates/mangowalk/tests/client/fleet.rs
@@ -73,7 +73,7 @@
     let fleet = fleet(2, FleetSettings::default());
     let client = client_of(&fleet);
     wait_until_in_force(&fleet, 2);
-    fleet.routers[1].freeze();
+    fleet.routers[1].pause();
     let behind = client.run(&[
         "set",
         "team",
@@ -82,7 +82,7 @@
         "--wait",
         "--wait-timeout-ms=100",
     ]);
-    fleet.routers[1].thaw();
+    fleet.routers[1].resume();
     assert_eq!(behind.code, 6, "{behind}");
     let frozen = fleet.routers[1].address().to_string();
     assert!(behind.stderr.contains(&frozen), "{behind}");
--- a/crates/mangowalkd/tests/membership.rs
+++ b/crates/mangowalkd/tests/membership.rs
@@ -56,9 +56,9 @@
 fn a_frozen_instance_is_listed_again_after_it_resumes() {
     let fleet = fleet(3);
     eventually_lists(&fleet.routers[0], 3);
-    fleet.routers[2].freeze();
+    fleet.routers[2].pause();
     eventually_lists(&fleet.routers[0], 2);
-    fleet.routers[2].thaw();
+    fleet.routers[2].resume();
     eventually_lists(&fleet.routers[0], 3);
     eventually_lists(&fleet.routers[1], 3);
 }
@@ -71,7 +71,7 @@
     eventually_lists(&fleet.routers[0], 2);
     fleet.routers[1].kill();
     eventually_lists(&fleet.routers[0], 1);
-    fleet.routers[1].start_again();
+    fleet.routers[1].restart();
     eventually_lists(&fleet.routers[0], 2);
 }
 
--- a/crates/standins/src/engine/stand_in.rs
+++ b/crates/standins/src/engine/stand_in.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EngineFaults, EngineSettings, answer, run::Run},
+    super::{EngineFaults, EngineSettings, answer, attempt::Attempt},
     crate::{
         cache::PrefixCache,
         http::{Exchange, Server},
@@ -23,7 +23,7 @@
 
 static NEXT_INCARNATION: AtomicU64 = AtomicU64::new(1);
 
-/// An engine on threads of this process.
+/// An engine that runs on threads of this process.
 pub struct EngineStandIn {
     shared: Arc<Shared>,
 }
@@ -33,20 +33,25 @@
     address: Mutex<SocketAddr>,
     server: Mutex<Option<Server>>,
     inner: Mutex<Inner>,
-    freed: Condvar,
+    /// Notified when a slot is released and after a crash.
+    slot_freed: Condvar,
 }
 
 pub(super) struct Inner {
+    /// Changes with each start; 0 while the engine is crashed.
     pub(super) incarnation: u64,
     model: String,
     pub(super) version: String,
     loading: bool,
+    /// Highest fencing number of an order.
     fencing: u64,
     running: u32,
     waiting: u32,
     cache: PrefixCache,
     pub(super) faults: EngineFaults,
+    /// Cancelled requests and the numbers of their attempts.
     pub(super) cancelled: HashSet<(String, u32)>,
+    /// Number of starts by prompt.
     prompts: BTreeMap<String, u64>,
     headers: Vec<(String, String)>,
     orders: Vec<Order>,
@@ -55,7 +60,7 @@
 }
 
 impl EngineStandIn {
-    /// Starts an engine; port 0 lets the system choose.
+    /// Starts an engine at an address; port 0 lets the system choose a port.
     pub fn start(bind: SocketAddr, settings: EngineSettings) -> EngineStandIn {
         let inner = Inner {
             incarnation: new_incarnation(),
@@ -79,70 +84,73 @@
             address: Mutex::new(bind),
             server: Mutex::new(None),
             inner: Mutex::new(inner),
-            freed: Condvar::new(),
+            slot_freed: Condvar::new(),
         });
         shared.clone().listen();
         EngineStandIn { shared }
     }
 
-    /// Returns the address listened on.
+    /// Returns the address at which the engine listens.
     pub fn address(&self) -> SocketAddr {
         *self.shared.address.lock().expect("address")
     }
 
-    /// Sets how the engine fails from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.shared.lock().faults = faults;
     }
 
-    /// Crashes the engine: it stops to listen and cuts every stream.
+    /// Crashes the engine: it stops listening and cuts off every stream.
     pub fn crash(&self) {
         self.shared.crash();
     }
 
-    /// Starts a crashed engine again, empty.
+    /// Restarts a crashed engine at the same address, with its first weights
+    /// and an empty cache.
     pub fn restart(&self) {
         self.shared.clone().restart();
     }
 
-    /// Returns what `GET /state` would answer.
+    /// Returns the response body of `GET /state`.
     pub fn state(&self) -> EngineState {
         self.shared.state()
     }
 
-    /// Returns how often each prompt was started.
+    /// Returns how often each prompt got a slot.
     pub fn prompts(&self) -> BTreeMap<String, u64> {
         self.shared.lock().prompts.clone()
     }
 
-    /// Returns every header that any router sent.
+    /// Returns the headers of every attempt, names in lower case.
     pub fn headers(&self) -> Vec<(String, String)> {
         self.shared.lock().headers.clone()
     }
 
-    /// Returns the orders that were followed.
+    /// Returns the orders that were accepted, in the order of their arrival.
     pub fn orders(&self) -> Vec<Order> {
         self.shared.lock().orders.clone()
     }
 
-    /// Returns how often the engine crashed.
+    /// Returns the number of crashes since the stand-in was created.
     pub fn crashes(&self) -> u64 {
         self.shared.lock().crashes
     }
 
-    /// Returns how many attempts came, those refused included.
+    /// Returns the number of attempts received, including those refused.
     pub fn attempts(&self) -> u64 {
         self.shared.lock().attempts
     }
 
-    /// Returns the answer that the engine gives to a prompt.
+    /// Returns the answer of `tokens` tokens that every engine gives to a
+    /// prompt.
     pub fn answer_to(prompt: &str, tokens: u64) -> String {
         (0..tokens).map(|i| answer::token(prompt, i)).collect()
     }
 }
 
 fn new_incarnation() -> u64 {
-    // Processes of one demo must not draw the same numbers.
+    // Includes the process ID so that engines in different processes of a demo
+    // have different incarnations.
     let process = u64::from(std::process::id()) << 20;
     process + NEXT_INCARNATION.fetch_add(1, Ordering::Relaxed)
 }
@@ -151,7 +159,7 @@
     pub(super) fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner
             .lock()
-            .expect("no handler panics while it holds the state")
+            .expect("no handler panics while it holds the lock")
     }
 
     fn listen(self: Arc<Self>) {
@@ -170,7 +178,7 @@
             inner.running = 0;
             inner.waiting = 0;
         }
-        self.freed.notify_all();
+        self.slot_freed.notify_all();
         *self.server.lock().expect("server") = None;
     }
 
@@ -237,10 +245,12 @@
             let mut inner = self.lock();
             if inner.faults.lose_events > 0 {
                 inner.faults.lose_events -= 1;
-                inner.cache.lose_one();
+                inner.cache.drop_changes();
             }
             let incarnation = inner.incarnation;
-            inner.cache.events(incarnation, exchange.number("from"))
+            inner
+                .cache
+                .events(incarnation, exchange.query_number("from"))
         };
         exchange.json(200, &events);
     }
@@ -249,11 +259,12 @@
         let Ok(order) = serde_json::from_slice::<Order>(&exchange.body) else {
             return exchange.json(400, &json!({}));
         };
-        let reply = self.clone().follow(order);
+        let reply = self.clone().execute_order(order);
         exchange.json(200, &reply);
     }
 
-    fn follow(self: Arc<Self>, order: Order) -> OrderReply {
+    /// Executes an order; a load of weights goes on in the background.
+    fn execute_order(self: Arc<Self>, order: Order) -> OrderReply {
         let mut inner = self.lock();
         if self.settings.checks_fencing && order.fencing < inner.fencing {
             return OrderReply::OldFencing {
@@ -295,37 +306,38 @@
                 drop(inner);
                 return exchange.json(status, &json!({}));
             }
-            let wrong = inner.loading
+            let is_mismatch = inner.loading
                 || inner.model != request.model
                 || inner.version != request.version
                 || inner.incarnation != request.incarnation;
-            if wrong {
+            if is_mismatch {
                 drop(inner);
                 return exchange.json(409, &json!({}));
             }
             inner.incarnation
         };
         let Some(cached) = self.admit(&request, incarnation) else {
-            return exchange.hang_up();
+            return exchange.close_without_response();
         };
         let mut writer = exchange.stream();
-        let run = Run {
+        let attempt = Attempt {
             shared: &self,
             request: &request,
             incarnation,
             cached_blocks: cached,
         };
-        run.write(&mut writer);
-        self.leave(incarnation);
+        attempt.write(&mut writer);
+        self.release_slot(incarnation);
     }
 
-    /// Waits for a slot, computes what is missed, and returns the blocks that
-    /// were cached; none if the engine crashed meanwhile.
+    /// Waits for a slot and computes the blocks that are not cached. Returns
+    /// the number of blocks that were cached, `None` if the engine crashed
+    /// meanwhile.
     fn admit(&self, request: &GenerateRequest, incarnation: u64) -> Option<usize> {
         let mut inner = self.lock();
         inner.waiting += 1;
         while inner.running >= self.settings.slots && inner.incarnation == incarnation {
-            inner = self.freed.wait(inner).ok()?;
+            inner = self.slot_freed.wait(inner).ok()?;
         }
         if inner.incarnation != incarnation {
             return None;
@@ -335,10 +347,12 @@
         *inner.prompts.entry(request.prompt.clone()).or_default() += 1;
         let chain = block_chain(&request.cache_salt, &request.prompt);
         let hits = inner.cache.hits(&chain);
-        let slow = inner.faults.slow_factor.max(1);
+        let slow_factor = inner.faults.slow_factor.max(1);
         drop(inner);
         let missed = (chain.len() - hits) as u64;
-        thread::sleep(Duration::from_micros(missed * self.settings.miss_us * slow));
+        thread::sleep(Duration::from_micros(
+            missed * self.settings.miss_us * slow_factor,
+        ));
         let mut inner = self.lock();
         if inner.incarnation != incarnation {
             return None;
@@ -347,12 +361,12 @@
         Some(hits)
     }
 
-    fn leave(&self, incarnation: u64) {
+    fn release_slot(&self, incarnation: u64) {
         let mut inner = self.lock();
         if inner.incarnation == incarnation {
             inner.running = inner.running.saturating_sub(1);
         }
         drop(inner);
-        self.freed.notify_all();
+        self.slot_freed.notify_all();
     }
 }
--- a/crates/standins/src/fleet/mod.rs
+++ b/crates/standins/src/fleet/mod.rs
@@ -1,17 +1,18 @@
-//! A small fleet for tests: stand-ins on threads, routers as processes.
+//! A small fleet for tests: stand-ins on threads of the test, routers as
+//! processes.
 
 mod address;
 mod answer;
 mod eventually;
-mod raw;
+mod raw_caller;
 mod router;
-mod whole;
+mod setup;
 
 pub use {
     address::free_address,
     answer::Answer,
     eventually::eventually,
-    raw::RawCaller,
+    raw_caller::RawCaller,
     router::RouterProcess,
-    whole::{Fleet, FleetSettings},
+    setup::{Fleet, FleetSettings},
 };
--- a/crates/standins/src/platform/stand_in.rs
+++ b/crates/standins/src/platform/stand_in.rs
@@ -12,19 +12,20 @@
     },
 };
 
-/// Longest time that a watch waits, in milliseconds.
-const LONGEST_WAIT_MS: u64 = 30_000;
+/// Upper bound of a watch's `wait_ms`.
+const MAX_WAIT_MS: u64 = 30_000;
 
-/// A platform on threads of this process.
+/// A platform that runs on threads of this process.
 pub struct PlatformStandIn {
     server: Server,
-    doors: Mutex<Vec<Server>>,
+    silent_servers: Mutex<Vec<Server>>,
     shared: Arc<Shared>,
 }
 
 #[derive(Default)]
 struct Shared {
     inner: Mutex<Inner>,
+    /// Notified after each write and each change of the faults.
     written: Condvar,
 }
 
@@ -36,48 +37,49 @@
 }
 
 impl PlatformStandIn {
-    /// Starts the platform; port 0 lets the system choose.
+    /// Starts the platform at an address; port 0 lets the system choose a port.
     pub fn start(bind: SocketAddr) -> PlatformStandIn {
         let shared = Arc::new(Shared::default());
         let handler = shared.clone();
         let server = Server::start(bind, move |exchange| handler.handle(exchange));
         PlatformStandIn {
             server,
-            doors: Mutex::default(),
+            silent_servers: Mutex::default(),
             shared,
         }
     }
 
-    /// Returns a further address of the platform, at which watches stay
-    /// silent for ever.
+    /// Starts a further listener of the platform whose watches never return a
+    /// change, and returns its address.
     pub fn silent_address(&self) -> SocketAddr {
         let handler = self.shared.clone();
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
         let server = Server::start(any, move |exchange| match exchange.path.as_str() {
             "/watch" => {
-                thread::sleep(Duration::from_millis(exchange.number("wait_ms")));
-                let revision = exchange.number("after");
+                thread::sleep(Duration::from_millis(exchange.query_number("wait_ms")));
+                let revision = exchange.query_number("after");
                 exchange.json(200, &json!({ "revision": revision, "changes": [] }));
             }
             _ => handler.handle(exchange),
         });
         let address = server.address();
-        self.doors.lock().expect("doors").push(server);
+        self.silent_servers.lock().expect("doors").push(server);
         address
     }
 
-    /// Returns the address listened on.
+    /// Returns the address at which the platform listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets how the platform fails from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.shared.lock().faults = faults;
         self.shared.written.notify_all();
     }
 
-    /// Writes an object as an operator would, and returns its version.
+    /// Writes an object unconditionally, as an operator would, and returns its
+    /// new version.
     pub fn put(&self, kind: &str, name: &str, body: Value) -> u64 {
         let key = ObjectKey::new(kind, name);
         let version = self
@@ -89,28 +91,28 @@
         version.unwrap_or_default()
     }
 
-    /// Deletes an object as an operator would.
+    /// Deletes an object unconditionally, as an operator would.
     pub fn delete(&self, kind: &str, name: &str) {
         let key = ObjectKey::new(kind, name);
         let _ = self.shared.lock().state.write(&key, Expect::Any, None);
         self.shared.written.notify_all();
     }
 
-    /// Reads an object.
+    /// Returns an object, `None` if it does not exist. Faults don't apply.
     pub fn get(&self, kind: &str, name: &str) -> Option<Object> {
         let key = ObjectKey::new(kind, name);
         self.shared.lock().state.get(&key).cloned()
     }
 
-    /// Reads every object of a kind.
+    /// Returns every object of a kind. Faults don't apply.
     pub fn list(&self, kind: &str) -> Vec<Object> {
         let inner = self.shared.lock();
         let revision = inner.state.revision();
         inner.state.list(&[kind], revision).objects
     }
 
-    /// Returns the number of calls by operation: `get`, `put`, `delete`,
-    /// `list`, `watch`.
+    /// Returns the number of calls over HTTP by operation: `get`, `put`,
+    /// `delete`, `list`, `watch`.
     pub fn calls(&self) -> BTreeMap<String, u64> {
         self.shared.lock().calls.clone()
     }
@@ -120,7 +122,7 @@
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner
             .lock()
-            .expect("no handler panics while it holds the state")
+            .expect("no handler panics while it holds the lock")
     }
 
     fn handle(&self, exchange: Exchange) {
@@ -139,7 +141,7 @@
             thread::sleep(Duration::from_millis(delay_ms));
         }
         if self.lock().faults.down {
-            return exchange.hang_up();
+            return exchange.close_without_response();
         }
         match exchange.path.as_str() {
             "/list" => self.list(exchange),
@@ -172,7 +174,7 @@
     fn get(&self, exchange: Exchange, key: &ObjectKey) {
         self.count("get");
         if self.lock().faults.lose_reads {
-            return exchange.hang_up();
+            return exchange.close_without_response();
         }
         let object = self.lock().state.get(key).cloned();
         match object {
@@ -186,23 +188,23 @@
         let expect = if exchange.query.contains_key("absent") {
             Expect::Absent
         } else if exchange.query.contains_key("version") {
-            Expect::Version(exchange.number("version"))
+            Expect::Version(exchange.query_number("version"))
         } else {
             Expect::Any
         };
-        let (result, lost) = {
+        let (result, is_reply_lost) = {
             let mut inner = self.lock();
             let result = inner.state.write(key, expect, body);
-            let lost = inner.faults.loses_reply(&key.kind);
-            (result, lost)
+            let is_reply_lost = inner.faults.loses_reply(&key.kind);
+            (result, is_reply_lost)
         };
         self.written.notify_all();
-        if lost {
-            return exchange.hang_up();
+        if is_reply_lost {
+            return exchange.close_without_response();
         }
         match result {
             Ok(version) => exchange.json(200, &json!({ "version": version })),
-            Err(held) => exchange.json(409, &json!({ "version": held })),
+            Err(current_version) => exchange.json(409, &json!({ "version": current_version })),
         }
     }
 
@@ -212,7 +214,7 @@
         let kinds: Vec<&str> = kinds.split(',').collect();
         let reply = {
             let inner = self.lock();
-            let revision = inner.visible();
+            let revision = inner.visible_revision();
             inner.state.list(&kinds, revision)
         };
         exchange.json(200, &reply);
@@ -222,27 +224,27 @@
         self.count("watch");
         let kinds = exchange.query.get("kinds").cloned().unwrap_or_default();
         let kinds: Vec<&str> = kinds.split(',').collect();
-        let after = exchange.number("after");
-        let wait_ms = exchange.number("wait_ms").min(LONGEST_WAIT_MS);
+        let after = exchange.query_number("after");
+        let wait_ms = exchange.query_number("wait_ms").min(MAX_WAIT_MS);
         let deadline = Instant::now() + Duration::from_millis(wait_ms);
         let mut inner = self.lock();
         let reply = loop {
             if inner.faults.down {
                 drop(inner);
-                return exchange.hang_up();
+                return exchange.close_without_response();
             }
-            let mut reply = inner.state.changes(&kinds, after, inner.visible());
+            let mut reply = inner.state.changes(&kinds, after, inner.visible_revision());
             if inner.faults.mute_watches {
                 reply.changes.clear();
                 reply.revision = after;
             }
-            let left = deadline.saturating_duration_since(Instant::now());
-            if !reply.changes.is_empty() || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !reply.changes.is_empty() || remaining.is_zero() {
                 break reply;
             }
-            inner = match self.written.wait_timeout(inner, left) {
+            inner = match self.written.wait_timeout(inner, remaining) {
                 Ok((inner, _)) => inner,
-                Err(_) => return exchange.hang_up(),
+                Err(_) => return exchange.close_without_response(),
             };
         };
         drop(inner);
@@ -251,8 +253,8 @@
 }
 
 impl Inner {
-    /// Returns the revision that lists and watches show.
-    fn visible(&self) -> u64 {
+    /// Returns the latest revision that lists and watches return.
+    fn visible_revision(&self) -> u64 {
         self.state
             .revision()
             .saturating_sub(self.faults.lag_revisions)
--- a/crates/standins/src/platform/state.rs
+++ b/crates/standins/src/platform/state.rs
@@ -4,10 +4,11 @@
     std::collections::BTreeMap,
 };
 
-/// The objects and the log of writes.
+/// The stored objects and the log of all writes.
 #[derive(Debug, Default)]
 pub(super) struct State {
     objects: BTreeMap<ObjectKey, Object>,
+    /// Version of the deletion of each deleted object.
     tombstones: BTreeMap<ObjectKey, u64>,
     log: Vec<Change>,
     revision: u64,
@@ -22,21 +23,27 @@
         self.objects.get(key)
     }
 
-    /// Writes or deletes, and returns the version held on a conflict.
+    /// Writes an object, or deletes it if `body` is `None`, and returns the new
+    /// version.
+    ///
+    /// # Errors
+    ///
+    /// Returns the current version, 0 if the object does not exist, if
+    /// `expect` does not match it.
     pub(super) fn write(
         &mut self,
         key: &ObjectKey,
         expect: Expect,
         body: Option<Value>,
     ) -> Result<u64, u64> {
-        let held = self.objects.get(key).map_or(0, |o| o.version);
-        let fits = match expect {
+        let current_version = self.objects.get(key).map_or(0, |o| o.version);
+        let is_met = match expect {
             Expect::Any => true,
-            Expect::Absent => held == 0,
-            Expect::Version(version) => held == version,
+            Expect::Absent => current_version == 0,
+            Expect::Version(version) => current_version == version,
         };
-        if !fits {
-            return Err(held);
+        if !is_met {
+            return Err(current_version);
         }
         self.revision += 1;
         let version = self.revision;
@@ -68,7 +75,7 @@
         }
     }
 
-    /// Lists what was there at a revision.
+    /// Returns the objects of some kinds as they were at a revision.
     pub(super) fn list(&self, kinds: &[&str], revision: u64) -> ListReply {
         let mut objects = BTreeMap::new();
         for change in &self.log {
@@ -89,7 +96,8 @@
         ListReply { revision, objects }
     }
 
-    /// Returns the changes after one revision and up to another.
+    /// Returns the changes to objects of some kinds with versions above
+    /// `after` and at most `up_to`.
     pub(super) fn changes(&self, kinds: &[&str], after: u64, up_to: u64) -> WatchReply {
         let changes = self
             .log
--- a/crates/standins/src/queue/mangowalk.rs
+++ b/crates/standins/src/queue/mangowalk.rs
@@ -14,18 +14,20 @@
     std::collections::{HashMap, HashSet},
 };
 
-/// One instance of the router: its decisions as they run in production.
+/// One instance that decides with the router's own dispatcher and placement.
 pub(super) struct Mangowalk {
     dispatcher: Dispatcher,
+    /// Placement of each request that was sent.
     choices: HashMap<u64, Choice>,
+    /// Requests in the queue.
     waiting: HashSet<u64>,
 }
 
-fn name(engine: usize) -> String {
+fn engine_name(engine: usize) -> String {
     format!("engine-{engine}")
 }
 
-fn number(name: &str) -> usize {
+fn engine_index(name: &str) -> usize {
     let digits = name.trim_start_matches("engine-");
     digits.parse().expect("an engine of the model")
 }
@@ -43,7 +45,7 @@
             miss_us: MISS_US as f64,
             hit_us: HIT_US as f64,
             import_us: (kind == PolicyKind::Import).then_some(IMPORT_US as f64),
-            other_domain_ms: deployment.other_domain_us as f64 / 1e3,
+            other_domain_ms: deployment.cross_domain_rtt_us as f64 / 1e3,
             instances: deployment.instances as u32,
             full_events_engines: match kind {
                 PolicyKind::NoEvents => 0,
@@ -54,7 +56,7 @@
         let mut placement = Placement::new(settings, seed);
         let specs: Vec<EngineSpec> = (0..deployment.engines)
             .map(|engine| EngineSpec {
-                name: name(engine),
+                name: engine_name(engine),
                 model: MODEL.to_owned(),
                 in_same_domain: engine % domains == instance % domains,
                 departing: false,
@@ -69,12 +71,13 @@
         }
     }
 
-    fn act(&mut self, verdicts: Vec<Decision>) -> Vec<Action> {
-        verdicts.into_iter().map(|v| self.action(v)).collect()
+    /// Turns decisions of the dispatcher into actions of the model.
+    fn act(&mut self, decisions: Vec<Decision>) -> Vec<Action> {
+        decisions.into_iter().map(|d| self.action(d)).collect()
     }
 
-    fn action(&mut self, verdict: Decision) -> Action {
-        match verdict {
+    fn action(&mut self, decision: Decision) -> Action {
+        match decision {
             Decision::Send { id, choice } => {
                 self.waiting.remove(&id);
                 self.send(id, choice)
@@ -87,7 +90,7 @@
     }
 
     fn send(&mut self, id: u64, choice: Choice) -> Action {
-        let engine = number(&choice.engine);
+        let engine = engine_index(&choice.engine);
         let import_blocks = choice.import_blocks;
         self.choices.insert(id, choice);
         Action::Send {
@@ -99,7 +102,7 @@
 }
 
 impl Policy for Mangowalk {
-    fn arrive(&mut self, request: &Request, kept_blocks: usize, now_ms: u64) -> Vec<Action> {
+    fn arrive(&mut self, request: &Request, cache_store_blocks: usize, now_ms: u64) -> Vec<Action> {
         let job = Job {
             id: request.id,
             team: format!("team-{}", request.team),
@@ -112,16 +115,16 @@
             model: MODEL.to_owned(),
             version: VERSION.to_owned(),
             chain: request.chain.to_vec(),
-            cache_store_blocks: kept_blocks,
+            cache_store_blocks: cache_store_blocks,
         };
         self.waiting.insert(request.id);
-        let verdicts = self.dispatcher.submit(job, &|_| true, now_ms);
-        self.act(verdicts)
+        let decisions = self.dispatcher.submit(job, &|_| true, now_ms);
+        self.act(decisions)
     }
 
-    fn again(&mut self, request: &Request, dead: usize, now_ms: u64) -> Vec<Action> {
-        let avoid = HashSet::from([name(dead)]);
-        let ask = PlacementRequest {
+    fn reroute(&mut self, request: &Request, failed_engine: usize, now_ms: u64) -> Vec<Action> {
+        let avoid = HashSet::from([engine_name(failed_engine)]);
+        let placement_request = PlacementRequest {
             model: MODEL,
             version: VERSION,
             chain: &request.chain,
@@ -133,7 +136,7 @@
             force: true,
         };
         let placement = self.dispatcher.placement_mut();
-        let Some(mut choice) = placement.choose(&ask, now_ms) else {
+        let Some(mut choice) = placement.choose(&placement_request, now_ms) else {
             return vec![Action::Refuse { id: request.id }];
         };
         placement.sent(&mut choice, &request.chain, now_ms);
@@ -142,7 +145,7 @@
 
     fn report(&mut self, engine: usize, state: Option<&EngineState>, now_ms: u64) -> Vec<Action> {
         let placement = self.dispatcher.placement_mut();
-        placement.report(&name(engine), state);
+        placement.report(&engine_name(engine), state);
         self.tick(now_ms)
     }
 
@@ -166,24 +169,24 @@
         self.tick(now_ms)
     }
 
-    fn leave(&mut self, id: u64) -> bool {
+    fn cancel(&mut self, id: u64) -> bool {
         self.dispatcher.remove(id);
         self.waiting.remove(&id)
     }
 
     fn tick(&mut self, now_ms: u64) -> Vec<Action> {
-        let verdicts = self.dispatcher.dispatch_queued(&|_| true, now_ms);
-        self.act(verdicts)
+        let decisions = self.dispatcher.dispatch_queued(&|_| true, now_ms);
+        self.act(decisions)
     }
 
     fn events_from(&self, engine: usize) -> Option<u64> {
         self.dispatcher
             .placement()
-            .next_event_sequence(&name(engine))
+            .next_event_sequence(&engine_name(engine))
     }
 
     fn cache_events(&mut self, engine: usize, events: &CacheEvents) {
         let placement = self.dispatcher.placement_mut();
-        placement.cache_events(&name(engine), events);
+        placement.cache_events(&engine_name(engine), events);
     }
 }
--- a/crates/standins/src/queue/run.rs
+++ b/crates/standins/src/queue/run.rs
@@ -1,13 +1,13 @@
 use {
     super::{
         Deployment, Figures, Pattern, PolicyKind,
-        deployment::PATIENCE_US,
+        baseline::Baseline,
+        deployment::FIRST_TOKEN_TIMEOUT_US,
         engine::{EngineModel, Task},
         figures::Outcome,
         mangowalk::Mangowalk,
-        plain::Plain,
         policy::{Action, Policy},
-        reads::REPORT_ROUND_US,
+        polling::REPORT_INTERVAL_US,
         request::Request,
         workload::workload,
     },
@@ -18,37 +18,39 @@
     },
 };
 
-/// Time between two publications of an engine's load.
+/// Interval at which engines publish their load.
 const PUBLISH_US: u64 = 250_000;
 
-/// Time between two looks at the queue.
+/// Interval at which an instance checks its queue.
 const TICK_US: u64 = 50_000;
 
-/// Blocks in a kept piece: 4,096 tokens.
-pub(super) const PIECE_BLOCKS: usize = 64;
+/// Blocks in a part of the KV cache store: 4,096 tokens.
+pub(super) const PART_BLOCKS: usize = 64;
 
-/// When faults set in, and when a slow engine recovers.
-const FAULT_US: u64 = 16_000_000;
-const RECOVER_US: u64 = 31_000_000;
-const DOWN_US: u64 = 1_000_000;
+/// Time at which faults start.
+const FAULT_START_US: u64 = 16_000_000;
+/// Time at which a slow engine recovers.
+const FAULT_END_US: u64 = 31_000_000;
+/// Time between the crash and the restart of an engine.
+const DOWNTIME_US: u64 = 1_000_000;
 
-/// One run.
+/// Settings of one simulated run.
 #[derive(Debug, Clone)]
 pub struct RunSettings {
-    /// Deployment.
+    /// Deployment whose size and traffic are simulated.
     pub deployment: Deployment,
     /// Pattern of load and faults.
     pub pattern: Pattern,
-    /// Policy.
+    /// Policy of every instance.
     pub policy: PolicyKind,
-    /// Seed of everything random.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Time at the start that is not measured.
+    /// Requests that arrive before this time don't count, in microseconds.
     pub warm_up_us: u64,
-    /// Time over which requests come.
+    /// Time during which requests arrive, in microseconds.
     pub length_us: u64,
-    /// Whether teams that send more than their rate send nothing instead, to
-    /// tell what the others get alone.
+    /// Whether teams that would exceed their rate send nothing instead. Such a
+    /// run shows what the other teams get alone.
     pub without_flood: bool,
 }
 
@@ -66,11 +68,12 @@
     }
 }
 
-/// What happens next.
+/// Event of the simulation. Requests and instances are given by index.
 #[derive(Debug)]
 pub(super) enum Event {
     Arrive(u64),
-    Reach {
+    /// A request arrives at its engine.
+    ReachEngine {
         engine: usize,
         task: Task,
     },
@@ -84,7 +87,8 @@
         incarnation: u64,
         id: u64,
     },
-    GiveUp(u64),
+    FirstTokenTimeout(u64),
+    /// Every engine publishes its load.
     Publish,
     Report {
         instance: usize,
@@ -99,50 +103,58 @@
         engine: usize,
         factor: u64,
     },
+    /// An engine crashes.
     Crash(usize),
+    /// A crashed engine is up again.
     Revive(usize),
+    /// An instance restarts.
     Restart(usize),
 }
 
-/// Where a request is now.
+/// Progress of a request.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Place {
-    pub(super) on: Option<(usize, u64)>,
-    pub(super) over: bool,
+pub(super) struct RequestState {
+    /// Index and incarnation of the engine that the request was sent to.
+    pub(super) assigned_to: Option<(usize, u64)>,
+    pub(super) is_finished: bool,
 }
 
-/// One run under way.
+/// State of one run.
 pub(super) struct Run {
     pub(super) settings: RunSettings,
     pub(super) requests: Vec<Request>,
-    pub(super) places: Vec<Place>,
+    pub(super) request_states: Vec<RequestState>,
     pub(super) outcomes: Vec<Outcome>,
     pub(super) engines: Vec<EngineModel>,
     pub(super) instances: Vec<Box<dyn Policy>>,
+    /// Times and numbers of pending events, the next one on top.
     pub(super) heap: BinaryHeap<Reverse<(u64, u64)>>,
     pub(super) events: HashMap<u64, Event>,
     pub(super) next: u64,
     pub(super) now_us: u64,
+    /// Time at which each block was last computed.
     pub(super) computed: HashMap<u64, u64>,
-    pub(super) kept: HashSet<u64>,
+    /// Last blocks of the parts in the KV cache store.
+    pub(super) cache_store: HashSet<u64>,
     pub(super) rng: SmallRng,
 }
 
-/// Runs one policy on one workload and returns what its callers got.
+/// Simulates one run and returns the figures of its requests.
 pub fn simulate(settings: &RunSettings) -> Figures {
     let mut run = Run::new(settings.clone());
     run.schedule_all();
-    run.go();
+    run.process_events();
     Figures::of(&run.outcomes)
 }
 
-pub(super) fn policy(settings: &RunSettings, instance: usize, seed: u64) -> Box<dyn Policy> {
+/// Returns the policy of one instance without any state.
+pub(super) fn new_policy(settings: &RunSettings, instance: usize, seed: u64) -> Box<dyn Policy> {
     let (deployment, kind) = (&settings.deployment, settings.policy);
     match kind {
         PolicyKind::Mangowalk | PolicyKind::NoEvents | PolicyKind::Import => {
             Box::new(Mangowalk::new(deployment, kind, instance, seed))
         }
-        _ => Box::new(Plain::new(deployment, kind, instance)),
+        _ => Box::new(Baseline::new(deployment, kind, instance)),
     }
 }
 
@@ -169,10 +181,10 @@
             })
             .collect();
         let instances = (0..d.instances)
-            .map(|i| policy(&settings, i, settings.seed * 100 + i as u64))
+            .map(|i| new_policy(&settings, i, settings.seed * 100 + i as u64))
             .collect();
         Run {
-            places: vec![Place::default(); requests.len()],
+            request_states: vec![RequestState::default(); requests.len()],
             outcomes,
             engines: (0..d.engines)
                 .map(|e| EngineModel::new(e as u64 + 1))
@@ -183,63 +195,66 @@
             next: 0,
             now_us: 0,
             computed: HashMap::new(),
-            kept: HashSet::new(),
+            cache_store: HashSet::new(),
             rng: SmallRng::seed_from_u64(settings.seed),
             requests,
             settings,
         }
     }
 
-    pub(super) fn at(&mut self, at_us: u64, event: Event) {
+    /// Schedules an event. Events at the same time are handled in the order in
+    /// which they were scheduled.
+    pub(super) fn schedule(&mut self, at_us: u64, event: Event) {
         self.heap.push(Reverse((at_us, self.next)));
         self.events.insert(self.next, event);
         self.next += 1;
     }
 
+    /// Schedules arrivals, periodic work and the faults of the pattern.
     fn schedule_all(&mut self) {
         for id in 0..self.requests.len() as u64 {
-            self.at(self.requests[id as usize].at_us, Event::Arrive(id));
+            self.schedule(self.requests[id as usize].at_us, Event::Arrive(id));
         }
         for instance in 0..self.settings.deployment.instances {
-            let offset_us = self.rng.random_range(0..REPORT_ROUND_US);
+            let offset_us = self.rng.random_range(0..REPORT_INTERVAL_US);
             self.schedule_reads(instance, offset_us);
-            self.at(offset_us % TICK_US, Event::Tick(instance));
+            self.schedule(offset_us % TICK_US, Event::Tick(instance));
         }
-        self.at(0, Event::Publish);
+        self.schedule(0, Event::Publish);
         match self.settings.pattern {
             Pattern::SlowUpstream => {
-                self.at(
-                    FAULT_US,
+                self.schedule(
+                    FAULT_START_US,
                     Event::Slow {
                         engine: 0,
                         factor: 8,
                     },
                 );
-                self.at(
-                    RECOVER_US,
+                self.schedule(
+                    FAULT_END_US,
                     Event::Slow {
                         engine: 0,
                         factor: 1,
                     },
                 );
             }
-            Pattern::EngineEmpty => {
-                self.at(FAULT_US, Event::Crash(0));
-                self.at(FAULT_US + DOWN_US, Event::Revive(0));
+            Pattern::EngineRestart => {
+                self.schedule(FAULT_START_US, Event::Crash(0));
+                self.schedule(FAULT_START_US + DOWNTIME_US, Event::Revive(0));
             }
-            Pattern::Herd => {
+            Pattern::RestartAll => {
                 for instance in 0..self.settings.deployment.instances {
-                    let at_us = FAULT_US + self.rng.random_range(0..1_000_000);
-                    self.at(at_us, Event::Restart(instance));
+                    let at_us = FAULT_START_US + self.rng.random_range(0..1_000_000);
+                    self.schedule(at_us, Event::Restart(instance));
                 }
             }
             _ => {}
         }
     }
 
-    fn go(&mut self) {
-        // Requests that came late still get their time.
-        let end_us = self.settings.length_us + 2 * PATIENCE_US;
+    fn process_events(&mut self) {
+        // Continues after the last arrivals, so that they too can be served.
+        let end_us = self.settings.length_us + 2 * FIRST_TOKEN_TIMEOUT_US;
         while let Some(Reverse((at_us, number))) = self.heap.pop() {
             if at_us > end_us {
                 return;
@@ -258,7 +273,7 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(id) => self.arrive(id),
-            Event::Reach { engine, task } => self.reach(engine, task),
+            Event::ReachEngine { engine, task } => self.reach_engine(engine, task),
             Event::Prefilled {
                 engine,
                 incarnation,
@@ -269,12 +284,12 @@
                 incarnation,
                 id,
             } => self.ended(engine, incarnation, id),
-            Event::GiveUp(id) => self.give_up(id),
+            Event::FirstTokenTimeout(id) => self.time_out(id),
             Event::Publish => {
                 for engine in &mut self.engines {
                     engine.publish();
                 }
-                self.at(self.now_us + PUBLISH_US, Event::Publish);
+                self.schedule(self.now_us + PUBLISH_US, Event::Publish);
             }
             Event::Report { instance, engine } => self.report(instance, engine),
             Event::ReadEvents { instance, engine } => self.read_events(instance, engine),
@@ -282,37 +297,45 @@
                 let now_ms = self.now_ms();
                 let actions = self.instances[instance].tick(now_ms);
                 self.act(actions);
-                self.at(self.now_us + TICK_US, Event::Tick(instance));
+                self.schedule(self.now_us + TICK_US, Event::Tick(instance));
             }
-            Event::Slow { engine, factor } => self.engines[engine].slow = factor,
+            Event::Slow { engine, factor } => self.engines[engine].slow_factor = factor,
             Event::Crash(engine) => self.crash(engine),
-            Event::Revive(engine) => self.engines[engine].up = true,
+            Event::Revive(engine) => self.engines[engine].is_up = true,
             Event::Restart(instance) => self.restart(instance),
         }
     }
 
+    /// Refuses a request beyond its team's rate, and gives any other one to its
+    /// instance.
     fn arrive(&mut self, id: u64) {
         let request = self.requests[id as usize].clone();
         if self.settings.pattern.is_limited() && !request.in_rate {
             self.outcomes[id as usize].refused = true;
             return;
         }
-        let kept_blocks = self.kept_blocks(&request);
-        self.at(request.at_us + PATIENCE_US, Event::GiveUp(id));
+        let cache_store_blocks = self.cache_store_blocks(&request);
+        self.schedule(
+            request.at_us + FIRST_TOKEN_TIMEOUT_US,
+            Event::FirstTokenTimeout(id),
+        );
         let now_ms = self.now_ms();
-        let actions = self.instances[request.instance].arrive(&request, kept_blocks, now_ms);
+        let actions = self.instances[request.instance].arrive(&request, cache_store_blocks, now_ms);
         self.act(actions);
     }
 
-    fn kept_blocks(&self, request: &Request) -> usize {
-        let pieces = request
+    /// Returns the number of blocks at the start of the prompt that the KV cache
+    /// store holds.
+    fn cache_store_blocks(&self, request: &Request) -> usize {
+        let parts = request
             .chain
             .iter()
-            .skip(PIECE_BLOCKS - 1)
-            .step_by(PIECE_BLOCKS);
-        pieces.take_while(|b| self.kept.contains(b)).count() * PIECE_BLOCKS
+            .skip(PART_BLOCKS - 1)
+            .step_by(PART_BLOCKS);
+        parts.take_while(|b| self.cache_store.contains(b)).count() * PART_BLOCKS
     }
 
+    /// Carries out the decisions of an instance.
     pub(super) fn act(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -329,21 +352,30 @@
                         import_blocks,
                     };
                     let distance_us = self.distance_us(request.instance, engine);
-                    self.places[id as usize].on = Some((engine, self.engines[engine].incarnation));
-                    self.at(self.now_us + distance_us, Event::Reach { engine, task });
+                    self.request_states[id as usize].assigned_to =
+                        Some((engine, self.engines[engine].incarnation));
+                    self.schedule(
+                        self.now_us + distance_us,
+                        Event::ReachEngine { engine, task },
+                    );
                 }
                 Action::Refuse { id } => {
-                    self.places[id as usize].over = true;
+                    self.request_states[id as usize].is_finished = true;
                     self.outcomes[id as usize].refused = true;
                 }
             }
         }
     }
 
-    /// Returns the time of one way.
+    /// Returns the one-way delay between an instance and an engine, in
+    /// microseconds.
     pub(super) fn distance_us(&self, instance: usize, engine: usize) -> u64 {
         let d = &self.settings.deployment;
-        let near = instance % d.failure_domains == engine % d.failure_domains;
-        if near { 0 } else { d.other_domain_us / 2 }
+        let is_same_domain = instance % d.failure_domains == engine % d.failure_domains;
+        if is_same_domain {
+            0
+        } else {
+            d.cross_domain_rtt_us / 2
+        }
     }
 }
