--- a/crates/standins/src/queue/mangowalk.rs
+++ b/crates/standins/src/queue/mangowalk.rs
@@ -115,7 +115,7 @@
             model: MODEL.to_owned(),
             version: VERSION.to_owned(),
             chain: request.chain.to_vec(),
-            cache_store_blocks: cache_store_blocks,
+            cache_store_blocks,
         };
         self.waiting.insert(request.id);
         let decisions = self.dispatcher.submit(job, &|_| true, now_ms);
