--- a/crates/mangowalk/src/records/plan.rs
+++ b/crates/mangowalk/src/records/plan.rs
@@ -19,10 +19,10 @@
     ///
     /// # Errors
     ///
-    /// Unless `overwrite` is set, returns [`Failure::Conflict`] if the platform
-    /// holds another version than the file gives, and
-    /// [`Failure::VersionRequired`] if the file gives none and the records
-    /// differ.
+    /// If the records differ and `overwrite` is not set, returns
+    /// [`Failure::Conflict`] if the platform holds another version than the file
+    /// gives, and [`Failure::VersionRequired`] if the file gives none and the
+    /// record exists.
     pub(super) fn new(
         platform: &dyn Platform,
         record: &'a RecordFile,
--- a/crates/mangowalk/src/records/write.rs
+++ b/crates/mangowalk/src/records/write.rs
@@ -50,7 +50,9 @@
     write_until_known(platform, key, expected_version, &send, &written_version)
 }
 
-/// Deletes one object at `expected_version`, and returns that version.
+/// Deletes one object at `expected_version`. Returns the version of its
+/// tombstone, or `expected_version` if the reply was lost and the object is
+/// gone.
 ///
 /// # Errors
 ///
--- a/crates/mangowalk/src/records/write_result.rs
+++ b/crates/mangowalk/src/records/write_result.rs
@@ -29,8 +29,9 @@
     pub(crate) key: ObjectKey,
     /// What was done.
     pub(crate) action: Action,
-    /// Version on the platform after the command; in a dry run the stored
-    /// version, 0 if there is none.
+    /// Version on the platform after the command, for a deleted record as
+    /// [`super::delete`] returns it; in a dry run the stored version, 0 if there
+    /// is none.
     pub(crate) version: u64,
     /// Fields that differ.
     pub(crate) changes: Vec<FieldChange>,
--- a/crates/mangowalk/src/story/cause.rs
+++ b/crates/mangowalk/src/story/cause.rs
@@ -3,7 +3,7 @@
 /// Returns sentences that say why a request ended as it did.
 ///
 /// `request_lines` holds the lines of the request by time, `engine_lines` those
-/// about the engines that it was sent to.
+/// about the engines that `request_lines` name.
 pub(super) fn explain_outcome(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
     format!(
         "{}{}",
--- a/crates/mangowalkd/tests/machines/answers.rs
+++ b/crates/mangowalkd/tests/machines/answers.rs
@@ -397,7 +397,8 @@
 }
 
 /// An engine sets its state to draining. It must get no new requests from any
-/// instance, although it would still accept them. The limit is two seconds.
+/// instance, although it would still accept them. The limit is two seconds; the test
+/// allows one.
 #[test]
 fn a_draining_engine_gets_no_new_requests() {
     let deployment = Deployment::start(PROGRAM, 2, 2);
--- a/crates/mangowalkd/tests/machines/kept.rs
+++ b/crates/mangowalkd/tests/machines/kept.rs
@@ -6,7 +6,8 @@
     serde_json::json,
 };
 
-/// The longest shared part of the callers' prompt.
+/// Identity of the longest shared prefix of the callers' prompt. The identity of a part
+/// includes all parts before it.
 const SHARED_PART: &str = "91bd3f06";
 
 /// Cache salt under which engines store it.
--- a/crates/mangowalkd/tests/machines/lagging.rs
+++ b/crates/mangowalkd/tests/machines/lagging.rs
@@ -156,7 +156,8 @@
     let before = deployment.store.current_calls();
     thread::sleep(Duration::from_secs(5));
     let calls = deployment.store.current_calls() - before;
-    // Two instances with watches of 2.5 seconds on three kinds each.
+    // Two instances with watches of 2.5 seconds on three kinds each make 12 calls in
+    // 5 seconds.
     assert!((6..=18).contains(&calls), "{calls} calls");
 }
 
--- a/crates/mangowalkd/tests/machines/leaving.rs
+++ b/crates/mangowalkd/tests/machines/leaving.rs
@@ -45,7 +45,8 @@
     }
 }
 
-/// Removes an engine from the list without draining it first. It keeps serving.
+/// Removes an engine that is in use from the list without draining it first, and waits
+/// until peers have reported it. The engine keeps serving.
 fn remove_from_list(deployment: &Deployment, engine: &Engine) {
     send_orders_for(deployment, GATED_MACHINE, Duration::from_millis(300));
     assert!(!engine.runs().is_empty(), "the engine is used");
--- a/crates/mangowalkd/tests/machines/rates.rs
+++ b/crates/mangowalkd/tests/machines/rates.rs
@@ -13,7 +13,7 @@
 const TOKENS_PER_S: f64 = 1_000.0;
 const BURST_TOKENS: f64 = 4_000.0;
 
-/// A team sends five times its rate to three instances in turn. Over all of them it
+/// A team sends many times its rate to three instances in turn. Over all of them it
 /// must get at most its rate and burst plus 10%. Refusals must be 429, which states
 /// that the request has not run, with a time after which to retry.
 #[test]
--- a/crates/mangowalkd/tests/soak/faults.rs
+++ b/crates/mangowalkd/tests/soak/faults.rs
@@ -22,7 +22,8 @@
     RestoreKey,
 }
 
-/// Departure of an engine, at the time of its write to the store.
+/// Departure of an engine, at the time of the write that sets it to draining or removes
+/// its entry.
 #[derive(Debug, Clone)]
 pub(crate) struct Departure {
     pub(crate) engine: String,
