--- a/crates/mangowalk/src/story/cause.rs
+++ b/crates/mangowalk/src/story/cause.rs
@@ -136,8 +136,8 @@
     "No engine of its service took work: all were leaving, silent, or had weights out of bounds. It has not run.".to_owned()
 }
 
-/// Returns a note if the engine was loading new weights when it rejected the
-/// request, else an empty string.
+/// Returns a note if an order for new weights was sent to the engine before it
+/// rejected the request, else an empty string.
 fn loading_note(line: &LogLine, engine_lines: &[&LogLine]) -> &'static str {
     let is_loading = engine_lines.iter().any(|other| {
         other.event == "weights_step"
--- a/crates/mangowalkd/tests/soak/check.rs
+++ b/crates/mangowalkd/tests/soak/check.rs
@@ -165,6 +165,8 @@
     is_late.then_some("a withdrawn key was served")
 }
 
+/// Checks that each machine is ready at the end and has answered at least 90% of the
+/// requests sent from 2 seconds after the end of the last fault with 200.
 fn check_recovery(faults: &Faults, requests: &[SentRequest], recovered: Instant) -> Vec<String> {
     let machines = faults.deployment.machines.iter().enumerate();
     let later = requests
--- a/crates/mangowalkd/tests/soak/play.rs
+++ b/crates/mangowalkd/tests/soak/play.rs
@@ -18,8 +18,8 @@
 const MACHINES: usize = 4;
 const CALLERS: u64 = 6;
 
-/// Time after the last fault for which callers keep sending requests. All instances
-/// must recover within it.
+/// Time after the end of the last fault for which callers keep sending requests. All
+/// instances must recover within it.
 const RECOVERY: Duration = Duration::from_secs(5);
 
 /// Runs the schedule of a seed under traffic and returns the violated guarantees.
