--- a/crates/mangowalk/src/story/cause.rs
+++ b/crates/mangowalk/src/story/cause.rs
@@ -3,7 +3,7 @@
 /// Returns sentences that say why a request ended as it did.
 ///
 /// `request_lines` holds the lines of the request by time, `engine_lines` those
-/// about the engines that it was sent to.
+/// about the engines that `request_lines` name.
 pub(super) fn explain_outcome(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
     format!(
         "{}{}",
@@ -136,8 +136,8 @@
     "No engine of its service took work: all were leaving, silent, or had weights out of bounds. It has not run.".to_owned()
 }
 
-/// Returns a note if the engine was loading new weights when it rejected the
-/// request, else an empty string.
+/// Returns a note if an order for new weights was sent to the engine before it
+/// rejected the request, else an empty string.
 fn loading_note(line: &LogLine, engine_lines: &[&LogLine]) -> &'static str {
     let is_loading = engine_lines.iter().any(|other| {
         other.event == "weights_step"
