--- a/crates/mangowalkd/src/cli/settings.rs
+++ b/crates/mangowalkd/src/cli/settings.rs
@@ -20,7 +20,7 @@
     pub platform_address: SocketAddr,
     /// Failure domain of this instance.
     pub failure_domain: String,
-    /// Peer addresses to try at start while the platform is down.
+    /// Peer addresses to try, so that peers are found while the platform is down.
     pub seed_peers: Vec<SocketAddr>,
     /// Maximum size of a request body.
     pub max_body_bytes: usize,
@@ -32,7 +32,7 @@
     /// another engine.
     pub first_token_timeout_ms: u64,
     /// Maximum time without progress of a caller that sends its request or reads
-    /// its answer.
+    /// its answer, and maximum time to send a whole request body.
     pub caller_timeout_ms: u64,
     /// Maximum time between two tokens of an engine, after which the request
     /// resumes at another engine.
@@ -84,7 +84,7 @@
 /// Reason why settings are refused. Each message says what to change.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum SettingsError {
-    /// An address that other processes connect to is unspecified, such as 0.0.0.0.
+    /// An address that a process must connect to is unspecified, such as 0.0.0.0.
     #[display(
         "{flag} is {address}, which others can't reach; give the IP number of one interface."
     )]
@@ -94,7 +94,7 @@
         /// Address given.
         address: SocketAddr,
     },
-    /// An address that other processes connect to has port 0.
+    /// An address that a process must connect to has port 0.
     #[display("{flag} is {address}; give a port above 0, since port 0 can't be connected to.")]
     NoPort {
         /// Flag.
--- a/crates/mangowalkd/src/cli/usage.rs
+++ b/crates/mangowalkd/src/cli/usage.rs
@@ -1,8 +1,8 @@
 //! Error messages for arguments that can't be parsed.
 //!
-//! The parser's message holds only the text that it can't parse, not the name of
-//! the environment variable that it came from. That is hard to find among many
-//! variables of a unit file, so this module finds and names the flag or variable.
+//! The parser's message holds the text of a flag that it can't parse, but neither
+//! the name nor the text of an environment variable. Among many variables of a unit
+//! file the wrong one is hard to find, so this module names the flag or variable.
 
 use {
     bpaf::{OptionParser, ParseFailure},
--- a/crates/mangowalkd/src/controller/engine_poll.rs
+++ b/crates/mangowalkd/src/controller/engine_poll.rs
@@ -11,8 +11,9 @@
 /// Pause between two rounds of polls.
 const PERIOD_MS: u64 = 250;
 
-/// Engines polled per round in a small fleet. At the maximum size each engine is
-/// polled once per second.
+/// Engines polled per round in a small fleet, where an instance knows the current
+/// state of every engine. At the maximum size each engine is polled once per
+/// second.
 const POLLS_PER_ROUND_SMALL_FLEET: usize = 8;
 
 /// Maximum number of engines in a small fleet. An instance may use 4 KB per
--- a/crates/mangowalkd/src/controller/record_status.rs
+++ b/crates/mangowalkd/src/controller/record_status.rs
@@ -28,7 +28,8 @@
 const LEASE: &str = "status";
 
 /// Writes the status of each record (accepted or refused) to the platform. One
-/// instance at a time writes, and only status that changed.
+/// instance at a time writes, and only status that changed. While nothing changes,
+/// it writes only its lease.
 pub struct StatusWriter<E> {
     lease: LeaseManager,
     written: Option<BTreeMap<String, RecordStatus>>,
--- a/crates/mangowalkd/src/controller/registry.rs
+++ b/crates/mangowalkd/src/controller/registry.rs
@@ -21,7 +21,7 @@
 /// Pause after a failed call.
 const RETRY_MS: u64 = 1_000;
 
-/// Time for which an instance must not be live before its object is deleted.
+/// Time after which the object of an instance that isn't live is deleted.
 const REMOVE_AFTER_MS: u64 = 120_000;
 
 /// Registers this instance in the platform's list of instances, and reads the
--- a/crates/mangowalkd/src/controller/slots.rs
+++ b/crates/mangowalkd/src/controller/slots.rs
@@ -30,7 +30,7 @@
 /// Fleet size up to which the maximum interval isn't lengthened. A list takes
 /// about 77 KB, which every 30 s is more than half of what an instance may use
 /// for all its control traffic. In a larger fleet each instance holds fewer
-/// slots, so that the slots of one that died may stay unheld for longer.
+/// slots, so it is acceptable that they stay unheld for longer if it dies.
 const INSTANCES_PER_LIST_INTERVAL: u32 = 32;
 
 /// Maximum factor by which a larger fleet lengthens the interval.
--- a/crates/mangowalkd/src/edge/http.rs
+++ b/crates/mangowalkd/src/edge/http.rs
@@ -19,7 +19,8 @@
         .with_timeout(timeout_ms.div_ceil(MS_PER_S).max(1))
 }
 
-/// Returns whether a failed call may have sent the request, as an error.
+/// Converts the error of a failed call to one that says how much is known of the
+/// request.
 ///
 /// Only a refused connection shows that nothing was sent. Every other failure
 /// may have occurred after the first byte was sent.
@@ -39,8 +40,9 @@
 ///
 /// # Errors
 ///
-/// Returns [`SendError::Lost`] if the body is shorter or longer than declared,
-/// and the error of [`send_error`] if there is no answer.
+/// Returns [`SendError::Lost`] if the connection closed without an answer, or if
+/// the body can't be read or hasn't the declared length. Returns the error of
+/// [`send_error`] if the call failed.
 pub(super) fn exchange(
     request: minreq::Request,
     timeout_ms: u64,
--- a/crates/mangowalkd/src/edge/traffic.rs
+++ b/crates/mangowalkd/src/edge/traffic.rs
@@ -4,7 +4,8 @@
 };
 
 /// Estimated bytes of the headers of one HTTP exchange, request and answer
-/// together, for the clients of this module. Bodies are counted exactly.
+/// together, as the clients of this module write them. The bodies of answers are
+/// counted exactly.
 const HTTP_HEAD_BYTES: u64 = 300;
 
 /// Counters of the instance's control traffic: everything but callers' requests
--- a/crates/mangowalkd/src/operator/status.rs
+++ b/crates/mangowalkd/src/operator/status.rs
@@ -7,7 +7,8 @@
     },
 };
 
-/// Time after an engine's last report from which it is shown as silent.
+/// Time after an engine's last report from which it is shown as silent, and no
+/// longer in the state that it reported.
 const SILENT_MS: u64 = 5_000;
 
 /// Returns the status of the instance.
--- a/crates/mangowalkd/tests/config.rs
+++ b/crates/mangowalkd/tests/config.rs
@@ -84,9 +84,9 @@
     );
 }
 
-/// All routers and the platform were down, and a router restarts first, without
-/// any records. It must refuse requests as not run, with a time to retry,
-/// because it would otherwise accept withdrawn keys.
+/// All routers and the platform were down, and a router restarts before the
+/// platform, so that nobody holds a record. It must refuse requests as not run,
+/// with a time to retry, because a guess would accept withdrawn keys.
 #[test]
 fn requests_are_refused_without_platform_and_peers() {
     let router = RouterProcess::start(PROGRAM, free_address(), &[]);
--- a/crates/mangowalkd/tests/config_status.rs
+++ b/crates/mangowalkd/tests/config_status.rs
@@ -61,7 +61,8 @@
 }
 
 /// The instance that writes status dies while no record changes. The next lease
-/// holder must read the written status and not write it again.
+/// holder must read the written status and not write it again. While nothing
+/// changes, the lease is the only object that a writer of status keeps writing.
 #[test]
 fn unchanged_status_is_not_written_again() {
     let mut fleet = fleet(3);
--- a/crates/mangowalkd/tests/fault_pairs.rs
+++ b/crates/mangowalkd/tests/fault_pairs.rs
@@ -1,5 +1,5 @@
-//! Every pair of faults, including a fault with itself, while streams and orders
-//! are in progress.
+//! Every pair of faults in both orders, and each fault twice, while streams and
+//! orders are in progress.
 //!
 //! With every pair, an admitted stream must reach its caller complete and in
 //! order, a refusal as "not run" must be true, and an order must run at most once
@@ -241,8 +241,8 @@
     )
 }
 
-/// Runs pairs of this fault with every fault after it, itself included, in one
-/// fleet.
+/// Injects this fault followed by each of [`FAULTS`], itself included, one pair
+/// after the other in one fleet.
 fn run_with_every_fault(first: Fault) {
     let mut faults = FaultFleet::new();
     for second in FAULTS {
