--- a/crates/standins/examples/hedging.rs
+++ b/crates/standins/examples/hedging.rs
@@ -23,7 +23,7 @@
 const SEEDS: u64 = 5;
 /// Prefill time of a request whose prefix is cached on its engine.
 const HIT_MS: f64 = 30.0;
-/// Prefill time of any other request.
+/// Prefill time of any other request, and of every copied or moved one.
 const MISS_MS: f64 = 400.0;
 
 /// Share of requests whose prefix is not cached on any engine.
@@ -205,7 +205,7 @@
     }
 
     /// Stalls an engine, which delays the end of its current prefill by
-    /// `STALL_MS`.
+    /// `STALL_MS`. An idle engine starts no prefill before the stall ends.
     fn stall(&mut self, engine: usize) {
         let model = &mut self.engines[engine];
         model.busy_until_ms = model.busy_until_ms.max(self.now_ms) + STALL_MS;
--- a/crates/standins/src/engine/faults.rs
+++ b/crates/standins/src/engine/faults.rs
@@ -14,11 +14,11 @@
     pub pad_bytes: usize,
     /// Every attempt stalls at its next token, with its stream open.
     pub stall: bool,
-    /// Every attempt ends its response body after this many tokens without
-    /// the final event.
+    /// Every attempt ends after this many tokens as if it were complete: the
+    /// response body ends by the rules of HTTP, but without the final event.
     pub cut_after_tokens: Option<u64>,
     /// Every attempt sends a failure event in place of tokens; the value is
-    /// the event's `not_run`, which states that nothing ran.
+    /// the event's `not_run`, which states whether nothing ran.
     pub fail_not_run: Option<bool>,
     /// Position of a token that is left out.
     pub skip_token: Option<u64>,
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! `POST /generate`, `POST /cancel`, `GET /state`, `GET /load`,
 //! `GET /events?from=SEQUENCE`, `POST /order`; `POST /faults` sets
-//! [`EngineFaults`], `POST /crash` crashes the engine and
-//! restarts it with an empty cache.
+//! [`EngineFaults`], `POST /crash` crashes the engine and restarts it with an
+//! empty cache.
 
 mod answer;
 mod attempt;
--- a/crates/standins/src/engine/settings.rs
+++ b/crates/standins/src/engine/settings.rs
@@ -15,7 +15,8 @@
     pub token_us: u64,
     /// Time to load weights, in milliseconds.
     pub load_ms: u64,
-    /// Whether orders with an older fencing number than the last are refused.
+    /// Whether orders with a fencing number below the highest one received are
+    /// refused.
     pub checks_fencing: bool,
 }
 
--- a/crates/standins/src/engine/stand_in.rs
+++ b/crates/standins/src/engine/stand_in.rs
@@ -43,7 +43,8 @@
     model: String,
     pub(super) version: String,
     loading: bool,
-    /// Highest fencing number of an order.
+    /// Highest fencing number of an order since the start; 0 if the settings
+    /// don't check it.
     fencing: u64,
     running: u32,
     waiting: u32,
--- a/crates/standins/src/platform/faults.rs
+++ b/crates/standins/src/platform/faults.rs
@@ -17,7 +17,7 @@
     pub lose_reads: bool,
     /// Number of revisions by which lists and watches lag behind.
     pub lag_revisions: u64,
-    /// Watches return no changes.
+    /// Watches return no changes, and do so only after their `wait_ms`.
     pub mute_watches: bool,
 }
 
--- a/crates/standins/src/platform/stand_in.rs
+++ b/crates/standins/src/platform/stand_in.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Starts a further listener of the platform whose watches never return a
-    /// change, and returns its address.
+    /// Starts a further listener of the platform, and returns its address. Its
+    /// watches wait for their whole `wait_ms` and never return a change.
     pub fn silent_address(&self) -> SocketAddr {
         let handler = self.shared.clone();
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
--- a/crates/standins/src/queue/baseline.rs
+++ b/crates/standins/src/queue/baseline.rs
@@ -108,7 +108,8 @@
         matches!(self.kind, PolicyKind::Fifo | PolicyKind::StaticShares)
     }
 
-    /// Returns whether a team may use one more slot.
+    /// Returns whether a team may use one more slot. Every team may always use
+    /// one; with one FIFO queue, shares don't apply.
     fn has_share(&self, team: usize) -> bool {
         if self.kind == PolicyKind::Fifo {
             return true;
@@ -117,8 +118,8 @@
         f64::from(self.team_running[team]) < (slots * TEAM_SHARES[team]).max(1.0)
     }
 
-    /// Sends queued requests while an engine has a free slot: in the order of
-    /// arrival, of teams within their shares only.
+    /// Sends queued requests in the order of arrival while an engine has a free
+    /// slot; with static shares, only those of teams within their share.
     fn drain(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         loop {
--- a/crates/standins/src/queue/deployment.rs
+++ b/crates/standins/src/queue/deployment.rs
@@ -1,6 +1,6 @@
 use mangowalk_core::admission::AdmissionProfile;
 
-/// Size and traffic of one of the users' deployments.
+/// Present size and traffic of one of the users' deployments.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
     /// Name in the printed table.
--- a/crates/standins/src/queue/figures.rs
+++ b/crates/standins/src/queue/figures.rs
@@ -34,8 +34,8 @@
     /// Tokens served in percent of tokens requested within the rate, of the team
     /// with the lowest value.
     pub worst_team_percent: f64,
-    /// Requests that were refused or whose caller disconnected, in percent of all
-    /// requests within their team's rate.
+    /// Requests within their team's rate that were refused or whose caller
+    /// disconnected, in percent of all requests within their team's rate.
     pub refused_percent: f64,
     /// Tokens served within the rate, by team.
     pub served_tokens: [u64; TEAM_SHARES.len()],
--- a/crates/standins/src/queue/pattern.rs
+++ b/crates/standins/src/queue/pattern.rs
@@ -34,7 +34,8 @@
     /// One team sends 5 times its rate.
     #[display("one team at 5x rate")]
     OneTeamOverRate,
-    /// The inner prefix that receives half of the requests changes every 5 s.
+    /// The inner prefix that receives half of its team's requests changes every
+    /// 5 s.
     #[display("shifting hot prefix")]
     ShiftingHotPrefix,
     /// An engine crashes and restarts 1 s later with an empty cache.
--- a/crates/standins/src/queue/polling.rs
+++ b/crates/standins/src/queue/polling.rs
@@ -1,7 +1,7 @@
 use super::run::{Event, Run};
 
 /// Number of engines whose state, or whose cache events, an instance reads in
-/// one round, as in the router.
+/// one round, as in the running router for fleets of up to 32 engines.
 pub(super) const ENGINES_PER_ROUND: usize = 8;
 
 /// Time between two rounds of reading states.
--- a/crates/standins/src/queue/run.rs
+++ b/crates/standins/src/queue/run.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Event of the simulation. Requests and instances are given by index.
+/// Event of the simulation. Requests, engines and instances are given by index.
 #[derive(Debug)]
 pub(super) enum Event {
     Arrive(u64),
--- a/crates/standins/src/queue/workload.rs
+++ b/crates/standins/src/queue/workload.rs
@@ -118,7 +118,8 @@
         let tokens = self
             .rng
             .random_range(min_tokens..=MEAN_ANSWER_TOKENS + min_tokens);
-        // Long answers don't change the arrival rate of the pattern.
+        // Long answers don't lower the arrival rate, so the pattern brings more
+        // work than `Pattern::load` states.
         if long { tokens * 8 } else { tokens }
     }
 
