--- a/crates/core/src/config/store.rs
+++ b/crates/core/src/config/store.rs
@@ -13,11 +13,12 @@
 pub enum MergeOutcome {
     /// The write was merged and is in force.
     Applied,
-    /// The write was newer and was refused; the earlier record stays in force.
+    /// The write was newer, but its body is no valid record; the earlier record
+    /// stays in force.
     Refused,
     /// The write was not newer than the stored one.
     Stale,
-    /// The kind of the object is not that of a record.
+    /// The kind of the object is not a kind of record.
     Ignored,
 }
 
@@ -26,7 +27,10 @@
 pub struct Store {
     entries: BTreeMap<(Kind, String), Entry>,
     revision: u64,
+    /// Revision of the last full set that raised the revision of this store.
+    /// Records withdrawn at or before it may have no tombstone here.
     tombstones_since: u64,
+    /// XOR of the hashes of all entries.
     hash: u64,
 }
 
@@ -50,7 +54,7 @@
     ///
     /// Only a higher version than the stored one is merged, since a replayed
     /// watch, a lagging list or an outdated peer could otherwise restore a
-    /// withdrawn key. Versions are assigned by the platform alone, so comparing
+    /// withdrawn API key. Versions are assigned by the platform alone, so comparing
     /// them is enough.
     ///
     /// For a record that is not stored, or stored as withdrawn, only a write
@@ -67,6 +71,8 @@
         self.merge_above(self.revision, kind, name, version, body)
     }
 
+    /// Merges one write like [`Store::merge`]. For a record that is not stored,
+    /// or stored as withdrawn, only a write after `floor` is merged.
     fn merge_above(
         &mut self,
         floor: u64,
@@ -95,9 +101,9 @@
             _ => MergeOutcome::Applied,
         };
         if outcome == MergeOutcome::Refused && floor > 0 {
-            // The record did not exist at the floor. Without this entry, a
-            // peer's last readable write from before it would count as in
-            // force.
+            // The record did not exist at the floor. Without this withdrawal as
+            // the last readable write, an older readable write from a peer
+            // would come into force.
             entry.last_readable = Some(Write {
                 version: floor,
                 body: None,
@@ -121,7 +127,8 @@
         }
     }
 
-    /// Merges the answer to a watch that started at a revision this store had.
+    /// Merges the answer to a watch that started at a revision which this store
+    /// had reached.
     /// Returns the number of refused records.
     pub fn merge_watch(&mut self, reply: &WatchReply) -> usize {
         let refused = reply
@@ -136,45 +143,47 @@
     /// Merges a complete list and returns the number of records that changed.
     ///
     /// A list that is older than the store's own revision is ignored: it lags,
-    /// and records that only the list has were withdrawn since. For any other
-    /// list, a record that is missing was withdrawn.
+    /// and records that are in the list but not in the store were withdrawn
+    /// after it. For any other list, a stored record that is missing in it was
+    /// withdrawn.
     pub fn merge_list(&mut self, list: &ListReply) -> usize {
         if list.revision < self.revision {
             return 0;
         }
         let mut changed = 0;
-        let mut seen = HashSet::new();
+        let mut present = HashSet::new();
         for object in &list.objects {
             let text = object.body.to_string();
             let key = &object.key;
-            seen.insert((key.kind.as_str(), key.name.as_str()));
+            present.insert((key.kind.as_str(), key.name.as_str()));
             let outcome = self.merge_above(0, &key.kind, &key.name, object.version, Some(&text));
             changed += usize::from(outcome == MergeOutcome::Applied);
         }
-        changed + self.adopt_full(list.revision, &seen)
+        changed + self.adopt_full(list.revision, &present)
     }
 
     /// Adopts the revision of a full set of records and withdraws the stored
-    /// records that are missing in it. Returns the number of withdrawn records.
+    /// records that are missing in it. `present` holds the kinds and names of the
+    /// records in the set. Returns the number of withdrawn records.
     ///
     /// The tombstone gets the revision of the full set as its version. The
     /// withdrawal happened at or before that revision, so every write up to it
     /// is older than the withdrawal, and every later write is newer.
-    fn adopt_full(&mut self, revision: u64, seen: &HashSet<(&str, &str)>) -> usize {
-        let mut changed = 0;
+    fn adopt_full(&mut self, revision: u64, present: &HashSet<(&str, &str)>) -> usize {
+        let mut withdrawn = 0;
         for ((kind, name), entry) in &mut self.entries {
-            let live = entry.state != EntryState::Withdrawn && entry.version <= revision;
-            if live && !seen.contains(&(kind.to_string().as_str(), name.as_str())) {
+            let is_live = entry.state != EntryState::Withdrawn && entry.version <= revision;
+            if is_live && !present.contains(&(kind.to_string().as_str(), name.as_str())) {
                 self.hash ^= entry_hash(*kind, name, entry);
                 *entry = Entry::first(*kind, revision, None);
-                changed += 1;
+                withdrawn += 1;
             }
         }
         if revision > self.revision {
             self.tombstones_since = revision;
         }
         self.advance(revision);
-        changed
+        withdrawn
     }
 
     /// Raises the revision after all writes up to it have been merged.
@@ -210,19 +219,20 @@
         let is_full = delta.is_full && delta.revision >= self.revision;
         let floor = if is_full { 0 } else { self.revision };
         let mut changed = 0;
-        let mut seen = HashSet::new();
+        let mut present = HashSet::new();
         for entry in &delta.entries {
-            // A tombstone in a full delta may be older than the write stored
-            // here, if the sender did not see a rewrite and its withdrawal
-            // between two lists.
+            // A tombstone in a full delta does not count as present. It may be
+            // older than the write stored here: the record was written and
+            // withdrawn again between two lists of the sender, which saw
+            // neither.
             if entry.body.is_some() {
-                seen.insert((entry.kind.as_str(), entry.name.as_str()));
+                present.insert((entry.kind.as_str(), entry.name.as_str()));
             }
             let outcome = self.merge_peer_above(floor, entry);
             changed += usize::from(outcome == MergeOutcome::Applied);
         }
         if is_full {
-            return changed + self.adopt_full(delta.revision, &seen);
+            return changed + self.adopt_full(delta.revision, &present);
         }
         if !delta.is_full && delta.after <= self.revision {
             self.advance(delta.revision);
@@ -239,7 +249,8 @@
     }
 
     /// Returns the records that the instance with this digest may lack; no
-    /// entries if the digests are equal.
+    /// entries if the digests are equal. Entries with a last readable write are
+    /// always included.
     pub fn delta_for(&self, digest: &Digest) -> Delta {
         let is_full = digest.revision < self.tombstones_since;
         let mut delta = Delta {
@@ -263,8 +274,8 @@
 }
 
 /// Returns the hash of one entry; 0 for a withdrawn one. The digest combines
-/// the hashes by XOR, so a change costs one hash instead of one for each
-/// record.
+/// the hashes by XOR, so that a change of one entry does not need the hashes of
+/// all others.
 fn entry_hash(kind: Kind, name: &str, entry: &Entry) -> u64 {
     if entry.state == EntryState::Withdrawn {
         return 0;
@@ -274,9 +285,9 @@
     hasher.update(&entry.version.to_le_bytes());
     hasher.update(&entry.version_in_force().to_le_bytes());
     hasher.update(name.as_bytes());
-    let mut first = [0; 8];
-    hasher.finalize_xof().fill(&mut first);
-    u64::from_le_bytes(first)
+    let mut bytes = [0; 8];
+    hasher.finalize_xof().fill(&mut bytes);
+    u64::from_le_bytes(bytes)
 }
 
 fn wire_entry(kind: Kind, name: &str, entry: &Entry) -> ConfigEntry {
--- a/crates/core/src/placement/block_index.rs
+++ b/crates/core/src/placement/block_index.rs
@@ -3,7 +3,7 @@
     std::collections::HashMap,
 };
 
-/// Maximum number of engines in the index: one bit each in a `u64`.
+/// Maximum number of engines in the index: one bit for each in a `u64`.
 pub(super) const MAX_INDEXED_ENGINES: usize = 64;
 
 /// Position in the cache events of one engine.
@@ -11,30 +11,36 @@
 struct Cursor {
     incarnation: u64,
     next_sequence: u64,
+    /// Whether events were applied; false only in the default value.
     synced: bool,
 }
 
-/// Cached blocks of a small fleet, each with the engines that hold it.
+/// Cached blocks of a small fleet, each with the engines that hold it. An engine
+/// is identified by its slot in the fleet.
 ///
-/// Built from the cache events of the engines. Events of another incarnation
-/// are ignored. A gap in the events clears the entries of that engine: blocks
-/// stored after the gap are known to be cached, but earlier ones may have been
-/// evicted in the gap.
+/// Built from the cache events of the engines. Events of an incarnation other
+/// than the current one are ignored. A gap in the events of an engine clears
+/// its entries, because blocks stored before the gap may have been evicted in
+/// it. Blocks stored after the gap are known to be cached. The first events of
+/// a new incarnation clear the entries too.
 #[derive(Debug, Default)]
 pub(super) struct BlockIndex {
+    /// By the digest of a block: a bit mask of the engines that hold it, by slot.
     blocks: HashMap<u64, u64>,
+    /// By slot.
     cursors: HashMap<usize, Cursor>,
 }
 
 impl BlockIndex {
-    /// Returns the sequence number of the next event to read.
+    /// Returns the sequence number of the next event to read of an engine.
     pub(super) fn next_sequence(&self, slot: usize) -> u64 {
         self.cursors.get(&slot).map_or(0, |c| c.next_sequence)
     }
 
-    /// Returns whether the index is valid for an engine: its events have been
-    /// applied. Blocks without an entry then count as not cached, except those
-    /// of requests sent so recently that their events may not have arrived.
+    /// Returns whether the index is valid for an engine, because events of the
+    /// engine were applied. Blocks without an entry then count as not cached,
+    /// except the blocks of requests sent so recently that their events may not
+    /// have arrived.
     pub(super) fn is_synced(&self, slot: usize) -> bool {
         self.cursors.get(&slot).is_some_and(|c| c.synced)
     }
@@ -50,29 +56,30 @@
     }
 
     /// Applies cache events of an engine. Events of an incarnation other than
-    /// the current one are ignored.
+    /// the current one, given by `incarnation`, are ignored, and so are events
+    /// that were already applied.
     pub(super) fn apply_events(&mut self, slot: usize, incarnation: u64, events: &CacheEvents) {
         if slot >= MAX_INDEXED_ENGINES || events.incarnation != incarnation {
             return;
         }
         let cursor = self.cursors.get(&slot).copied().unwrap_or_default();
-        let same_start = cursor.incarnation == incarnation;
-        let follows = same_start && events.first_sequence <= cursor.next_sequence;
-        if !follows {
+        let same_incarnation = cursor.incarnation == incarnation;
+        let is_contiguous = same_incarnation && events.first_sequence <= cursor.next_sequence;
+        if !is_contiguous {
             self.remove_engine(slot);
         }
-        let skip = match follows {
+        let known_count = match is_contiguous {
             true => (cursor.next_sequence - events.first_sequence) as usize,
             false => 0,
         };
-        for change in events.changes.iter().skip(skip) {
+        for change in events.changes.iter().skip(known_count) {
             self.apply_change(slot, change);
         }
-        let end = events.first_sequence + events.changes.len() as u64;
-        let next_sequence = if follows {
-            end.max(cursor.next_sequence)
+        let end_sequence = events.first_sequence + events.changes.len() as u64;
+        let next_sequence = if is_contiguous {
+            end_sequence.max(cursor.next_sequence)
         } else {
-            end
+            end_sequence
         };
         let cursor = Cursor {
             incarnation,
@@ -82,7 +89,8 @@
         self.cursors.insert(slot, cursor);
     }
 
-    /// Removes all entries of an engine.
+    /// Removes all entries of an engine. The index is not valid for it until
+    /// events are applied again.
     pub(super) fn remove_engine(&mut self, slot: usize) {
         if self.cursors.remove(&slot).is_none() {
             return;
@@ -98,7 +106,7 @@
         let bit = 1 << slot;
         match change {
             CacheChange::Stored(digest) => *self.blocks.entry(*digest).or_default() |= bit,
-            CacheChange::Evicted(digest) => self.remove(*digest, bit),
+            CacheChange::Evicted(digest) => self.remove_holder(*digest, bit),
             CacheChange::Cleared => {
                 self.blocks.retain(|_, holders| {
                     *holders &= !bit;
@@ -108,7 +116,7 @@
         }
     }
 
-    fn remove(&mut self, digest: u64, bit: u64) {
+    fn remove_holder(&mut self, digest: u64, bit: u64) {
         let Some(holders) = self.blocks.get_mut(&digest) else {
             return;
         };
--- a/crates/core/src/placement/fleet.rs
+++ b/crates/core/src/placement/fleet.rs
@@ -7,15 +7,18 @@
     std::collections::HashMap,
 };
 
-/// Engines of one model.
+/// Engines of one model, without departing ones.
 #[derive(Debug, Default)]
 pub(super) struct ModelEngines {
     pub(super) slots: Vec<usize>,
     pub(super) ring: Ring,
+    /// Number of engines that serve each weights version.
     versions: HashMap<String, usize>,
 }
 
-/// All engines, by a slot that stays the same while the record exists.
+/// All engines. Each has a slot, its index in `engines`, that stays the same while
+/// its record exists. The slot of a removed engine is reused only by an engine
+/// that the same [`Fleet::set`] adds.
 #[derive(Debug, Default)]
 pub(super) struct Fleet {
     engines: Vec<TrackedEngine>,
@@ -28,29 +31,29 @@
     /// the state of engines that stay. Returns the slots whose engine was
     /// removed.
     pub(super) fn set(&mut self, specs: &[EngineSpec]) -> Vec<usize> {
-        let gone: Vec<String> = self
+        let removed_names: Vec<String> = self
             .by_name
             .keys()
             .filter(|name| specs.iter().all(|s| s.name != **name))
             .cloned()
             .collect();
-        let freed: Vec<usize> = gone
+        let freed_slots: Vec<usize> = removed_names
             .iter()
             .filter_map(|name| self.by_name.remove(name))
             .collect();
-        let mut free = freed.clone();
+        let mut reusable_slots = freed_slots.clone();
         for spec in specs {
             match self.by_name.get(&spec.name) {
                 Some(slot) => self.engines[*slot].spec = spec.clone(),
-                None => self.insert_new(spec, free.pop()),
+                None => self.insert_new(spec, reusable_slots.pop()),
             }
         }
-        self.rebuild();
-        freed
+        self.rebuild_models();
+        freed_slots
     }
 
-    fn insert_new(&mut self, spec: &EngineSpec, free: Option<usize>) {
-        let slot = match free {
+    fn insert_new(&mut self, spec: &EngineSpec, freed_slot: Option<usize>) {
+        let slot = match freed_slot {
             Some(slot) => {
                 let generation = self.engines[slot].generation + 1;
                 self.engines[slot] = TrackedEngine::new(spec.clone(), generation);
@@ -64,7 +67,7 @@
         self.by_name.insert(spec.name.clone(), slot);
     }
 
-    fn rebuild(&mut self) {
+    fn rebuild_models(&mut self) {
         self.models.clear();
         let mut names: Vec<(&String, usize)> = self.by_name.iter().map(|(n, s)| (n, *s)).collect();
         names.sort_unstable();
@@ -90,7 +93,7 @@
     pub(super) fn report(&mut self, name: &str, state: Option<&EngineState>) -> Option<usize> {
         let slot = *self.by_name.get(name)?;
         let engine = &mut self.engines[slot];
-        let before = engine.served();
+        let served_before = engine.served();
         let restarted = match state {
             Some(state) => engine.report(state),
             None => {
@@ -98,7 +101,7 @@
                 false
             }
         };
-        if before != self.engines[slot].served() {
+        if served_before != self.engines[slot].served() {
             self.count_versions();
         }
         restarted.then_some(slot)
@@ -115,21 +118,22 @@
         }
     }
 
-    /// Returns the weights version with which a request runs. Each version gets
-    /// a share of the prefixes in proportion to its engines, so that the first
-    /// engines of a new version are not overloaded, and a prefix stays with one
-    /// version while nothing changes.
-    pub(super) fn version(&self, model: &str, key: u64) -> Option<&str> {
+    /// Returns the weights version with which a request runs, given the digest of
+    /// the first block of its prompt. Each version gets a share of the prompt
+    /// prefixes in proportion to its number of engines, so that the first
+    /// engines of a new version are not overloaded. A prefix stays with one
+    /// version while these numbers do not change.
+    pub(super) fn version(&self, model: &str, first_block: u64) -> Option<&str> {
         let versions = &self.models.get(model)?.versions;
         let mut sorted: Vec<(&String, &usize)> = versions.iter().collect();
         sorted.sort_unstable();
         let total: usize = versions.values().sum();
-        let mut point = (key % total.max(1) as u64) as usize;
+        let mut offset = (first_block % total.max(1) as u64) as usize;
         for (version, count) in sorted {
-            if point < *count {
+            if offset < *count {
                 return Some(version);
             }
-            point -= count;
+            offset -= count;
         }
         None
     }
@@ -154,11 +158,12 @@
         self.by_name.len()
     }
 
-    /// Returns the total number of request slots of the engines of a model that
-    /// have reported.
+    /// Returns the total number of requests that the engines of a model can run
+    /// at the same time (their own slots, not those of the fleet). Engines that
+    /// have not reported do not count.
     pub(super) fn request_slots(&self, model: &str) -> u32 {
-        let slots = self.models.get(model).map(|m| m.slots.as_slice());
-        slots
+        let fleet_slots = self.models.get(model).map(|m| m.slots.as_slice());
+        fleet_slots
             .unwrap_or_default()
             .iter()
             .map(|slot| &self.engines[*slot])
--- a/crates/core/src/pool/requirements.rs
+++ b/crates/core/src/pool/requirements.rs
@@ -1,9 +1,10 @@
-/// A part of a prompt, which other requests may share.
+/// One of the consecutive parts of a prompt. Other requests may share it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of the part including all parts before it.
+    /// Identity of the prefix that ends with this part, so of this part and all
+    /// parts before it.
     pub id: u64,
-    /// Length of the part.
+    /// Length of this part alone.
     pub tokens: u32,
 }
 
@@ -23,26 +24,28 @@
     /// alone.
     pub parts: Vec<PromptPart>,
     /// Mixed into the identities of parts, so that an isolated team shares no
-    /// cached parts with others; 0 for other teams.
+    /// cached parts with others; 0 for a request without an isolated team.
     pub isolation_salt: u64,
-    /// Failure domain of this instance.
+    /// Failure domain of the instance that handles the request. Engines in other
+    /// domains cost more.
     pub domain: String,
 }
 
 impl EngineRequirements {
-    /// Returns the identity of the longest prefix that other requests share.
+    /// Returns the identity of the longest prefix that other requests may share;
+    /// `None` if the prompt has fewer than two parts.
     pub fn shared_part(&self) -> Option<u64> {
         self.shared_parts().next().map(|(part, _)| part)
     }
 
-    /// Returns the prefixes that other requests share, longest first, each with
-    /// its identity and its length in tokens.
+    /// Returns the prefixes that other requests may share, longest first, each
+    /// with its identity and its length in tokens.
     pub fn shared_parts(&self) -> impl Iterator<Item = (u64, u64)> {
-        let shared = self.parts.len().saturating_sub(1);
-        (0..shared).rev().map(|last| {
-            let parts = &self.parts[..=last];
+        let shared_count = self.parts.len().saturating_sub(1);
+        (0..shared_count).rev().map(|end| {
+            let parts = &self.parts[..=end];
             let tokens = parts.iter().map(|part| u64::from(part.tokens)).sum();
-            (self.parts[last].id ^ self.isolation_salt, tokens)
+            (self.parts[end].id ^ self.isolation_salt, tokens)
         })
     }
 
--- a/crates/gateway/src/instance/reload.rs
+++ b/crates/gateway/src/instance/reload.rs
@@ -12,9 +12,10 @@
 /// Returns the settings in force after the settings file has changed, and what
 /// became of each changed field.
 ///
-/// Limits on requests can change at any time. Addresses can't, as peers and
-/// callers know this instance by them. Neither can the lease times, as two
-/// holders must not measure a lease differently.
+/// The limits on requests and the other fields listed in `applied` can change at
+/// any time. Addresses can't, as peers and callers know this instance by them.
+/// Neither can the lease times, as two holders of a lease must not measure its
+/// time differently.
 pub fn apply_reloadable(
     old: &MachineSettings,
     new: &MachineSettings,
@@ -61,13 +62,13 @@
         ("weights_ms", old.weights_ms != new.weights_ms),
     ];
     let outcome = ReloadOutcome {
-        applied: changed(&applied),
-        needs_restart: changed(&needs_restart),
+        applied: changed_names(&applied),
+        needs_restart: changed_names(&needs_restart),
     };
     (settings, outcome)
 }
 
-fn changed(fields: &[(&'static str, bool)]) -> Vec<&'static str> {
-    let changed = fields.iter().filter(|(_, differs)| *differs);
-    changed.map(|(name, _)| *name).collect()
+fn changed_names(fields: &[(&'static str, bool)]) -> Vec<&'static str> {
+    let changed_fields = fields.iter().filter(|(_, differs)| *differs);
+    changed_fields.map(|(name, _)| *name).collect()
 }
--- a/crates/mangowalk/src/story/cause.rs
+++ b/crates/mangowalk/src/story/cause.rs
@@ -2,8 +2,8 @@
 
 /// Returns sentences that say why a request ended as it did.
 ///
-/// `request_lines` holds the lines of the request by time, `engine_lines` those
-/// about the engines that it was sent to.
+/// `request_lines` holds the log lines of the request, and `engine_lines` those
+/// of events of the engines that they name, both ordered by time.
 pub(super) fn explain_outcome(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
     format!(
         "{}{}",
@@ -12,7 +12,7 @@
     )
 }
 
-/// Explains the last event that ended the request.
+/// Explains the last line of the request that tells an end (see [`is_end`]).
 fn explain_end(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
     let Some(last) = request_lines.iter().rev().find(|line| is_end(line)) else {
         return "No line tells how it ended: the instance ended, or the caller left first."
@@ -39,8 +39,8 @@
     }
 }
 
-/// Explains why an engine was chosen that may have left by then; empty if there
-/// is no such engine.
+/// Says what the instance knew when it chose an engine that may already have left
+/// the fleet; empty if it chose no such engine. Of several, the last one counts.
 fn explain_uncertain_engine(request_lines: &[&LogLine]) -> String {
     let Some(line) = request_lines
         .iter()
@@ -80,14 +80,15 @@
     ["answered", "refused", "stream_cut"].contains(&line.event.as_str())
 }
 
-/// Returns the engine that the request was sent to last.
+/// Returns the engine that the request was sent to last; `(none)` if it was not
+/// sent.
 fn last_engine<'a>(request_lines: &[&'a LogLine]) -> &'a str {
     let sent = request_lines.iter().rev().find(|line| line.event == "sent");
     sent.map_or("(none)", |line| line.field("engine"))
 }
 
-/// Lists the failed attempts before the one that was answered; empty if there
-/// was one attempt.
+/// Returns the number of attempts and the reason of each failure among them;
+/// empty if there were fewer than two attempts.
 fn failed_attempts(request_lines: &[&LogLine]) -> String {
     let sends = request_lines
         .iter()
@@ -107,12 +108,12 @@
 
 /// Explains a request that no engine accepted.
 fn explain_no_engine(request_lines: &[&LogLine], engine_lines: &[&LogLine]) -> String {
-    if let Some(full) = request_lines.iter().find(|line| line.event == "full") {
+    if let Some(full_line) = request_lines.iter().find(|line| line.event == "full") {
         return format!(
             "It was refused at once: at the best engine, {}, it would have waited {} ms, for a target of {} ms. It has not run.",
-            full.field("engine"),
-            full.field("wait_ms"),
-            full.field("target_ms"),
+            full_line.field("engine"),
+            full_line.field("wait_ms"),
+            full_line.field("target_ms"),
         );
     }
     let rejections: Vec<String> = request_lines
@@ -136,16 +137,16 @@
     "No engine of its service took work: all were leaving, silent, or had weights out of bounds. It has not run.".to_owned()
 }
 
-/// Returns a note if the engine was loading new weights when it rejected the
-/// request, else an empty string.
-fn loading_note(line: &LogLine, engine_lines: &[&LogLine]) -> &'static str {
-    let is_loading = engine_lines.iter().any(|other| {
+/// Returns a note if an order to load new weights had been sent to the engine
+/// when it rejected the request, else an empty string.
+fn loading_note(rejection: &LogLine, engine_lines: &[&LogLine]) -> &'static str {
+    let was_ordered = engine_lines.iter().any(|other| {
         other.event == "weights_step"
-            && other.field("engine") == line.field("engine")
+            && other.field("engine") == rejection.field("engine")
             && other.field("phase") == "Sent"
-            && other.wall_ms <= line.wall_ms
+            && other.wall_ms <= rejection.wall_ms
     });
-    if is_loading {
+    if was_ordered {
         ", taking new weights"
     } else {
         ""
@@ -166,10 +167,10 @@
         };
         (line.field("engine"), why)
     });
-    let silent = engine_lines
+    let was_silent = engine_lines
         .iter()
         .any(|line| line.event == "engine_silent" && line.field("engine") == name);
-    let state = if silent {
+    let state = if was_silent {
         " The engine took no connection around that time."
     } else {
         ""
@@ -186,10 +187,10 @@
     reason: &str,
 ) -> String {
     let name = last_engine(request_lines);
-    let ordered = engine_lines.iter().any(|line| {
+    let was_cut_by_order = engine_lines.iter().any(|line| {
         line.event == "ordered" && line.field("engine") == name && line.field("cut") == "true"
     });
-    let why = match (ordered, reason) {
+    let why = match (was_cut_by_order, reason) {
         (true, _) => "the engine was told to take new weights",
         (false, "timed_out") => "its time was over",
         (false, _) => "the engine's connection ended",
--- a/crates/mangowalkd/tests/bad_input.rs
+++ b/crates/mangowalkd/tests/bad_input.rs
@@ -8,7 +8,7 @@
 /// Pause between two bytes of a slow caller, below the read timeout.
 const SLOW_PAUSE: Duration = Duration::from_millis(100);
 
-fn fleet(args: &[&str]) -> Fleet {
+fn start_fleet(args: &[&str]) -> Fleet {
     let fleet = Fleet::start(&FleetSettings {
         program: env!("CARGO_BIN_EXE_mangowalkd").to_owned(),
         engines: 1,
@@ -48,11 +48,11 @@
     );
 }
 
-/// Each invalid or unsupported body is refused as not run, with an error that
-/// says what to correct, and does not reach an engine.
+/// Each invalid or unsupported body is refused with the outcome `not_run` and an
+/// error that says what to correct. It does not reach an engine.
 #[test]
 fn a_bad_body_is_refused_with_its_remedy() {
-    let fleet = fleet(&[]);
+    let fleet = start_fleet(&[]);
     let before = fleet.engines[0].attempts();
     let (open, close) = ("[".repeat(100_000), "]".repeat(100_000));
     let deep = format!(r#"{{"model":"drafting","messages":{open}{close}}}"#);
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_body_that_is_not_utf8_is_refused() {
-    let fleet = fleet(&[]);
+    let fleet = start_fleet(&[]);
     let mut caller = send_raw(&fleet, "Connection: close\r\nContent-Length: 14", "");
     caller.send(b"{\"model\":\"\xff\xfe\"}");
     let text = caller.read_to_end();
@@ -119,7 +119,7 @@
 
 #[test]
 fn a_body_over_the_limit_is_refused() {
-    let fleet = fleet(&["--max-body-bytes=2000"]);
+    let fleet = start_fleet(&["--max-body-bytes=2000"]);
     let answer = post(&fleet, "/v1/chat/completions", &"a".repeat(3_000));
     assert_eq!(answer.status, 413);
     assert_eq!(answer.json()["error"]["code"], "body_too_large");
@@ -129,12 +129,12 @@
     assert_still_serves(&fleet);
 }
 
-/// A caller declares a body that is larger than any memory. The HTTP server
-/// allocates memory for a body that it discards, which would abort the process
-/// and every stream in it.
+/// A caller declares a body that is larger than any memory. If the HTTP server
+/// discarded the body, it would allocate memory for the declared length. That
+/// would abort the process and every stream in it.
 #[test]
 fn a_huge_content_length_does_not_crash_the_process() {
-    let fleet = fleet(&[]);
+    let fleet = start_fleet(&[]);
     for length in ["99999999999999", "9223372036854775807"] {
         let mut caller = send_raw(&fleet, &format!("Content-Length: {length}"), "{}");
         assert!(caller.read_until("HTTP/1.1 413"), "{}", caller.text());
@@ -142,12 +142,12 @@
     assert_still_serves(&fleet);
 }
 
-/// The framing of a request is ambiguous, and its body contains a second
-/// request (request smuggling). The first is refused and the second is never
-/// served.
+/// The head of a request leaves the length of its body ambiguous, and the body
+/// contains a second request (request smuggling). The first request is refused
+/// and the second is never served.
 #[test]
 fn a_request_smuggled_behind_an_ambiguous_length_is_not_served() {
-    let fleet = fleet(&[]);
+    let fleet = start_fleet(&[]);
     let smuggled = format!(
         "GET /v1/models HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {}\r\nConnection: close\r\n\r\n",
         Fleet::KEY
@@ -175,7 +175,7 @@
 /// streaming is served.
 #[test]
 fn a_stream_over_http_1_0_is_refused() {
-    let fleet = fleet(&[]);
+    let fleet = start_fleet(&[]);
     for (stream, status) in [(true, "400"), (false, "200")] {
         let body = format!(r#"{{"model":"drafting","prompt":"a","stream":{stream}}}"#);
         let mut caller = RawCaller::connect(fleet.routers[0].address());
@@ -195,23 +195,27 @@
 /// time out, and meanwhile other callers are served.
 #[test]
 fn callers_that_stop_sending_are_timed_out() {
-    let fleet = fleet(&["--caller-timeout-ms=400"]);
-    let mut head = RawCaller::connect(fleet.routers[0].address());
-    head.send(b"POST /v1/chat/completions HTTP/1.1\r\nHost:");
-    let mut silent = send_raw(&fleet, "Content-Length: 2000", "{");
+    let fleet = start_fleet(&["--caller-timeout-ms=400"]);
+    let mut stopped_in_head = RawCaller::connect(fleet.routers[0].address());
+    stopped_in_head.send(b"POST /v1/chat/completions HTTP/1.1\r\nHost:");
+    let mut stopped_in_body = send_raw(&fleet, "Content-Length: 2000", "{");
     assert_still_serves(&fleet);
-    assert!(silent.read_until("body_too_slow"), "{}", silent.text());
-    assert!(silent.text().starts_with("HTTP/1.1 408"));
-    assert_eq!(head.read_to_end(), "");
+    assert!(
+        stopped_in_body.read_until("body_too_slow"),
+        "{}",
+        stopped_in_body.text()
+    );
+    assert!(stopped_in_body.text().starts_with("HTTP/1.1 408"));
+    assert_eq!(stopped_in_head.read_to_end(), "");
     assert_still_serves(&fleet);
 }
 
 /// A caller sends one byte within each read timeout, and the rest of its body
-/// at the end. No single read times out, but the total time is over the limit,
-/// so the request is refused.
+/// at the end. No single read times out, but the body as a whole takes longer
+/// than the same timeout, so the request is refused.
 #[test]
 fn a_caller_that_sends_slowly_is_timed_out() {
-    let fleet = fleet(&["--caller-timeout-ms=400"]);
+    let fleet = start_fleet(&["--caller-timeout-ms=400"]);
     let mut caller = send_raw(&fleet, "Content-Length: 2000", "");
     for _ in 0..20 {
         caller.send(b" ");
@@ -223,22 +227,23 @@
     assert_still_serves(&fleet);
 }
 
-/// No caller connects for several read timeouts, each of which would end an
-/// idle `accept`. The next caller is still served.
+/// The read timeout also ends an idle `accept`. No caller connects for several
+/// read timeouts, and the next caller is still served.
 #[test]
 fn an_idle_router_keeps_accepting() {
-    let fleet = fleet(&["--caller-timeout-ms=100"]);
+    let fleet = start_fleet(&["--caller-timeout-ms=100"]);
     thread::sleep(Duration::from_millis(1_000));
     assert_still_serves(&fleet);
 }
 
-/// The limit of open requests is reached. One more is refused immediately, with
-/// a retry time. When a request ends, the next one is served.
+/// The limit of open requests is reached. One more is refused with a retry time.
+/// When a request ends, the next one is served.
 #[test]
 fn a_request_over_the_limit_is_refused_as_not_run() {
-    let fleet = fleet(&["--max-open-requests=1"]);
-    let mut holding = send_raw(&fleet, "Content-Length: 2000", "{");
+    let fleet = start_fleet(&["--max-open-requests=1"]);
+    let mut open_request = send_raw(&fleet, "Content-Length: 2000", "{");
     let mut answer = Answer::default();
+    // The open request may not count yet when the first of these is sent.
     for _ in 0..100 {
         answer = fleet.chat(0, "one more", 3, false);
         if answer.status == 503 {
@@ -249,21 +254,21 @@
     assert_eq!(answer.json()["error"]["outcome"], "not_run");
     assert!(answer.header("x-request-id").is_some());
     assert!(answer.header("retry-after").is_some());
-    assert!(holding.send("}".repeat(1_999).as_bytes()));
-    assert!(holding.read_until("HTTP/1.1 400"));
-    drop(holding);
+    assert!(open_request.send("}".repeat(1_999).as_bytes()));
+    assert!(open_request.read_until("HTTP/1.1 400"));
+    drop(open_request);
     fleet.until_served();
 }
 
-/// A missing or wrong key is refused. A withdrawn key is refused in the same
-/// way within seconds.
+/// A missing or wrong key is refused. A withdrawn key is refused with the same
+/// status within seconds.
 #[test]
 fn a_missing_wrong_or_withdrawn_key_is_refused() {
-    let fleet = fleet(&[]);
+    let fleet = start_fleet(&[]);
     let address = fleet.routers[0].address();
     let missing = Answer::post(address, "/v1/chat/completions", &[], "{}");
-    let wrong = [("Authorization", "Bearer nonsense")];
-    let wrong = Answer::post(address, "/v1/chat/completions", &wrong, "{}");
+    let wrong_key = [("Authorization", "Bearer nonsense")];
+    let wrong = Answer::post(address, "/v1/chat/completions", &wrong_key, "{}");
     for answer in [missing, wrong] {
         assert_eq!(answer.status, 401);
         assert_eq!(answer.json()["error"]["code"], "invalid_api_key");
