--- a/crates/mangowalkd/src/caller/body.rs
+++ b/crates/mangowalkd/src/caller/body.rs
@@ -38,7 +38,7 @@
 ///
 /// Fails on invalid JSON, and on fields that are missing, invalid or not
 /// supported.
-pub(super) fn read(bytes: &[u8], endpoint: Endpoint) -> Result<Body, Refusal> {
+pub(super) fn parse(bytes: &[u8], endpoint: Endpoint) -> Result<Body, Refusal> {
     let fields: Map<String, Value> = serde_json::from_slice(bytes).map_err(|error| {
         malformed(format!(
             "The body is no JSON object: {error}; correct it there."
--- a/crates/mangowalkd/src/caller/chat.rs
+++ b/crates/mangowalkd/src/caller/chat.rs
@@ -2,7 +2,7 @@
     super::{
         body::{self, Body, Endpoint},
         handler::{Handler, bearer, header},
-        reply::Head,
+        reply::ResponseHeaders,
         response_format::ResponseFormat,
         stream::StreamSink,
     },
@@ -30,7 +30,7 @@
 ) {
     let read = handler
         .body(&mut request)
-        .and_then(|bytes| body::read(&bytes, endpoint))
+        .and_then(|bytes| body::parse(&bytes, endpoint))
         .and_then(|body| check_version(&request, body))
         .and_then(|body| Ok((body, deadline_of(&request)?)));
     let (body, deadline_ms) = match read {
@@ -60,7 +60,7 @@
     if body.stream {
         respond_streamed(handler, request, &chat, head, response_format);
     } else {
-        respond_whole(handler, request, &chat, head, &response_format);
+        respond_buffered(handler, request, &chat, head, &response_format);
     }
 }
 
@@ -92,17 +92,19 @@
 }
 
 /// Sends the complete answer in one response.
-fn respond_whole<E: Edges>(
+fn respond_buffered<E: Edges>(
     handler: &Handler<'_, E>,
     request: Request,
     chat: &ChatRequest,
-    mut head: Head,
+    mut head: ResponseHeaders,
     response_format: &ResponseFormat,
 ) {
     let mut sink = CollectSink::default();
     match handler.router.generate_counted(chat, &mut sink) {
         Ok(finished) => {
-            let body = response_format.whole(&sink.text, &finished).to_string();
+            let body = response_format
+                .complete_body(&sink.text, &finished)
+                .to_string();
             handler.add_rate(&mut head, &chat.team);
             head.json(request, 200, body.into_bytes());
         }
@@ -119,7 +121,7 @@
     handler: &Handler<'_, E>,
     request: Request,
     chat: &ChatRequest,
-    mut head: Head,
+    mut head: ResponseHeaders,
     response_format: ResponseFormat,
 ) {
     handler.add_rate(&mut head, &chat.team);
--- a/crates/mangowalkd/src/caller/handler.rs
+++ b/crates/mangowalkd/src/caller/handler.rs
@@ -3,7 +3,7 @@
         addresses,
         body::{Endpoint, malformed},
         chat, models,
-        reply::Head,
+        reply::ResponseHeaders,
         request_id, service,
         untrusted::UntrustedConnections,
     },
@@ -30,7 +30,7 @@
     /// Identity of the request towards upstreams, always generated here.
     pub(super) request_id: String,
     /// Headers of every response to this request.
-    pub(super) head: Head,
+    pub(super) head: ResponseHeaders,
 }
 
 impl<'a, E: Edges> Handler<'a, E> {
@@ -41,7 +41,7 @@
     ) -> Handler<'a, E> {
         let generated_id = request_id::generate();
         let caller_id = header(request, "x-request-id").and_then(request_id::accepted);
-        let head = Head::of(caller_id.unwrap_or(&generated_id));
+        let head = ResponseHeaders::of(caller_id.unwrap_or(&generated_id));
         Handler {
             router,
             untrusted,
@@ -102,7 +102,7 @@
         let model = path
             .strip_prefix("/v1/models/")
             .filter(|_| *request.method() == Method::Get);
-        match model.map(|id| models::one(self.router, id)) {
+        match model.map(|id| models::get(self.router, id)) {
             Some(Ok(body)) => self.json(request, 200, body),
             Some(Err(refusal)) => self.refuse(request, &refusal),
             None => self.refuse_unread(request, &Refusal::NoSuchPath),
@@ -150,7 +150,7 @@
     /// refill the burst. Other instances may hold more of the team's tokens, so
     /// a request that exceeds the remaining tokens is not refused for that
     /// alone.
-    pub(super) fn add_rate(&self, head: &mut Head, team: &str) {
+    pub(super) fn add_rate(&self, head: &mut ResponseHeaders, team: &str) {
         let shared = self.router.shared();
         let view = shared.config.view();
         let Some(rate) = view.rates.get(team) else {
--- a/crates/mangowalkd/src/caller/models.rs
+++ b/crates/mangowalkd/src/caller/models.rs
@@ -22,7 +22,7 @@
 /// # Errors
 ///
 /// Fails if the model is not offered.
-pub(super) fn one<E: Edges>(router: &Router<E>, id: &str) -> Result<Vec<u8>, Refusal> {
+pub(super) fn get<E: Edges>(router: &Router<E>, id: &str) -> Result<Vec<u8>, Refusal> {
     if !router.shared().config.view().models.contains_key(id) {
         return Err(Refusal::NotFound {
             what: "Model",
--- a/crates/mangowalkd/src/caller/parameters.rs
+++ b/crates/mangowalkd/src/caller/parameters.rs
@@ -55,7 +55,7 @@
             ignored.push(known);
             continue;
         }
-        check_neutral(name, value)?;
+        check_default(name, value)?;
     }
     Ok(Parameters { ignored })
 }
@@ -82,24 +82,24 @@
     )))
 }
 
-fn check_neutral(name: &str, value: &Value) -> Result<(), Refusal> {
-    let neutral_values = neutral_values(name).ok_or_else(|| {
+fn check_default(name: &str, value: &Value) -> Result<(), Refusal> {
+    let default_values = default_values(name).ok_or_else(|| {
         malformed(format!(
             "`{name}` is no known parameter; leave it out. docs/api.md lists all."
         ))
     })?;
-    if neutral_values.contains(value) {
+    if default_values.contains(value) {
         return Ok(());
     }
     Err(malformed(format!(
         "`{name}` can't be followed by the engines here; leave it out or send {}.",
-        neutral_values[0]
+        default_values[0]
     )))
 }
 
 /// Returns the values of a parameter that ask for the default behaviour; `None`
 /// if the parameter is unknown.
-fn neutral_values(name: &str) -> Option<Vec<Value>> {
+fn default_values(name: &str) -> Option<Vec<Value>> {
     Some(match name {
         "n" | "best_of" => vec![json!(1)],
         "stop" | "tools" | "functions" => vec![json!([])],
--- a/crates/mangowalkd/src/caller/reply.rs
+++ b/crates/mangowalkd/src/caller/reply.rs
@@ -16,14 +16,14 @@
 
 /// Headers of every response to one request.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Head {
+pub(super) struct ResponseHeaders {
     headers: Vec<(&'static str, String)>,
 }
 
-impl Head {
+impl ResponseHeaders {
     /// Returns a head with the request's identity.
-    pub(super) fn of(request_id: &str) -> Head {
-        let mut head = Head::default();
+    pub(super) fn of(request_id: &str) -> ResponseHeaders {
+        let mut head = ResponseHeaders::default();
         head.add("x-request-id", request_id.to_owned());
         head
     }
--- a/crates/mangowalkd/src/caller/response_format.rs
+++ b/crates/mangowalkd/src/caller/response_format.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the response body of an answer that is not streamed.
-    pub(super) fn whole(&self, text: &str, finished: &FinishedAnswer) -> Value {
+    pub(super) fn complete_body(&self, text: &str, finished: &FinishedAnswer) -> Value {
         let reason = &finished.finish_reason;
         let choices = match self.endpoint {
             Endpoint::Chat => json!([{
--- a/crates/mangowalkd/src/caller/server.rs
+++ b/crates/mangowalkd/src/caller/server.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        body::malformed, framing, handler::Handler, listener, reply::Head, request_id,
+        body::malformed, framing, handler::Handler, listener, reply::ResponseHeaders, request_id,
         untrusted::UntrustedConnections,
     },
     crate::serve::{Router, jittered_ms},
@@ -199,5 +199,5 @@
         reason: "This instance serves as many requests as it may",
         retry_ms: jittered_ms(MIN_OVERLOAD_RETRY_MS),
     };
-    Head::of(&request_id::generate()).refuse(request, &refusal);
+    ResponseHeaders::of(&request_id::generate()).refuse(request, &refusal);
 }
--- a/crates/mangowalkd/src/caller/sse.rs
+++ b/crates/mangowalkd/src/caller/sse.rs
@@ -1,5 +1,5 @@
 use {
-    super::reply::Head,
+    super::reply::ResponseHeaders,
     chunked_transfer::Encoder,
     serde::Serialize,
     std::io::{self, Write},
@@ -20,7 +20,7 @@
 
 impl SseWriter {
     /// Writes the head of the response and returns the writer of its events.
-    pub(super) fn start(request: Request, head: &Head) -> io::Result<SseWriter> {
+    pub(super) fn start(request: Request, head: &ResponseHeaders) -> io::Result<SseWriter> {
         let mut writer = request.into_writer();
         write!(
             writer,
--- a/crates/mangowalkd/src/caller/stream.rs
+++ b/crates/mangowalkd/src/caller/stream.rs
@@ -1,5 +1,7 @@
 use {
-    super::{error::ErrorBody, reply::Head, response_format::ResponseFormat, sse::SseWriter},
+    super::{
+        error::ErrorBody, reply::ResponseHeaders, response_format::ResponseFormat, sse::SseWriter,
+    },
     crate::serve::{AnswerSink, FinishedAnswer},
     log::info,
     mangowalk_core::refusal::Refusal,
@@ -16,12 +18,16 @@
 pub(super) struct StreamSink {
     request: Option<Request>,
     writer: Option<SseWriter>,
-    head: Head,
+    head: ResponseHeaders,
     response_format: ResponseFormat,
 }
 
 impl StreamSink {
-    pub(super) fn new(request: Request, head: Head, response_format: ResponseFormat) -> StreamSink {
+    pub(super) fn new(
+        request: Request,
+        head: ResponseHeaders,
+        response_format: ResponseFormat,
+    ) -> StreamSink {
         StreamSink {
             request: Some(request),
             writer: None,
--- a/crates/mangowalkd/src/controller/engine_poll.rs
+++ b/crates/mangowalkd/src/controller/engine_poll.rs
@@ -62,7 +62,7 @@
         shared.apply_engines(&view);
         let engines: Vec<&EngineRecord> = view.engines.values().collect();
         let unseen: Vec<&EngineRecord> = shared.engines.read(|known| {
-            let never = |e: &&EngineRecord| known.get(&e.name).is_none_or(|s| s.seen_ms == 0);
+            let never = |e: &&EngineRecord| known.get(&e.name).is_none_or(|s| s.polled_ms == 0);
             let unseen = engines.iter().copied().filter(never);
             unseen.take(POLLS_PER_ROUND_AT_START).collect()
         });
@@ -85,12 +85,12 @@
 
 fn poll<E: Edges>(edges: &E, shared: &SharedState, engine: &EngineRecord) {
     let state = edges.engines().state(engine.address).ok();
-    let seen_ms = edges.clock().now_ms().max(1);
+    let polled_ms = edges.clock().now_ms().max(1);
     shared
         .dispatch
-        .report(&engine.name, state.as_ref(), seen_ms);
+        .report(&engine.name, state.as_ref(), polled_ms);
     shared.engines.update(&engine.name, |known| {
         known.state = state;
-        known.seen_ms = seen_ms;
+        known.polled_ms = polled_ms;
     });
 }
--- a/crates/mangowalkd/src/controller/slots.rs
+++ b/crates/mangowalkd/src/controller/slots.rs
@@ -162,7 +162,7 @@
 ) -> ControlFlow<()> {
     let key = slot_key(slot);
     let started_ms = edges.clock().now_ms();
-    let body = shared.limits.body(slot, rand::random());
+    let body = shared.limits.slot_body(slot, rand::random());
     let value = serde_json::to_value(&body).unwrap_or_default();
     let result = match edges.platform().put(&key, expect, &value) {
         Err(PlatformError::Lost) => read_back(edges, &key, &body),
--- a/crates/mangowalkd/src/operator/status.rs
+++ b/crates/mangowalkd/src/operator/status.rs
@@ -67,7 +67,7 @@
     let state_name = match (known, state) {
         (None, _) => "unseen",
         (Some(_), None) => "silent",
-        (Some(s), _) if now_ms.saturating_sub(s.seen_ms) > SILENT_MS => "silent",
+        (Some(s), _) if now_ms.saturating_sub(s.polled_ms) > SILENT_MS => "silent",
         (_, Some(s)) if s.loading => "loading",
         _ => "serving",
     };
@@ -114,7 +114,7 @@
 /// hundreds of kilobytes for 230 teams and the status is read far more often.
 pub(super) fn burn(shared: &SharedState, now_ms: u64) -> InstanceBurn {
     let view = shared.config.view();
-    let mut teams = shared.burn.publish(now_ms);
+    let mut teams = shared.burn.team_burns(now_ms);
     for team in &mut teams {
         team.tokens_per_s = view.rates.get(&team.team).map_or(0, |r| r.tokens_per_s);
     }
--- a/crates/mangowalkd/src/serve/admit.rs
+++ b/crates/mangowalkd/src/serve/admit.rs
@@ -67,7 +67,7 @@
     fn wait_for_version(&self, request: &ChatRequest, version: &str) -> Result<Target, Refusal> {
         let job = self.job(request, &self.shared.config.view(), version);
         match self.wait_for_decision(job) {
-            Decision::Send { choice, .. } => self.dispatch(request, version, choice),
+            Decision::Send { choice, .. } => self.start_dispatched(request, version, choice),
             Decision::Refuse { refusal, .. } => {
                 info!(
                     "admission: Refused {} of {}, expected to wait {} ms.",
@@ -87,7 +87,7 @@
     /// The key may have been withdrawn: without this check, a withdrawn key
     /// would be served for as long as the queue is. The engine may have been
     /// drained: the request is then placed on another one.
-    fn dispatch(
+    fn start_dispatched(
         &self,
         request: &ChatRequest,
         version: &str,
--- a/crates/mangowalkd/src/serve/attempt.rs
+++ b/crates/mangowalkd/src/serve/attempt.rs
@@ -171,13 +171,13 @@
     /// to the same refusal.
     fn refresh_state(&self, engine: &EngineRecord) {
         let state = self.edges.engines().state(engine.address).ok();
-        let seen_ms = self.edges.clock().now_ms();
+        let polled_ms = self.edges.clock().now_ms();
         self.shared
             .dispatch
-            .report(&engine.name, state.as_ref(), seen_ms);
+            .report(&engine.name, state.as_ref(), polled_ms);
         self.shared.engines.update(&engine.name, |known| {
             known.state = state;
-            known.seen_ms = seen_ms;
+            known.polled_ms = polled_ms;
         });
     }
 }
--- a/crates/mangowalkd/src/serve/service.rs
+++ b/crates/mangowalkd/src/serve/service.rs
@@ -57,7 +57,7 @@
         for service in instances {
             match self.send(request, service) {
                 Ok(reply) => return Ok(reply),
-                Err(error) => may_have_run |= !states_not_run(error),
+                Err(error) => may_have_run |= !means_not_run(error),
             }
             if may_have_run {
                 self.refuse_poisonous(call_identity(request), Outcome::Unknown)?;
@@ -105,7 +105,7 @@
                     claims.settle(sent.ran(&reply));
                     return Ok(reply);
                 }
-                Err(error) if states_not_run(error) => claim = sent.not_sent(),
+                Err(error) if means_not_run(error) => claim = sent.not_sent(),
                 Err(_) => {
                     claims.settle(sent.reply_lost());
                     return Err(outcome_unknown());
@@ -146,7 +146,7 @@
 }
 
 /// Returns whether an error means that the call did not run.
-fn states_not_run(error: SendError) -> bool {
+fn means_not_run(error: SendError) -> bool {
     matches!(error, SendError::NotConnected | SendError::Refused { .. })
 }
 
--- a/crates/mangowalkd/src/shared_state/admission.rs
+++ b/crates/mangowalkd/src/shared_state/admission.rs
@@ -137,19 +137,19 @@
 
     /// Chooses an engine without queueing, for a request that was admitted
     /// before and lost its engine. Records the request as sent there.
-    pub fn place_retry(&self, ask: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
+    pub fn place_retry(&self, request: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
         let mut inner = lock(&self.inner);
         let placement = inner.dispatcher.placement_mut();
-        let mut choice = placement.choose(ask, now_ms)?;
-        placement.sent(&mut choice, ask.chain, now_ms);
+        let mut choice = placement.choose(request, now_ms)?;
+        placement.sent(&mut choice, request.chain, now_ms);
         Some(choice)
     }
 
     /// Returns the engine that a request would be sent to now. Nothing is sent
     /// or recorded as sent.
-    pub fn preview(&self, ask: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
+    pub fn preview(&self, request: &PlacementRequest<'_>, now_ms: u64) -> Option<Choice> {
         let mut inner = lock(&self.inner);
-        inner.dispatcher.placement_mut().choose(ask, now_ms)
+        inner.dispatcher.placement_mut().choose(request, now_ms)
     }
 
     /// Returns the number of queued requests.
--- a/crates/mangowalkd/src/shared_state/burn.rs
+++ b/crates/mangowalkd/src/shared_state/burn.rs
@@ -11,7 +11,7 @@
 
 /// Counts of the outcomes of every team's requests.
 #[derive(Debug, Default)]
-pub struct SharedBurn {
+pub struct SharedOutcomeCounts {
     inner: Mutex<Inner>,
 }
 
@@ -30,7 +30,7 @@
     pub first_tokens: Vec<(String, u64)>,
 }
 
-impl SharedBurn {
+impl SharedOutcomeCounts {
     /// Counts one finished request of a team. `objective_ms` is the team's
     /// objective for the time to the first token.
     pub fn record(&self, team: &str, observation: &Observation, objective_ms: u64, now_ms: u64) {
@@ -42,7 +42,7 @@
     }
 
     /// Returns the counts of every team over every time window.
-    pub fn publish(&self, now_ms: u64) -> Vec<TeamBurn> {
+    pub fn team_burns(&self, now_ms: u64) -> Vec<TeamBurn> {
         lock(&self.inner).ledger.publish(now_ms)
     }
 
--- a/crates/mangowalkd/src/shared_state/engines.rs
+++ b/crates/mangowalkd/src/shared_state/engines.rs
@@ -13,7 +13,7 @@
     /// State that it reported to the last poll; `None` if it did not respond.
     pub state: Option<EngineState>,
     /// Time of the last poll, in milliseconds; 0 before the first.
-    pub seen_ms: u64,
+    pub polled_ms: u64,
     /// Attempts that this instance has in flight on it.
     pub in_flight: u32,
 }
--- a/crates/mangowalkd/src/shared_state/limits.rs
+++ b/crates/mangowalkd/src/shared_state/limits.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns the body that this instance writes to claim or renew a slot.
-    pub fn body(&self, slot: u32, nonce: u64) -> SlotBody {
+    pub fn slot_body(&self, slot: u32, nonce: u64) -> SlotBody {
         lock(&self.inner).limits.body(slot, nonce)
     }
 
--- a/crates/mangowalkd/src/shared_state/mod.rs
+++ b/crates/mangowalkd/src/shared_state/mod.rs
@@ -20,7 +20,7 @@
 
 pub use {
     admission::{DispatchSettings, SharedDispatcher},
-    burn::{SharedBurn, UnsentCounts},
+    burn::{SharedOutcomeCounts, UnsentCounts},
     claims::{ClaimWrite, SharedClaims},
     config::SharedConfig,
     engines::{InFlightGuard, KnownEngine, SharedEngines},
--- a/crates/mangowalkd/src/shared_state/state.rs
+++ b/crates/mangowalkd/src/shared_state/state.rs
@@ -1,7 +1,8 @@
 use {
     super::{
-        DispatchSettings, Identity, Lifecycle, SharedBurn, SharedClaims, SharedConfig,
-        SharedDispatcher, SharedEngines, SharedLimits, SharedPeers, SharedPoison, SharedUpstreams,
+        DispatchSettings, Identity, Lifecycle, SharedClaims, SharedConfig, SharedDispatcher,
+        SharedEngines, SharedLimits, SharedOutcomeCounts, SharedPeers, SharedPoison,
+        SharedUpstreams,
     },
     crate::edge::Traffic,
     mangowalk_core::{config::View, placement::EngineSpec},
@@ -15,7 +16,7 @@
     /// not.
     pub operator_address: Option<SocketAddr>,
     /// Counts of the outcomes of every team's requests.
-    pub burn: SharedBurn,
+    pub burn: SharedOutcomeCounts,
     /// Identity of the instance.
     pub identity: Identity,
     /// Claim writes that are still to be done, and the current epoch.
@@ -49,7 +50,7 @@
             claims: SharedClaims::default(),
             poison: SharedPoison::default(),
             operator_address: None,
-            burn: SharedBurn::default(),
+            burn: SharedOutcomeCounts::default(),
             identity,
             config: SharedConfig::default(),
             engines: SharedEngines::default(),
