--- a/crates/core/src/upstream/retry_budget.rs
+++ b/crates/core/src/upstream/retry_budget.rs
@@ -26,20 +26,20 @@
 /// caller already reads the answer, but it is charged as a retry. There are never
 /// more streams to resume than the dead engine ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RetryBudget {
+pub struct InstanceRetryBudget {
     /// Saved retries, in hundredths of a retry.
     saved_hundredths: u64,
 }
 
-impl Default for RetryBudget {
-    fn default() -> RetryBudget {
-        RetryBudget {
+impl Default for InstanceRetryBudget {
+    fn default() -> InstanceRetryBudget {
+        InstanceRetryBudget {
             saved_hundredths: MAX_SAVED_HUNDREDTHS,
         }
     }
 }
 
-impl RetryBudget {
+impl InstanceRetryBudget {
     /// Adds the share of a request that is sent for the first time.
     pub fn record_first_attempt(&mut self) {
         self.saved_hundredths =
--- a/crates/mangowalkd/src/shared_state/limits.rs
+++ b/crates/mangowalkd/src/shared_state/limits.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns the body that this instance writes to claim or renew a slot.
-    pub fn body(&self, slot: u32, nonce: u64) -> SlotBody {
+    pub fn slot_body(&self, slot: u32, nonce: u64) -> SlotBody {
         lock(&self.inner).limits.body(slot, nonce)
     }
 
@@ -144,9 +144,9 @@
     }
 
     /// Takes back the tokens of a grant that the peer returns unused.
-    pub fn take_back(&self, team: &str, grant_id: u64, tokens: u64) {
+    pub fn apply_refund(&self, team: &str, grant_id: u64, tokens: u64) {
         let mut inner = lock(&self.inner);
-        inner.limits.ledger().take_back(team, grant_id, tokens);
+        inner.limits.ledger().apply_refund(team, grant_id, tokens);
     }
 
     /// Ends a reservation of which `used_tokens` were used. Returns the grants
--- a/crates/standins/src/platform/state.rs
+++ b/crates/standins/src/platform/state.rs
@@ -1,5 +1,5 @@
 use {
-    mangowalk_core::platform::{Change, Expect, ListReply, Object, ObjectKey, WatchReply},
+    mangowalk_core::platform::{Change, ListReply, Object, ObjectKey, Precondition, WatchReply},
     serde_json::Value,
     std::collections::BTreeMap,
 };
@@ -33,14 +33,14 @@
     pub(super) fn write(
         &mut self,
         key: &ObjectKey,
-        expect: Expect,
+        expect: Precondition,
         body: Option<Value>,
     ) -> Result<u64, u64> {
         let current_version = self.objects.get(key).map_or(0, |o| o.version);
         let is_met = match expect {
-            Expect::Any => true,
-            Expect::Absent => current_version == 0,
-            Expect::Version(version) => current_version == version,
+            Precondition::Any => true,
+            Precondition::Absent => current_version == 0,
+            Precondition::Version(version) => current_version == version,
         };
         if !is_met {
             return Err(current_version);
