--- a/scripts/check-openai-client.py
+++ b/scripts/check-openai-client.py
@@ -1,4 +1,4 @@
-"""Checks a router with the official OpenAI client, unmodified."""
+"""Checks a router with the unmodified official OpenAI client."""
 
 import subprocess
 import sys
@@ -11,7 +11,7 @@
 
 
 class Fleet:
-    """A fleet of stand-ins as a process, driven through its input."""
+    """A test fleet with simulated upstreams, controlled by commands on its stdin."""
 
     def __init__(self, target):
         self.process = subprocess.Popen(
@@ -24,8 +24,8 @@
         lines = (self.process.stdout.readline().strip() for _ in range(3))
         self.settings = dict(line.split("=", 1) for line in lines)
 
-    def tell(self, line):
-        self.process.stdin.write(line + "\n")
+    def send_command(self, command):
+        self.process.stdin.write(command + "\n")
         self.process.stdin.flush()
         assert self.process.stdout.readline().strip() == "done"
 
@@ -36,45 +36,45 @@
             max_retries=0,
         )
 
-    def end(self):
+    def stop(self):
         self.process.stdin.close()
         self.process.wait(30)
 
 
-def raises(kind, call):
+def expect_error(error_type, call):
     try:
         call()
-    except kind as error:
-        assert type(error) is kind, type(error)
-        return f"{kind.__name__} {error.status_code} {error.body.get('code')}"
-    raise AssertionError(f"{kind.__name__} was not raised")
+    except error_type as error:
+        assert type(error) is error_type, type(error)
+        return f"{error_type.__name__} {error.status_code} {error.body.get('code')}"
+    raise AssertionError(f"{error_type.__name__} was not raised")
 
 
-def ask(client, **more):
-    more = {"model": MODEL, "messages": MESSAGES, "max_tokens": 12, **more}
-    return client.chat.completions.create(**more)
+def create_chat(client, **overrides):
+    params = {"model": MODEL, "messages": MESSAGES, "max_tokens": 12, **overrides}
+    return client.chat.completions.create(**params)
 
 
-def check_answers(fleet):
+def check_responses(fleet):
     client = fleet.client()
-    whole = ask(client)
-    text = whole.choices[0].message.content
-    assert whole.usage.completion_tokens == 12 and whole.choices[0].finish_reason == "length"
-    print("chat: whole,", whole.usage.total_tokens, "tokens")
-    stream = ask(client, stream=True, stream_options={"include_usage": True})
+    buffered = create_chat(client)
+    text = buffered.choices[0].message.content
+    assert buffered.usage.completion_tokens == 12 and buffered.choices[0].finish_reason == "length"
+    print("chat: buffered,", buffered.usage.total_tokens, "tokens")
+    stream = create_chat(client, stream=True, stream_options={"include_usage": True})
     chunks = list(stream)
     parts = [c.choices[0].delta.content or "" for c in chunks if c.choices]
     assert "".join(parts) == text
     assert chunks[-1].usage.completion_tokens == 12
-    print("chat: streamed,", len(chunks), "chunks, the same text")
+    print("chat: streamed,", len(chunks), "chunks, same text")
     parts = [{"type": "text", "text": MESSAGES[0]["content"]}]
-    assert ask(client, messages=[{"role": "user", "content": parts}]).choices[0].message.content == text
-    print("chat: parts of text, the same text")
+    assert create_chat(client, messages=[{"role": "user", "content": parts}]).choices[0].message.content == text
+    print("chat: text parts, same text")
     prompt = {"model": MODEL, "prompt": "Once", "max_tokens": 5}
     text = client.completions.create(**prompt).choices[0].text
     stream = client.completions.create(stream=True, **prompt)
     assert "".join(c.choices[0].text for c in stream if c.choices) == text
-    print("completion: whole and streamed, the same text")
+    print("completion: buffered and streamed, same text")
     assert [m.id for m in client.models.list()] == [MODEL]
     assert client.models.retrieve(MODEL).id == MODEL
     print("models: listed and retrieved")
@@ -89,25 +89,25 @@
 
 def check_errors(fleet):
     client = fleet.client()
-    wrong = fleet.client("nonsense")
-    print(raises(openai.AuthenticationError, lambda: ask(wrong)))
-    print(raises(openai.BadRequestError, lambda: ask(client, n=2)))
-    print(raises(openai.BadRequestError, lambda: ask(client, messages=[])))
-    print(raises(openai.NotFoundError, lambda: ask(client, model="none")))
-    print(raises(openai.NotFoundError, lambda: client.models.retrieve("none")))
-    poor = fleet.client(fleet.settings["POOR_KEY"])
-    print(raises(openai.RateLimitError, lambda: [ask(poor) for _ in range(20)]))
-    print(raises(openai.RateLimitError, lambda: [ask(poor, stream=True) for _ in range(20)]))
+    invalid_key = fleet.client("nonsense")
+    print(expect_error(openai.AuthenticationError, lambda: create_chat(invalid_key)))
+    print(expect_error(openai.BadRequestError, lambda: create_chat(client, n=2)))
+    print(expect_error(openai.BadRequestError, lambda: create_chat(client, messages=[])))
+    print(expect_error(openai.NotFoundError, lambda: create_chat(client, model="none")))
+    print(expect_error(openai.NotFoundError, lambda: client.models.retrieve("none")))
+    rate_limited = fleet.client(fleet.settings["POOR_KEY"])
+    print(expect_error(openai.RateLimitError, lambda: [create_chat(rate_limited) for _ in range(20)]))
+    print(expect_error(openai.RateLimitError, lambda: [create_chat(rate_limited, stream=True) for _ in range(20)]))
     check_conflict(fleet, client)
-    fleet.tell("break")
-    print(raises(openai.InternalServerError, lambda: ask(client)))
-    print(raises(openai.InternalServerError, lambda: ask(client, stream=True)))
-    fleet.tell("heal")
+    fleet.send_command("break")
+    print(expect_error(openai.InternalServerError, lambda: create_chat(client)))
+    print(expect_error(openai.InternalServerError, lambda: create_chat(client, stream=True)))
+    fleet.send_command("heal")
 
 
 def check_conflict(fleet, client):
-    """The same order twice at once, of which the first still runs."""
-    fleet.tell("delay")
+    """Sends a second request with the idempotency key of one that is still running."""
+    fleet.send_command("delay")
 
     def book():
         headers = {"Idempotency-Key": "order-17"}
@@ -116,20 +116,20 @@
     first = threading.Thread(target=book)
     first.start()
     threading.Event().wait(1)
-    print(raises(openai.ConflictError, book))
+    print(expect_error(openai.ConflictError, book))
     first.join()
-    fleet.tell("heal")
+    fleet.send_command("heal")
 
 
 def main():
     print("openai", openai.__version__)
     fleet = Fleet(sys.argv[1])
     try:
-        check_answers(fleet)
+        check_responses(fleet)
         check_errors(fleet)
     finally:
-        fleet.end()
-    print("Every check held.")
+        fleet.stop()
+    print("All checks passed.")
 
 
 main()
